--- a/cmd/opalbridge/gateway.go
+++ b/cmd/opalbridge/gateway.go
@@ -61,9 +61,9 @@
 // calls counts the ends of requests in the process's metrics.
 type calls struct{ *telemetry.Calls }
 
-// Ended implements gateway.Metrics.
-func (c calls) Ended(o gateway.Outcome) {
-	c.Request(o.Service, o.Kind, o.Result, o.Attempts, o.First, o.Whole)
+// RequestEnded implements gateway.Metrics.
+func (c calls) RequestEnded(o gateway.Outcome) {
+	c.Request(o.Service, o.Kind, o.Result, o.Attempts, o.FirstByte, o.Total)
 }
 
 func runGateway(ctx context.Context, s *settings.Settings, file string) error {
@@ -114,12 +114,12 @@
 		{Name: "opalbridge.gateway.servers", Description: "servers believed to exist", Read: func() float64 { return float64(g.Status().Servers) }},
 		{Name: "opalbridge.gateway.peers", Description: "other gateways believed to live", Read: func() float64 { return float64(g.Status().Peers) }},
 		{Name: "opalbridge.gateway.active_requests", Description: "requests in hand", Read: func() float64 { return float64(g.Status().Active) }},
-		{Name: "opalbridge.gateway.lateness", Unit: "s", Description: "of the process's own timers, as of the latest measurement", Read: func() float64 { return g.Status().Lateness.Seconds() }},
-		{Name: "opalbridge.gateway.admitted", Description: "share of requests that the process has time for", Read: func() float64 { return g.Status().Admitted }},
+		{Name: "opalbridge.gateway.lateness", Unit: "s", Description: "of the process's own timers, as of the latest measurement", Read: func() float64 { return g.Status().SchedulingDelay.Seconds() }},
+		{Name: "opalbridge.gateway.admitted", Description: "share of requests that the process has time for", Read: func() float64 { return g.Status().AdmittedShare }},
 		{Name: "opalbridge.gateway.suspects", Description: "requests that were at servers when these ended", Read: func() float64 { return float64(g.Status().Suspects) }},
-		{Name: "opalbridge.gateway.said_leaving", Description: "servers that have said in answers that they leave", Read: func() float64 { return float64(g.Status().SaidLeaving) }},
-		{Name: "opalbridge.gateway.resting", Description: "servers that have asked this gateway for rest", Read: func() float64 { return float64(g.Status().Resting) }},
-		{Name: "opalbridge.gateway.barred", Description: "requests that reach no server any more, since servers ended under them", Read: func() float64 { return float64(g.Status().Barred) }},
+		{Name: "opalbridge.gateway.said_leaving", Description: "servers that have said in answers that they leave", Read: func() float64 { return float64(g.Status().AnnouncedLeaving) }},
+		{Name: "opalbridge.gateway.resting", Description: "servers that have asked this gateway for rest", Read: func() float64 { return float64(g.Status().BackingOff) }},
+		{Name: "opalbridge.gateway.barred", Description: "requests that reach no server any more, since servers ended under them", Read: func() float64 { return float64(g.Status().Quarantined) }},
 		{Name: "opalbridge.gateway.log_lines_dropped", Description: "log lines that were not written", Read: func() float64 { return float64(lines.Dropped()) }},
 		{Name: "opalbridge.gateway.unreadable_entries", Description: "entries in the platform's store that could not be read, each time that they were met", Read: func() float64 { return float64(entries.total()) }},
 	})
@@ -149,7 +149,7 @@
 		DisableCompression: true,
 	}}}
 	return gateway.New(gateway.Options{
-		Front: front, Ready: ready, Peers: peers,
+		CallerListener: front, ReadyListener: ready, PeerListener: peers,
 		ReadyPath: platform.ReadyPath,
 		Peer:      peer.Options{Address: s.PeerAddress, Seeds: s.Seeds},
 		Source:    &platform.Feed{Store: store, Halls: s.Regions, Unreadable: entries.hear},
@@ -158,12 +158,12 @@
 		Rollouts:  &platform.Rollouts{Store: store},
 		Suspects:  &platform.Suspects{Store: store},
 		Codec:     platform.Codec{},
-		Desk: gateway.DeskSettings{
-			Repeats: budget.Limits{Ratio: s.RepeatRatio, Extra: s.RepeatExtra, Window: s.RepeatWindow},
-			Shares:  s.ShareWindow, Policy: placement.DefaultPolicy(), Hall: s.Hall,
-			Cold: warmup.Limits{Factor: s.ColdFactor, Extra: s.ColdExtra}, Regions: s.Regions,
+		Dispatcher: gateway.DispatcherOptions{
+			Retries:     budget.Limits{Ratio: s.RepeatRatio, FixedRetries: s.RepeatExtra, Window: s.RepeatWindow},
+			ShareWindow: s.ShareWindow, Policy: placement.DefaultPolicy(), Hall: s.Hall,
+			ColdLimits: warmup.Limits{Factor: s.ColdFactor, Extra: s.ColdExtra}, Regions: s.Regions,
 		},
-		Processor: int(s.Processor * 1000), Memory: int64(s.MemoryMB) << 20, Files: descriptors(s), StopGrace: s.StopTimeout, Log: log, Metrics: calls{metrics},
+		MilliCPU: int(s.Processor * 1000), MemoryLimit: int64(s.MemoryMB) << 20, FileLimit: descriptors(s), ShutdownGrace: s.StopTimeout, Log: log, Metrics: calls{metrics},
 	})
 }
 
--- a/cmd/opalbridge/quarantine.go
+++ b/cmd/opalbridge/quarantine.go
@@ -77,7 +77,7 @@
 	}
 	rows := make([]quarantined, 0, len(kept))
 	for key, k := range maps.All(kept) {
-		rows = append(rows, quarantined{key.String(), len(k.Servers) >= quarantine.MostEnds, k})
+		rows = append(rows, quarantined{key.String(), len(k.Servers) >= quarantine.CrashThreshold, k})
 	}
 	slices.SortFunc(rows, func(x, y quarantined) int { return cmp.Or(x.Since.Compare(y.Since), cmp.Compare(x.Key, y.Key)) })
 	if c.Bool("json") {
--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -136,7 +136,7 @@
 
 func newAdmission(g *Gateway) *admission {
 	return &admission{
-		Listener: g.options.Front, room: g.room, overload: &g.overload, turner: newTurner(g),
+		Listener: g.options.CallerListener, room: g.room, overload: &g.overload, turner: newTurner(g),
 		pass:     func(*callerConn) bool { return false },
 		starting: starting{since: map[*callerConn]time.Time{}},
 	}
--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -38,7 +38,7 @@
 // counted counts the ends of requests.
 type counted struct{ denied atomic.Int64 }
 
-func (c *counted) Ended(o Outcome) {
+func (c *counted) RequestEnded(o Outcome) {
 	if o.Result == "denied" {
 		c.denied.Add(1)
 	}
--- a/gateway/budget/budget.go
+++ b/gateway/budget/budget.go
@@ -18,9 +18,9 @@
 
 // Limits are the bounds over the fleet.
 type Limits struct {
-	Ratio  float64       // repeats for each request of the window
-	Extra  float64       // repeats in a window besides
-	Window time.Duration // any span of this length
+	Ratio        float64       // repeats for each request of the window
+	FixedRetries float64       // repeats in a window besides
+	Window       time.Duration // any span of this length
 }
 
 // Reserves keep the sum over the fleet below the bound although gateways count
@@ -71,8 +71,8 @@
 	return h
 }
 
-// Request counts a caller's request for a service.
-func (b *Budget) Request(now time.Time, service string) {
+// RecordRequest counts a caller's request for a service.
+func (b *Budget) RecordRequest(now time.Time, service string) {
 	h := b.history(now, service)
 	h.requests = append(h.requests, now)
 }
@@ -88,15 +88,15 @@
 	return true
 }
 
-// Left returns how many repeats are left for a service.
-func (b *Budget) Left(now time.Time, service string, gateways int) float64 {
+// Remaining returns how many repeats are left for a service.
+func (b *Budget) Remaining(now time.Time, service string, gateways int) float64 {
 	h := b.history(now, service)
 	return b.allowed(now, h, gateways) - float64(len(h.repeats))
 }
 
 func (b *Budget) allowed(now time.Time, h *history, gateways int) float64 {
 	earned := ratioUse * b.limits.Ratio * float64(len(h.requests))
-	part := extraUse * b.limits.Extra / float64(max(gateways, 1))
+	part := extraUse * b.limits.FixedRetries / float64(max(gateways, 1))
 	if age := now.Sub(b.started); age < b.limits.Window {
 		part *= float64(age) / float64(b.limits.Window)
 	}
--- a/gateway/budget/budget_test.go
+++ b/gateway/budget/budget_test.go
@@ -11,7 +11,7 @@
 
 var (
 	start  = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	limits = budget.Limits{Ratio: 0.2, Extra: 60, Window: 10 * time.Second}
+	limits = budget.Limits{Ratio: 0.2, FixedRetries: 60, Window: 10 * time.Second}
 )
 
 // spend takes as many repeats as there are.
@@ -43,7 +43,7 @@
 			b := budget.New(limits, start)
 			now := start.Add(test.age)
 			for range test.requests {
-				b.Request(now, "s")
+				b.RecordRequest(now, "s")
 			}
 			got := spend(b, now, test.gateways)
 			require.LessOrEqual(t, got, test.most)
@@ -86,7 +86,7 @@
 				n++
 			}
 		}
-		require.LessOrEqual(t, n, int(limits.Extra))
+		require.LessOrEqual(t, n, int(limits.FixedRetries))
 	}
 }
 
--- a/gateway/bundle_bench_test.go
+++ b/gateway/bundle_bench_test.go
@@ -18,12 +18,12 @@
 // which a half is making the bundle: 4 us a beacon are taken. Sent to each other directly,
 // the same gateways handled a thousand datagrams a second each, and sent as many.
 func BenchmarkBundle(b *testing.B) {
-	node, err := peer.Listen(peer.Options{Address: "127.0.0.9:0", State: func() peer.State { return peer.State{} }, Failed: func(error) {}})
+	node, err := peer.Listen(peer.Options{Address: "127.0.0.9:0", State: func() peer.State { return peer.State{} }, OnError: func(error) {}})
 	require.NoError(b, err)
 	go node.Run(b.Context())
 	to, err := net.Dial("udp4", node.Address())
 	require.NoError(b, err)
-	d := modelDesk(b, time.Now(), 180)
+	d := newTestDispatcher(b, time.Now(), 180)
 	sequence := uint64(0)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -33,11 +33,11 @@
 			packed, err := proto.Marshal(&peerpb.Beacon{
 				Incarnation: 1 << 60, Sequence: sequence, NewestLoad: 2 * sequence, StoreRevision: 1000, ConfigurationVersion: 9,
 				Loads: []*peerpb.Load{
-					{Server: hash(fmt.Sprintf("i-%d", i)), WorkUs: 80000, Parts: []uint64{sequence<<20 | 1, sequence<<20 | 2}, Tokens: 3000},
-					{Server: hash(fmt.Sprintf("i-%d", i+1)), WorkUs: 80000, Parts: []uint64{sequence<<20 | 3, sequence<<20 | 4}, Tokens: 3000},
+					{Server: hashString(fmt.Sprintf("i-%d", i)), WorkUs: 80000, Parts: []uint64{sequence<<20 | 1, sequence<<20 | 2}, Tokens: 3000},
+					{Server: hashString(fmt.Sprintf("i-%d", i+1)), WorkUs: 80000, Parts: []uint64{sequence<<20 | 3, sequence<<20 | 4}, Tokens: 3000},
 				},
-				Running:  []*peerpb.Running{{Server: hash(fmt.Sprintf("i-%d", i)), Requests: uint32(sequence % 7)}},
-				Backlogs: []*peerpb.Backlog{{Server: hash(fmt.Sprintf("i-%d", i)), LeftUs: 1000}},
+				Running:  []*peerpb.Running{{Server: hashString(fmt.Sprintf("i-%d", i)), Requests: uint32(sequence % 7)}},
+				Backlogs: []*peerpb.Backlog{{Server: hashString(fmt.Sprintf("i-%d", i)), LeftUs: 1000}},
 			})
 			require.NoError(b, err)
 			bundle.Beacons = append(bundle.Beacons, &peerpb.Passed{From: uint32(0x0a000001 + i), Beacon: packed})
@@ -47,7 +47,7 @@
 		_, err = to.Write(packed)
 		require.NoError(b, err)
 		for _, u := range <-node.Updates() {
-			d.update(time.Now(), u)
+			d.applyUpdate(time.Now(), u)
 		}
 	}
 }
--- a/gateway/caches.go
+++ b/gateway/caches.go
@@ -50,14 +50,14 @@
 	mostAsked = 64
 )
 
-// askCaches asks the servers that are there when the gateway starts what they hold: a
+// queryCaches asks the servers that are there when the gateway starts what they hold: a
 // gateway that has just started would have shared parts read again at other servers.
 // Servers that come later start with empty caches, and what others send is told.
-func (g *Gateway) askCaches(ctx context.Context) {
+func (g *Gateway) queryCaches(ctx context.Context) {
 	if g.options.Caches == nil {
 		return
 	}
-	servers := asked(g.firstEngines(ctx), g.options.Desk.Hall, g.options.Peer.Address)
+	servers := asked(g.firstEngines(ctx), g.options.Dispatcher.Hall, g.options.Peer.Address)
 	places := make(chan struct{}, cachesAtOnce)
 	for _, s := range servers {
 		places <- struct{}{}
@@ -84,7 +84,7 @@
 		return 1
 	}
 	slices.SortFunc(servers, func(x, y catalog.Server) int {
-		return cmp.Or(cmp.Compare(other(x), other(y)), cmp.Compare(hash(gateway+x.ID), hash(gateway+y.ID)))
+		return cmp.Or(cmp.Compare(other(x), other(y)), cmp.Compare(hashString(gateway+x.ID), hashString(gateway+y.ID)))
 	})
 	return servers[:mostAsked]
 }
@@ -93,7 +93,7 @@
 func (g *Gateway) firstEngines(ctx context.Context) []catalog.Server {
 	tick := time.NewTicker(viewPoll)
 	defer tick.Stop()
-	for !g.known() {
+	for !g.hasView() {
 		select {
 		case <-ctx.Done():
 			return nil
@@ -130,12 +130,12 @@
 	}
 	// The question names no server, so only an answer that does speaks for this one.
 	if held.Leaving && held.Server == s.Name() {
-		g.heed(s, upstream.Signal{Status: http.StatusOK, Leaving: true})
+		g.handleSignal(s, upstream.Signal{Status: http.StatusOK, Leaving: true})
 	}
 	parts := make([]uint64, len(held.Parts))
 	for i, p := range held.Parts {
 		parts[i] = partHash(p.Model, p.ID)
 	}
 	g.log.Info().Str("event", "cache.known").Str("server", s.ID).Int("parts", len(parts)).Dur("took", time.Since(asked)).Msg("asked at the start")
-	g.desk.tell(cacheMessage{server: s.ID, parts: parts})
+	g.dispatcher.send(cacheReported{server: s.ID, parts: parts})
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -28,30 +28,30 @@
 	service  string
 	engine   bool    // the service is a model engine
 	tokens   float64 // what it counts in its account's share
-	ask      placement.Ask
+	ask      placement.Request
 	regions  catalog.Regions // where it may be served
 	arrived  time.Time
 	spent    time.Duration // since the caller's first try, before it arrived
 	deadline time.Time
 
-	attempts  int           // sends to servers
-	arrivals  int           // sends that have reached a server
-	mayRun    bool          // a server may have run it
-	left      bool          // the caller has closed its connection
-	headSent  bool          // the caller has got the head of an answer
-	lastEvent string        // ID of the last event passed on
-	first     time.Time     // when the caller was sent the first byte; zero: not yet
-	latest    time.Time     // when it was sent the latest event; zero: none
-	pause     time.Duration // longest between two events
-	status    int           // of the latest server's answer; 0: none, or not all of it
-	events    int           // of that
-	began     time.Time     // when it was sent the first of them
-	result    string        // for logs and metrics
-	reason    string
-	identity  quarantine.Key // see key
-	keyed     bool           // identity is set
-	begun     atomic.Bool    // the caller has got a part of an answer
-	trial     bool           // it is barred and is sent all the same, once
+	attempts        int           // sends to servers
+	arrivals        int           // sends that have reached a server
+	mayRun          bool          // a server may have run it
+	left            bool          // the caller has closed its connection
+	headSent        bool          // the caller has got the head of an answer
+	lastEvent       string        // ID of the last event passed on
+	first           time.Time     // when the caller was sent the first byte; zero: not yet
+	lastEventAt     time.Time     // when it was sent the latest event; zero: none
+	pause           time.Duration // longest between two events
+	status          int           // of the latest server's answer; 0: none, or not all of it
+	events          int           // of that
+	began           time.Time     // when it was sent the first of them
+	result          string        // for logs and metrics
+	reason          string
+	fingerprint     quarantine.Key // see key
+	hasFingerprint  bool           // identity is set
+	responseStarted atomic.Bool    // the caller has got a part of an answer
+	probe           bool           // it is barred and is sent all the same, once
 }
 
 // step is what to do after an attempt.
@@ -75,7 +75,7 @@
 
 // run brings the request to servers until it has an answer or none can be had.
 func (c *call) run(ctx context.Context) {
-	c.gateway.desk.tell(arrivedMessage{service: c.service, account: c.account, tokens: c.tokens})
+	c.gateway.dispatcher.send(requestArrived{service: c.service, account: c.account, tokens: c.tokens})
 	defer c.report()
 	for {
 		switch s := c.attempt(ctx).(type) {
@@ -93,17 +93,17 @@
 
 // attempt places the request once and sends it.
 func (c *call) attempt(ctx context.Context) step {
-	if c.barred(false) {
-		return fail{err: errBarred}
+	if c.quarantined(false) {
+		return fail{err: errQuarantined}
 	}
 	now := time.Now()
 	c.ask.Remaining = c.deadline.Sub(now)
 	c.ask.Objective = 0
 	if c.route.Objective > 0 && !c.mayRun {
 		c.ask.Objective = objectiveLeft(c.route.Objective, c.spent+now.Sub(c.arrived))
-		c.ask.Patience = min(c.route.Patience-now.Sub(c.arrived), c.ask.Remaining)
+		c.ask.CallerTimeout = min(c.route.CallerTimeout-now.Sub(c.arrived), c.ask.Remaining)
 	}
-	decision, ok := c.gateway.desk.decision(ctx, &c.ask, c.arrivals > 0, c.tokens)
+	decision, ok := c.gateway.dispatcher.requestPlacement(ctx, &c.ask, c.arrivals > 0, c.tokens)
 	if !ok {
 		return fail{err: context.Cause(ctx), late: errors.Is(context.Cause(ctx), errDeadline)}
 	}
@@ -136,91 +136,91 @@
 func (c *call) send(ctx context.Context, d placement.Assign) step {
 	// A process short of processor notices late that a caller has left.
 	if c.gateway.overload.short(time.Now()) && callerGone(ctx) {
-		c.gateway.desk.tell(endedMessage{ticket: d.Ticket, server: d.Server.ID, end: placement.Abandoned})
+		c.gateway.dispatcher.send(attemptEnded{ticket: d.ID, server: d.Server.ID, end: placement.Abandoned})
 		c.left = true
 		return fail{err: errCallerLeft}
 	}
-	if c.barred(true) { // others may have told so while it waited
-		c.gateway.desk.tell(endedMessage{ticket: d.Ticket, server: d.Server.ID, end: placement.Abandoned})
-		return fail{err: errBarred}
+	if c.quarantined(true) { // others may have told so while it waited
+		c.gateway.dispatcher.send(attemptEnded{ticket: d.ID, server: d.Server.ID, end: placement.Abandoned})
+		return fail{err: errQuarantined}
 	}
 	sent := time.Now()
-	if err := c.gateway.signals.bars(sent, d.Server.ID); err != nil {
-		c.gateway.desk.tell(endedMessage{ticket: d.Ticket, server: d.Server.ID, end: placement.NotSent})
+	if err := c.gateway.signals.checkAvailable(sent, d.Server.ID); err != nil {
+		c.gateway.dispatcher.send(attemptEnded{ticket: d.ID, server: d.Server.ID, end: placement.NotSent})
 		return again{err}
 	}
 	c.attempts++
 	c.ask.Exclude = append(c.ask.Exclude, d.Server.ID)
 	c.gateway.log.Info().Str("event", "attempt.sent").Str("request", c.told.ID).Int("attempt", c.attempts).
-		Str("server", d.Server.ID).Dur("predicted", d.Predicted).Dur("work", d.Load.Work).Dur("reading", d.Reading).Float64("tokens", c.tokens).
+		Str("server", d.Server.ID).Dur("predicted", d.Predicted).Dur("work", d.Load.Work).Dur("reading", d.PrefillTime).Float64("tokens", c.tokens).
 		Dur("left", c.deadline.Sub(sent)).Str("account", c.account).Bool("over_share", c.ask.OverShare).
-		Int("prompt", c.ask.Prompt).Dur("waiting", d.Waiting).Int("reread", d.Reread).Dur("spent", c.spent).Float64("ahead", c.ask.Ahead).Bool("again", c.spent > 0).Str("copy_from", d.CopyFrom).Msg("placed")
+		Int("prompt", c.ask.PromptTokens).Dur("waiting", d.QueueTime).Int("reread", d.SharedMissTokens).Dur("spent", c.spent).Float64("ahead", c.ask.ShareRatio).Bool("again", c.spent > 0).Str("copy_from", d.CopyFrom).Msg("placed")
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil) // stops the server's work if the answer was not read to its end
-	c.gateway.underWay.add(c, cancel)
-	defer c.gateway.underWay.remove(c)
+	c.gateway.activeCalls.add(c, cancel)
+	defer c.gateway.activeCalls.remove(c)
 	c.status, c.events = 0, 0
 	result := c.gateway.pool.Send(ctx, d.Server, c.forServer(d, sent))
 	end, next := c.judge(ctx, d, sent, result)
-	c.gateway.desk.tell(endedMessage{ticket: d.Ticket, server: d.Server.ID, end: end, route: c.route.Name, status: c.status, pause: c.meanPause()})
+	c.gateway.dispatcher.send(attemptEnded{ticket: d.ID, server: d.Server.ID, end: end, route: c.route.Name, status: c.status, pause: c.meanPause()})
 	return next
 }
 
 // forServer makes the request that goes to a server.
 func (c *call) forServer(d placement.Assign, now time.Time) *upstream.Request {
 	h := c.request.Header.Clone()
-	upstream.RemoveHopHeaders(h)
+	upstream.RemoveHopByHopHeaders(h)
 	h.Del("Expect") // the whole body is here
 	c.gateway.options.Codec.Forward(h, protocol.Forward{
-		Caller: c.request.Header, Server: d.Server.Name(), Account: c.account, Deadline: c.deadline.Sub(now), LastEvent: c.lastEvent,
+		Caller: c.request.Header, Server: d.Server.Name(), Account: c.account, Deadline: c.deadline.Sub(now), LastEventID: c.lastEvent,
 		CopyFrom: d.CopyFrom,
 	})
 	return &upstream.Request{
-		ID: c.told.ID, Method: c.request.Method, Target: target(c.request), Host: c.request.Host,
-		Header: h, Body: c.body, MayRepeat: c.route.MayRepeat(), Before: d.Before,
-		Allowed: func() error { return c.gateway.signals.bars(time.Now(), d.Server.ID) },
+		ID: c.told.ID, Method: c.request.Method, Target: requestTarget(c.request), Host: c.request.Host,
+		Header: h, Body: c.body, Idempotent: c.route.MayRepeat(), SendBefore: d.SendBefore,
+		BeforeSend: func() error { return c.gateway.signals.checkAvailable(time.Now(), d.Server.ID) },
 	}
 }
 
 // judge turns what is known of an attempt into the next step.
-func (c *call) judge(ctx context.Context, d placement.Assign, sent time.Time, r upstream.Result) (placement.End, step) {
+func (c *call) judge(ctx context.Context, d placement.Assign, sent time.Time, r upstream.Result) (placement.Outcome, step) {
 	switch r := r.(type) {
 	case upstream.Unsent:
 		if ctx.Err() != nil {
-			return placement.Abandoned, c.ended(ctx)
+			return placement.Abandoned, c.contextEnded(ctx)
 		}
 		if errors.Is(r.Err, upstream.ErrTooLate) {
 			return placement.Abandoned, again{r.Err}
 		}
-		if errors.Is(r.Err, errServerLeaves) || errors.Is(r.Err, errServerRests) {
+		if errors.Is(r.Err, errServerLeaving) || errors.Is(r.Err, errServerBackoff) {
 			c.notSent()
 			return placement.NotSent, again{r.Err}
 		}
 		if errors.Is(r.Err, syscall.ECONNREFUSED) {
-			c.gateway.crashes.refused(time.Now(), d.Server.ID)
+			c.gateway.crashes.connectionRefused(time.Now(), d.Server.ID)
 		}
 		return placement.Unreachable, again{r.Err}
-	case upstream.NotRun:
+	case upstream.NotExecuted:
 		c.arrivals++
-		return placement.Full, again{errors.Newf("gateway: server %s has not run it: status %d", d.Server.ID, r.Status)}
-	case upstream.Lost:
+		return placement.Rejected, again{errors.Newf("gateway: server %s has not run it: status %d", d.Server.ID, r.Status)}
+	case upstream.Indeterminate:
 		c.arrivals++
 		c.mayRun = true
 		if ctx.Err() != nil {
-			return placement.Abandoned, c.abandon(ctx, d, sent)
+			return placement.Abandoned, c.abandonAttempt(ctx, d, sent)
 		}
-		if r.Broken {
-			c.lost(d, sent, lostByBreak)
+		if r.ConnectionFailed {
+			c.reportLost(d, sent, lossConnectionBroke)
 		}
 		return placement.Failed, c.afterFailure(r.Err)
-	case upstream.Answered:
+	case upstream.Responded:
 		c.arrivals++
 		c.mayRun = true
-		end, next := c.pass(ctx, d, sent, r.Answer)
-		if end == placement.Served || r.Answer.Status >= failedStatus {
-			c.status = r.Answer.Status
+		end, next := c.pass(ctx, d, sent, r.Response)
+		if end == placement.Served || r.Response.Status >= minFailureStatus {
+			c.status = r.Response.Status
 		}
-		r.Answer.Close()
+		r.Response.Close()
 		return end, next
 	default:
 		panic(errors.AssertionFailedf("gateway: result %T", r))
@@ -233,8 +233,8 @@
 	c.ask.Exclude = c.ask.Exclude[:len(c.ask.Exclude)-1]
 }
 
-// ended is the step after the request's context has ended.
-func (c *call) ended(ctx context.Context) step {
+// contextEnded is the step after the request's context has contextEnded.
+func (c *call) contextEnded(ctx context.Context) step {
 	cause := context.Cause(ctx)
 	return fail{err: cause, late: errors.Is(cause, errDeadline)}
 }
@@ -257,8 +257,8 @@
 	}
 	c.write(denial{http.StatusServiceUnavailable, string(d.Reason), d.RetryAfter})
 	c.gateway.log.Info().Str("event", "request.refused").Str("request", c.told.ID).Str("account", c.account).
-		Str("reason", string(d.Reason)).Dur("objective", c.route.Objective).Int("prompt", c.ask.Prompt).Dur("spent", c.spent).Dur("predicted", d.Predicted).Dur("retry_after", d.RetryAfter).
-		Bool("over_share", c.ask.OverShare).Bool("stop", c.ask.Stop).Float64("ahead", c.ask.Ahead).Bool("again", c.spent > 0).Msg("not run")
+		Str("reason", string(d.Reason)).Dur("objective", c.route.Objective).Int("prompt", c.ask.PromptTokens).Dur("spent", c.spent).Dur("predicted", d.Predicted).Dur("retry_after", d.RetryAfter).
+		Bool("over_share", c.ask.OverShare).Bool("stop", c.ask.Capped).Float64("ahead", c.ask.ShareRatio).Bool("again", c.spent > 0).Msg("not run")
 }
 
 // fail gives the final answer to a request that no server has answered.
@@ -271,7 +271,7 @@
 		c.result = "cut"
 		c.gateway.log.Warn().Str("event", "request.cut").Str("request", c.told.ID).Err(f.err).Str("last_event", c.lastEvent).Msg("answer is incomplete")
 		panic(http.ErrAbortHandler) // the connection breaks, so that the answer looks cut
-	case errors.Is(f.err, errBarred):
+	case errors.Is(f.err, errQuarantined):
 		c.result = "barred"
 		c.write(denial{status: http.StatusBadGateway, reason: c.reason})
 	case !c.mayRun:
@@ -294,24 +294,24 @@
 // report writes the request's last log line and counts it.
 func (c *call) report() {
 	now := time.Now()
-	o := Outcome{Service: c.service, Account: c.account, Kind: kindName(c.route), Result: c.result, Whole: now.Sub(c.arrived), Attempts: c.attempts}
+	o := Outcome{Service: c.service, Account: c.account, Kind: kindName(c.route), Result: c.result, Total: now.Sub(c.arrived), Attempts: c.attempts}
 	if !c.first.IsZero() {
-		o.First = c.first.Sub(c.arrived)
+		o.FirstByte = c.first.Sub(c.arrived)
 	}
-	if o.Result == "served" && c.late(o.First) {
+	if o.Result == "served" && c.late(o.FirstByte) {
 		o.Result = "late"
 	}
-	c.gateway.options.Metrics.Ended(o)
+	c.gateway.options.Metrics.RequestEnded(o)
 	c.gateway.log.Info().Str("event", "request.ended").Str("request", c.told.ID).Str("route", c.route.Name).
 		Str("kind", kindName(c.route)).Dur("spent", c.spent).Str("account", c.account).Str("result", o.Result).Str("reason", c.reason).Int("attempts", c.attempts).
-		Dur("first", o.First).Dur("pause", c.pause).Dur("whole", o.Whole).EmbedObject(atRevision(c.gateway.view.Load().Revision)).Msg("request")
+		Dur("first", o.FirstByte).Dur("pause", c.pause).Dur("whole", o.Total).EmbedObject(revisionFields(c.gateway.view.Load().Revision)).Msg("request")
 }
 
 // late tells whether an answer came later than its route's operator wants: the first event
 // after the caller's first try, or an event after the one before.
 func (c *call) late(first time.Duration) bool {
 	r := c.route
-	return r.Objective > 0 && c.spent+first > r.Objective || r.PauseLimit > 0 && c.pause > r.PauseLimit
+	return r.Objective > 0 && c.spent+first > r.Objective || r.MaxEventGap > 0 && c.pause > r.MaxEventGap
 }
 
 func kindName(r *catalog.Route) string {
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -32,8 +32,8 @@
 // that nobody acknowledges for four seconds, or three lost probes. Callers give a stream
 // up after two seconds or more without an event, so nobody is cut who still listens; four
 // losses in a row take three seconds.
-var callerSilence = upstream.Silence{
-	Unacknowledged: 4 * time.Second, ProbeIdle: 2 * time.Second, ProbeInterval: time.Second, Probes: 3,
+var callerSilence = upstream.KeepAlive{
+	UserTimeout: 4 * time.Second, Idle: 2 * time.Second, Interval: time.Second, Count: 3,
 }
 
 // ListenCallers listens for callers. The options are set once, on the listening socket,
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -25,7 +25,7 @@
 	require.NoError(t, raw.Control(func(fd uintptr) {
 		got, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 		require.NoError(t, err)
-		require.EqualValues(t, callerSilence.Unacknowledged.Milliseconds(), got)
+		require.EqualValues(t, callerSilence.UserTimeout.Milliseconds(), got)
 		probed, err := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_KEEPALIVE)
 		require.NoError(t, err)
 		require.Equal(t, 1, probed)
--- a/gateway/catalog/catalog.go
+++ b/gateway/catalog/catalog.go
@@ -32,20 +32,20 @@
 
 // Route says where requests of a host and a path prefix go.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string // begins and ends with a slash
-	Kind        Kind
-	Targets     []Target
-	Timeout     time.Duration // longest time a request may be held; 0: no limit
-	Objective   time.Duration // an answer (a stream: its first event) within this time is in time
-	Patience    time.Duration // a caller waits this long for a first event before it gives up
-	PauseLimit  time.Duration // longest pause between events that is still in time; 0: none is told
-	Priority    int           // 0 is the most urgent
-	MaxAttempts int           // most servers that one request may go to
-	Public      bool          // needs no key
-	Resumable   bool          // a stream that may go on at another server after an event
-	Regions     Regions       // where its requests may go
+	Name          string
+	Host          string
+	Prefix        string // begins and ends with a slash
+	Kind          Kind
+	Targets       []Target
+	Timeout       time.Duration // longest time a request may be held; 0: no limit
+	Objective     time.Duration // an answer (a stream: its first event) within this time is in time
+	CallerTimeout time.Duration // a caller waits this long for a first event before it gives up
+	MaxEventGap   time.Duration // longest pause between events that is still in time; 0: none is told
+	Priority      int           // 0 is the most urgent
+	MaxAttempts   int           // most servers that one request may go to
+	Public        bool          // needs no key
+	Resumable     bool          // a stream that may go on at another server after an event
+	Regions       Regions       // where its requests may go
 }
 
 // Target is a service that takes a share of a route's requests.
@@ -88,16 +88,16 @@
 
 // Engine describes the model servers of a service.
 type Engine struct {
-	Slots     int // requests that run at once
-	KVTokens  int // memory for the tokens of running requests and cached prompts
-	MostEvent int // tokens in one event of a stream, for estimates; 0: unknown
+	Slots          int // requests that run at once
+	KVTokens       int // memory for the tokens of running requests and cached prompts
+	MaxEventTokens int // tokens in one event of a stream, for estimates; 0: unknown
 	// How servers take cached parts of prompts from one another; 0: they don't.
-	TokenBytes int     // memory of one token
-	LinkMbps   float64 // of a server, for copies
+	BytesPerToken int     // memory of one token
+	LinkMbps      float64 // of a server, for copies
 }
 
 // Copies tells whether servers take cached parts of prompts from one another.
-func (e *Engine) Copies() bool { return e != nil && e.TokenBytes > 0 && e.LinkMbps > 0 }
+func (e *Engine) Copies() bool { return e != nil && e.BytesPerToken > 0 && e.LinkMbps > 0 }
 
 // Account is a client account.
 type Account struct {
--- a/gateway/catalog/revision.go
+++ b/gateway/catalog/revision.go
@@ -12,8 +12,8 @@
 // Bits of the number. A store that changes 400 times a second reaches them in 87 years.
 const numberBits = 40
 
-// MostEras is the highest era that a Revision holds.
-const MostEras = 1<<(64-numberBits) - 1
+// MaxEra is the highest era that a Revision holds.
+const MaxEra = 1<<(64-numberBits) - 1
 
 // NewRevision returns the revision of that number in an era.
 func NewRevision(era, number uint64) Revision {
--- a/gateway/catalog/revision_test.go
+++ b/gateway/catalog/revision_test.go
@@ -18,7 +18,7 @@
 		{"two returns", NewRevision(1, 50), NewRevision(3, 2)},
 		{"a store that tells no era", NewRevision(0, 7), NewRevision(1, 3)},
 		{"nothing is known", 0, NewRevision(0, 1)},
-		{"the last era", NewRevision(MostEras-1, 9), NewRevision(MostEras, 0)},
+		{"the last era", NewRevision(MaxEra-1, 9), NewRevision(MaxEra, 0)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/gateway/changelog_test.go
+++ b/gateway/changelog_test.go
@@ -18,35 +18,35 @@
 // TestPartsTellAll: a gateway that is handed only what has changed knows what the one knows
 // that follows the store.
 func TestPartsTellAll(t *testing.T) {
-	isOfStore := func(a worldAction) bool {
+	isOfStore := func(a simAction) bool {
 		return strings.HasPrefix(a.name, "server") || strings.HasPrefix(a.name, "hall")
 	}
-	node := worldNode(t)
-	var actions []worldAction
-	for _, a := range worldActions() {
+	node := newPeerNode(t)
+	var actions []simAction
+	for _, a := range simActions() {
 		if isOfStore(a) {
 			actions = append(actions, a)
 		}
 	}
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		w := newWorld(t, node)
+		w := newSimWorld(t, node)
 		for range 40 {
 			actions[r.IntN(len(actions))].do(w)
 			if r.IntN(3) == 0 {
-				id := r.IntN(worldServers)
+				id := r.IntN(simServers)
 				w.present[id] = false
-				w.write(ServerGone{Name: w.servers[id].ID})
+				w.write(ServerRemoved{Name: w.servers[id].ID})
 			}
 			if r.IntN(2) == 0 {
-				w.hear(0)
-				w.hand(0, 1)
+				w.watchStore(0)
+				w.handOver(0, 1)
 				require.True(t, w.gateways[1].view.Load().Revision >= w.gateways[0].view.Load().Revision)
 			}
-			w.now = w.now.Add(worldStep)
+			w.now = w.now.Add(simStep)
 		}
-		w.hear(0)
-		w.hand(0, 1)
+		w.watchStore(0)
+		w.handOver(0, 1)
 		of, to := w.gateways[0].view.Load(), w.gateways[1].view.Load()
 		require.Equal(t, of.Servers, to.Servers, "seed %d", seed)
 		for hall := range of.Evacuated {
@@ -65,20 +65,20 @@
 // TestHandoversGrowWithChanges: what a gateway is told of one change among many servers.
 func TestHandoversGrowWithChanges(t *testing.T) {
 	const servers = 3000
-	w := newWorld(t, worldNode(t))
-	w.hear(0)
+	w := newSimWorld(t, newPeerNode(t))
+	w.watchStore(0)
 	list := make([]Change, servers)
 	for i := range list {
 		list[i] = ServerChanged{Server: catalog.Server{ID: fmt.Sprintf("i-%04d", i), Service: "s", Hall: "h0", Address: "10.0.0.1:80"}}
 	}
 	g := w.gateways[0]
 	known := g.view.Load().Revision
-	g.follower.takeChanges(w.now, list, known+servers)
+	g.storeWatcher.takeChanges(w.now, list, known+servers)
 	asking := url.Values{sinceKey: {fmt.Sprint(uint64(known + servers))}, versionKey: {"1"}}
-	g.follower.takeChanges(w.now, list[:1], known+servers+1)
-	whole, err := g.packedView(w.now, url.Values{})
+	g.storeWatcher.takeChanges(w.now, list[:1], known+servers+1)
+	whole, err := g.encodedView(w.now, url.Values{})
 	require.NoError(t, err)
-	part, err := g.packedView(w.now, asking)
+	part, err := g.encodedView(w.now, asking)
 	require.NoError(t, err)
 	fmt.Printf("figure handover-one-change-of-3000 %d bytes (whole view %d)\n", len(part), len(whole))
 	require.Less(t, len(part), 1000)
--- a/gateway/got_test.go
+++ b/gateway/charge_test.go
@@ -12,8 +12,8 @@
 )
 
 // counts tells whether an account counts as having got something.
-func counts(d *desk, now time.Time) bool {
-	return slices.ContainsFunc(d.book.Own(now), func(o share.Demand) bool { return o.Admitted > 0 })
+func counts(d *dispatcher, now time.Time) bool {
+	return slices.ContainsFunc(d.shares.LocalDemands(now), func(o share.Demand) bool { return o.Admitted > 0 })
 }
 
 // TestLostDoesNotCount: an account whose requests were lost with their servers before they
@@ -24,29 +24,29 @@
 	tests := []struct {
 		name   string
 		begins bool
-		end    placement.End
+		end    placement.Outcome
 		counts bool
 	}{
 		{"served", true, placement.Served, true},
 		{"lost before it began", false, placement.Failed, false},
 		{"lost later", true, placement.Failed, true},
 		{"never reached", false, placement.Unreachable, false},
-		{"full", false, placement.Full, false},
+		{"full", false, placement.Rejected, false},
 		{"its caller left", false, placement.Abandoned, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Now()
-			d := modelDesk(t, now, 2)
-			reply, _ := d.request(now, "a", func(a *placement.Ask) { a.Prompt = 1000 })
+			d := newTestDispatcher(t, now, 2)
+			reply, _ := d.placeRequest(now, "a", func(a *placement.Request) { a.PromptTokens = 1000 })
 			assign, ok := (<-reply).(placement.Assign)
 			require.True(t, ok)
 			require.True(t, counts(d, now))
 			now = now.Add(300 * time.Millisecond)
 			if test.begins {
-				d.start(now, startedMessage{ticket: assign.Ticket, server: assign.Server.ID})
+				d.recordFirstEvent(now, firstEventReceived{ticket: assign.ID, server: assign.Server.ID})
 			}
-			d.end(now, endedMessage{ticket: assign.Ticket, server: assign.Server.ID, end: test.end})
+			d.recordEnd(now, attemptEnded{ticket: assign.ID, server: assign.Server.ID, end: test.end})
 			require.Equal(t, test.counts, counts(d, now))
 		})
 	}
--- a/gateway/cold_world_test.go
+++ b/gateway/cold_world_test.go
@@ -24,8 +24,8 @@
 
 const (
 	worldGateways = 3
-	worldServers  = 2
-	worldStep     = 250 * time.Millisecond
+	simServers    = 2
+	simStep       = 250 * time.Millisecond
 	worldColdFor  = 3 * time.Second
 	// Each server that has started writes its entry once in so many steps.
 	worldBeat = 5
@@ -50,22 +50,22 @@
 	knew            map[int]bool // cold spans that its gateway had heard of
 }
 
-// world is the store, the servers and the gateways.
-type world struct {
+// simWorld is the store, the servers and the gateways.
+type simWorld struct {
 	t         *testing.T
 	node      *peer.Node
 	now       time.Time
 	revision  catalog.Revision
 	history   []Change // by revision, from 1
-	servers   [worldServers]catalog.Server
-	listed    [worldServers]catalog.Server // lifetimes in the entries
-	tells     [worldServers][]int          // cold spans that the entries tell
-	written   [worldServers]time.Duration  // coldness in the entries
-	present   [worldServers]bool           // there is an entry
+	servers   [simServers]catalog.Server
+	listed    [simServers]catalog.Server // lifetimes in the entries
+	tells     [simServers][]int          // cold spans that the entries tell
+	written   [simServers]time.Duration  // coldness in the entries
+	present   [simServers]bool           // there is an entry
 	evacuated map[string]catalog.Revision
 	claims    map[warmup.Claim]string
 	spans     []coldSpan
-	born      [worldServers]int64
+	born      [simServers]int64
 	gateways  [worldGateways]*worldGateway
 	sends     []worldSend
 	starts    int
@@ -80,15 +80,15 @@
 type worldCopy struct {
 	revision  catalog.Revision
 	history   []Change
-	listed    [worldServers]catalog.Server
-	tells     [worldServers][]int
-	written   [worldServers]time.Duration
-	present   [worldServers]bool
+	listed    [simServers]catalog.Server
+	tells     [simServers][]int
+	written   [simServers]time.Duration
+	present   [simServers]bool
 	evacuated map[string]catalog.Revision
 	claims    map[warmup.Claim]string
 }
 
-func (w *world) copy() worldCopy {
+func (w *simWorld) copy() worldCopy {
 	return worldCopy{
 		revision: w.revision, history: slices.Clone(w.history), listed: w.listed, tells: w.tells, written: w.written, present: w.present,
 		evacuated: maps.Clone(w.evacuated), claims: maps.Clone(w.claims),
@@ -100,7 +100,7 @@
 
 // comeBack lets the store come back from a copy some steps old. Until operators and servers have
 // written again, the copy tells nothing of the servers that live that is not in it.
-func (w *world) comeBackFrom(steps int) {
+func (w *simWorld) comeBackFrom(steps int) {
 	if w.again == 0 {
 		w.truth = w.copy()
 	}
@@ -120,7 +120,7 @@
 }
 
 // writeAgain lets operators and servers write what the copy lacked.
-func (w *world) writeAgain() {
+func (w *simWorld) writeAgain() {
 	w.again = 0
 	for i := range w.servers {
 		if w.truth.present[i] {
@@ -135,7 +135,7 @@
 			w.evacuated[s.Hall] = w.write(HallEvacuated{Hall: s.Hall, Revision: w.revision + 1})
 		case is && !was:
 			delete(w.evacuated, s.Hall)
-			w.write(HallReturned{Hall: s.Hall})
+			w.write(HallEvacuationEnded{Hall: s.Hall})
 		}
 	}
 }
@@ -147,14 +147,14 @@
 	knows map[int]bool // cold spans
 }
 
-func newWorld(t *testing.T, node *peer.Node) *world {
-	w := &world{t: t, node: node, now: time.Now(), evacuated: map[string]catalog.Revision{}, claims: map[warmup.Claim]string{}}
+func newSimWorld(t *testing.T, node *peer.Node) *simWorld {
+	w := &simWorld{t: t, node: node, now: time.Now(), evacuated: map[string]catalog.Revision{}, claims: map[warmup.Claim]string{}}
 	c, err := catalog.NewConfiguration(catalog.Document{Version: 1, Services: []catalog.Service{{Name: "s", ColdFor: worldColdFor, ColdPerSecond: worldLimits.PerSecond}}})
 	require.NoError(t, err)
 	w.write(ConfigurationChanged{Configuration: c})
 	for i := range w.gateways {
 		w.gateways[i] = w.newGateway()
-		w.hear(i)
+		w.watchStore(i)
 	}
 	for i := range w.servers {
 		w.servers[i] = catalog.Server{ID: fmt.Sprintf("i-%d", i), Service: "s", Hall: fmt.Sprintf("h%d", i), Capacity: 1000}
@@ -163,35 +163,35 @@
 	return w
 }
 
-func (w *world) newGateway() *worldGateway {
+func (w *simWorld) newGateway() *worldGateway {
 	w.starts++
-	g := &Gateway{log: zerolog.Nop(), peers: w.node, claims: make(chan warmup.Claim, claimQueue), started: w.now}
+	g := &Gateway{log: zerolog.Nop(), peers: w.node, claims: make(chan warmup.Claim, claimQueueSize), started: w.now}
 	g.view.Store(&View{})
-	g.desk = newDesk(zerolog.Nop(), DeskSettings{Shares: time.Second, Policy: placement.DefaultPolicy(), Cold: worldLimits, Address: fmt.Sprint(w.starts)}, w.now)
-	g.desk.peers, g.desk.claims = w.node, g.claims
-	g.suspects = newSuspects(zerolog.Nop(), g.desk.settings.Address, func() int { return worldGateways })
+	g.dispatcher = newDispatcher(zerolog.Nop(), DispatcherOptions{ShareWindow: time.Second, Policy: placement.DefaultPolicy(), ColdLimits: worldLimits, Address: fmt.Sprint(w.starts)}, w.now)
+	g.dispatcher.peers, g.dispatcher.claims = w.node, g.claims
+	g.suspects = newSuspectTracker(zerolog.Nop(), g.dispatcher.settings.Address, func() int { return worldGateways })
 	g.suspects.peers = w.node
-	g.signals = newSignals()
-	g.crashes = newCrashes(zerolog.Nop(), g.suspects.ended)
-	g.follower = newFollower(g)
+	g.signals = newServerSignals()
+	g.crashes = newCrashDetector(zerolog.Nop(), g.suspects.serverCrashed)
+	g.storeWatcher = newStoreWatcher(g)
 	return &worldGateway{Gateway: g, name: fmt.Sprint(w.starts), knows: map[int]bool{}}
 }
 
-func (w *world) write(c Change) catalog.Revision {
+func (w *simWorld) write(c Change) catalog.Revision {
 	w.revision++
 	w.history = append(w.history, c)
 	return w.revision
 }
 
 // cool makes a server cold.
-func (w *world) cool(i int) {
+func (w *simWorld) cool(i int) {
 	w.spans = append(w.spans, coldSpan{server: i, from: w.now, until: w.now.Add(worldColdFor), told: w.evacuated[w.servers[i].Hall]})
 }
 
 // startAgain lets a server start again under its name, while its entry of before is there or
 // not. Its start may have a lower figure than the one before. What the lifetime before got
 // counts beside what the later one gets.
-func (w *world) startAgain(i int) {
+func (w *simWorld) startAgain(i int) {
 	w.born[i] = 1 + (w.born[i]+7)%10
 	w.servers[i].ID, w.servers[i].Born = catalog.LifetimeID(w.servers[i].Name(), w.born[i]), w.born[i]
 	w.cool(i)
@@ -199,7 +199,7 @@
 }
 
 // beat lets a server write how long it is still cold.
-func (w *world) beat(i int) {
+func (w *simWorld) beat(i int) {
 	left := time.Duration(0)
 	var tells []int
 	for n := range w.spans {
@@ -222,7 +222,7 @@
 }
 
 // evacuate evacuates a server's hall; a cold server's gateways hear of it so, too.
-func (w *world) evacuate(i int) {
+func (w *simWorld) evacuate(i int) {
 	hall := w.servers[i].Hall
 	w.evacuated[hall] = w.write(HallEvacuated{Hall: hall, Revision: w.revision + 1})
 	if w.again > 0 {
@@ -231,7 +231,7 @@
 }
 
 // comeBack takes an evacuation back; the server has become cold a moment before.
-func (w *world) comeBack(i int) {
+func (w *simWorld) comeBack(i int) {
 	hall := w.servers[i].Hall
 	if w.again > 0 {
 		delete(w.truth.evacuated, hall)
@@ -241,12 +241,12 @@
 	}
 	w.cool(i)
 	delete(w.evacuated, hall)
-	w.write(HallReturned{Hall: hall})
+	w.write(HallEvacuationEnded{Hall: hall})
 }
 
 // learn notes which cold spans a gateway has heard of by the changes after a revision: it
 // was told in them, or knew that the server's hall was evacuated.
-func (w *world) learn(g *worldGateway, since catalog.Revision, halls map[string]evacuation) {
+func (w *simWorld) learn(g *worldGateway, since catalog.Revision, halls map[string]evacuation) {
 	for n, s := range w.spans {
 		heard := s.told > since && s.told <= g.view.Load().Revision
 		if heard || s.told != 0 && s.told == halls[w.servers[s.server].Hall].Revision {
@@ -255,20 +255,20 @@
 	}
 }
 
-// drain lets the desk take what the follower has told it.
-func (g *worldGateway) drain(now time.Time) {
+// handleMessages lets the desk take what the follower has told it.
+func (g *worldGateway) handleMessages(now time.Time) {
 	for {
 		select {
-		case m := <-g.desk.asks:
-			g.desk.handle(now, m)
+		case m := <-g.dispatcher.messages:
+			g.dispatcher.handle(now, m)
 		default:
 			return
 		}
 	}
 }
 
-// hear lets a gateway hear all that has changed in the store.
-func (w *world) hear(i int) {
+// watchStore lets a gateway watchStore all that has changed in the store.
+func (w *simWorld) watchStore(i int) {
 	g := w.gateways[i]
 	before := g.view.Load()
 	since := before.Revision
@@ -276,16 +276,16 @@
 		w.list(i) // the history that it goes on from is gone
 		return
 	}
-	g.follower.take(w.now, answer{since: since, revision: w.revision, changes: w.history[since.Number():]})
-	g.drain(w.now)
+	g.storeWatcher.applyResult(w.now, sourceResult{since: since, revision: w.revision, changes: w.history[since.Number():]})
+	g.handleMessages(w.now)
 	w.learn(g, since, before.Evacuated)
 }
 
 // list lets a gateway list the store. A list tells of what is, so a gateway learns of a
 // cold span only if its server says so now, or its hall is evacuated.
-func (w *world) list(i int) {
+func (w *simWorld) list(i int) {
 	g := w.gateways[i]
-	s := Snapshot{Configuration: w.history[0].(ConfigurationChanged).Configuration, Revision: w.revision, Evacuated: map[string]catalog.Revision{}, Cold: map[string]time.Duration{}}
+	s := Snapshot{Configuration: w.history[0].(ConfigurationChanged).Configuration, Revision: w.revision, Evacuated: map[string]catalog.Revision{}, ColdFor: map[string]time.Duration{}}
 	for hall, revision := range w.evacuated {
 		s.Evacuated[hall] = revision
 	}
@@ -295,11 +295,11 @@
 		}
 		s.Servers = append(s.Servers, server)
 		if w.written[n] > 0 {
-			s.Cold[server.ID] = w.written[n]
+			s.ColdFor[server.ID] = w.written[n]
 		}
 	}
-	g.follower.take(w.now, answer{listed: true, snapshot: s})
-	g.drain(w.now)
+	g.storeWatcher.applyResult(w.now, sourceResult{listed: true, snapshot: s})
+	g.handleMessages(w.now)
 	for n, span := range w.spans {
 		if span.written || w.evacuated[w.servers[span.server].Hall] > 0 {
 			g.knows[n] = true
@@ -307,22 +307,22 @@
 	}
 }
 
-// hand gives one gateway the view of another, as it goes over the wire.
-func (w *world) hand(from, to int) {
+// handOver gives one gateway the view of another, as it goes over the wire.
+func (w *simWorld) handOver(from, to int) {
 	f, g := w.gateways[from], w.gateways[to]
-	raw, err := f.packedView(w.now, g.knownOfView())
+	raw, err := f.encodedView(w.now, g.viewQuery())
 	require.NoError(w.t, err)
 	var d viewDocument
 	require.NoError(w.t, json.Unmarshal(raw, &d))
 	if d.Revision <= g.view.Load().Revision {
 		return
 	}
-	h := d.handover(w.now)
+	h := d.peerView(w.now)
 	h.from = f.name
 	h.snapshot.Configuration = f.view.Load().Configuration
 	w.parts += len(d.Servers)
-	g.follower.takeHandover(w.now, h)
-	g.drain(w.now)
+	g.storeWatcher.applyPeerView(w.now, h)
+	g.handleMessages(w.now)
 	for n := range w.spans {
 		if f.knows[n] {
 			g.knows[n] = true
@@ -331,11 +331,11 @@
 }
 
 // serve lets each gateway claim what it would, and send all that it may.
-func (w *world) serve() {
+func (w *simWorld) serve() {
 	for i, g := range w.gateways {
-		g.desk.handle(w.now, arrivedMessage{service: "s"})
+		g.dispatcher.handle(w.now, requestArrived{service: "s"})
 		for range 2 { // the second time for those whose first claim was lost
-			g.desk.claim(w.now)
+			g.dispatcher.claim(w.now)
 			w.settle(g)
 		}
 		for s := range w.servers {
@@ -345,7 +345,7 @@
 }
 
 // settle writes the claims of a gateway. The answers of some are lost.
-func (w *world) settle(g *worldGateway) {
+func (w *simWorld) settle(g *worldGateway) {
 	for {
 		select {
 		case c := <-g.claims:
@@ -359,7 +359,7 @@
 			if holder == g.name && c.Episode.Era() == w.revision.Era() {
 				outcome = warmup.Won
 			}
-			g.desk.handle(w.now, claimMessage{claim: c, outcome: outcome})
+			g.dispatcher.handle(w.now, claimMessage{claim: c, outcome: outcome})
 		default:
 			return
 		}
@@ -367,16 +367,16 @@
 }
 
 // send lets a gateway send as many requests to a server as it would.
-func (w *world) send(gateway, server int) {
+func (w *simWorld) send(gateway, server int) {
 	g := w.gateways[gateway]
-	a := placement.Ask{Service: "s"}
+	a := placement.Request{Service: "s"}
 	for _, s := range g.view.Load().Servers {
 		if s.Name() != w.servers[server].Name() {
 			a.Exclude = append(a.Exclude, s.ID)
 		}
 	}
 	for range worldRequests {
-		if _, ok := g.desk.decide(w.now, placeMessage{ask: &a}).(placement.Assign); !ok {
+		if _, ok := g.dispatcher.decide(w.now, placementRequest{request: &a}).(placement.Assign); !ok {
 			return
 		}
 		knew := map[int]bool{}
@@ -388,7 +388,7 @@
 }
 
 // check counts what cold servers got in any second from gateways that had heard of it.
-func (w *world) check(trace []string) {
+func (w *simWorld) check(trace []string) {
 	for n, span := range w.spans {
 		for _, first := range w.sends {
 			if first.server != span.server || first.at.Before(span.from) {
@@ -405,43 +405,43 @@
 	}
 }
 
-// worldAction is something that may happen.
-type worldAction struct {
+// simAction is something that may happen.
+type simAction struct {
 	name string
-	do   func(w *world)
+	do   func(w *simWorld)
 }
 
-func worldActions() []worldAction {
-	list := []worldAction{{"nothing", func(*world) {}}}
+func simActions() []simAction {
+	list := []simAction{{"nothing", func(*simWorld) {}}}
 	for i := range worldGateways {
 		list = append(list,
-			worldAction{fmt.Sprintf("gateway %d hears", i), func(w *world) { w.hear(i) }},
-			worldAction{fmt.Sprintf("gateway %d is handed the next one's view", i), func(w *world) { w.hand((i+1)%worldGateways, i) }},
-			worldAction{fmt.Sprintf("gateway %d starts again", i), func(w *world) { w.gateways[i] = w.newGateway(); w.list(i) }},
-			worldAction{fmt.Sprintf("gateway %d lists", i), func(w *world) { w.list(i) }},
+			simAction{fmt.Sprintf("gateway %d hears", i), func(w *simWorld) { w.watchStore(i) }},
+			simAction{fmt.Sprintf("gateway %d is handed the next one's view", i), func(w *simWorld) { w.handOver((i+1)%worldGateways, i) }},
+			simAction{fmt.Sprintf("gateway %d starts again", i), func(w *simWorld) { w.gateways[i] = w.newGateway(); w.list(i) }},
+			simAction{fmt.Sprintf("gateway %d lists", i), func(w *simWorld) { w.list(i) }},
 		)
 	}
-	for i := range worldServers {
+	for i := range simServers {
 		list = append(list,
-			worldAction{fmt.Sprintf("server %d becomes cold", i), func(w *world) { w.cool(i); w.beat(i) }},
-			worldAction{fmt.Sprintf("server %d starts again", i), func(w *world) { w.startAgain(i) }},
-			worldAction{fmt.Sprintf("hall %d is evacuated", i), func(w *world) { w.evacuate(i) }},
-			worldAction{fmt.Sprintf("hall %d comes back", i), func(w *world) { w.comeBack(i) }},
+			simAction{fmt.Sprintf("server %d becomes cold", i), func(w *simWorld) { w.cool(i); w.beat(i) }},
+			simAction{fmt.Sprintf("server %d starts again", i), func(w *simWorld) { w.startAgain(i) }},
+			simAction{fmt.Sprintf("hall %d is evacuated", i), func(w *simWorld) { w.evacuate(i) }},
+			simAction{fmt.Sprintf("hall %d comes back", i), func(w *simWorld) { w.comeBack(i) }},
 		)
 	}
 	return list
 }
 
 // returnActions are those of a store that comes back from a copy.
-func returnActions() []worldAction {
-	var list []worldAction
+func returnActions() []simAction {
+	var list []simAction
 	for _, steps := range []int{1, 4} {
-		list = append(list, worldAction{fmt.Sprintf("the store comes back from a copy %d steps old", steps), func(w *world) { w.comeBackFrom(steps) }})
+		list = append(list, simAction{fmt.Sprintf("the store comes back from a copy %d steps old", steps), func(w *simWorld) { w.comeBackFrom(steps) }})
 	}
 	return list
 }
 
-func (w *world) play(actions []worldAction) {
+func (w *simWorld) play(actions []simAction) {
 	var trace []string
 	w.copies = append(w.copies, w.copy())
 	for n, a := range actions {
@@ -451,21 +451,21 @@
 			w.writeAgain()
 		}
 		for _, g := range w.gateways {
-			g.follower.dropMissing(w.now)
-			g.drain(w.now)
+			g.storeWatcher.expireMissing(w.now)
+			g.handleMessages(w.now)
 		}
-		if server := n % worldBeat; server < worldServers && w.present[server] {
+		if server := n % worldBeat; server < simServers && w.present[server] {
 			w.beat(server)
 		}
 		w.copies = append(w.copies, w.copy())
 		trace = append(trace, a.name)
 		w.serve()
-		w.now = w.now.Add(worldStep)
+		w.now = w.now.Add(simStep)
 	}
 	w.check(trace)
 }
 
-func worldNode(t *testing.T) *peer.Node {
+func newPeerNode(t *testing.T) *peer.Node {
 	t.Helper()
 	n, err := peer.Listen(peer.Options{Address: "127.0.0.1:0", State: func() peer.State { return peer.State{} }})
 	require.NoError(t, err)
@@ -474,11 +474,11 @@
 
 // TestAllShortWorlds plays all worlds of three steps.
 func TestAllShortWorlds(t *testing.T) {
-	node, actions := worldNode(t), slices.Concat(worldActions(), returnActions())
+	node, actions := newPeerNode(t), slices.Concat(simActions(), returnActions())
 	for _, a := range actions {
 		for _, b := range actions {
 			for _, c := range actions {
-				newWorld(t, node).play([]worldAction{a, b, c})
+				newSimWorld(t, node).play([]simAction{a, b, c})
 			}
 		}
 	}
@@ -487,15 +487,15 @@
 // TestLongWorldsWithReturns plays worlds of some seconds in which the store comes back from copies.
 func TestLongWorldsWithReturns(t *testing.T) {
 	const worlds, steps = 2000, 30
-	node, actions := worldNode(t), slices.Concat(worldActions(), returnActions(), returnActions())
+	node, actions := newPeerNode(t), slices.Concat(simActions(), returnActions(), returnActions())
 	used := 0
 	for seed := range uint64(worlds) {
 		r := rand.New(rand.NewPCG(seed, 7))
-		list := make([]worldAction, steps)
+		list := make([]simAction, steps)
 		for n := range list {
 			list[n] = actions[r.IntN(len(actions))]
 		}
-		w := newWorld(t, node)
+		w := newSimWorld(t, node)
 		w.play(list)
 		for _, s := range w.sends {
 			if len(s.knew) > 0 {
@@ -509,15 +509,15 @@
 // TestLongWorlds plays worlds of some seconds, drawn by fixed seeds.
 func TestLongWorlds(t *testing.T) {
 	const worlds, steps = 1000, 30
-	node, actions := worldNode(t), worldActions()
+	node, actions := newPeerNode(t), simActions()
 	cold, used := 0, 0
 	for seed := range uint64(worlds) {
 		r := rand.New(rand.NewPCG(seed, 0))
-		list := make([]worldAction, steps)
+		list := make([]simAction, steps)
 		for n := range list {
 			list[n] = actions[r.IntN(len(actions))]
 		}
-		w := newWorld(t, node)
+		w := newSimWorld(t, node)
 		w.play(list)
 		cold += len(w.spans)
 		for _, s := range w.sends {
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -28,7 +28,7 @@
 	// Servers that wait to be asked; of more, their entries tell.
 	probeQueue = 64
 	// Servers that are asked at once.
-	probers = 4
+	probeWorkers = 4
 	// What broke is remembered for this long: the entry of a server that has ended goes after
 	// three to four seconds, and later by two if the store was away.
 	brokenFor = 10 * time.Second
@@ -39,9 +39,9 @@
 	mostThere = 256
 )
 
-// crashes is what this gateway has seen of servers that may have ended. It is safe for use by
+// crashDetector is what this gateway has seen of servers that may have ended. It is safe for use by
 // several goroutines.
-type crashes struct {
+type crashDetector struct {
 	log     zerolog.Logger
 	verdict func(now time.Time, server string, there []suspect)
 	probes  chan catalog.Server
@@ -70,21 +70,21 @@
 type lossKind int
 
 const (
-	lostByBreak   lossKind = iota // its connection broke
-	lostBySilence                 // nothing was heard until its time was over
-	lostByCaller                  // its caller left
+	lossConnectionBroke lossKind = iota // its connection broke
+	lostBySilence                       // nothing was heard until its time was over
+	lostByCaller                        // its caller left
 )
 
-func newCrashes(log zerolog.Logger, verdict func(now time.Time, server string, there []suspect)) *crashes {
-	return &crashes{
+func newCrashDetector(log zerolog.Logger, verdict func(now time.Time, server string, there []suspect)) *crashDetector {
+	return &crashDetector{
 		log: log, verdict: verdict, probes: make(chan catalog.Server, probeQueue),
 		broken: map[string]*breakage{}, gone: map[string]time.Time{},
 	}
 }
 
-// lose takes over that a request was lost at a server. It was sent, or last heard of, at a
+// requestLost takes over that a request was lost at a server. It was sent, or last heard of, at a
 // time; planned tells that the server takes no new work, or has no entry.
-func (c *crashes) lose(now time.Time, s catalog.Server, planned bool, heard time.Time, l lost) {
+func (c *crashDetector) requestLost(now time.Time, s catalog.Server, planned bool, heard time.Time, l lost) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	l.at = now
@@ -110,7 +110,7 @@
 	}
 	b.there = append(b.there, l)
 	b.there = b.there[max(0, len(b.there)-mostThere):]
-	if l.how == lostByBreak && now.Sub(b.probed) >= probeAgain {
+	if l.how == lossConnectionBroke && now.Sub(b.probed) >= probeAgain {
 		b.probed = now
 		select {
 		case c.probes <- s:
@@ -119,15 +119,15 @@
 	}
 }
 
-// refused takes over that a server takes no connections.
-func (c *crashes) refused(now time.Time, server string) {
+// connectionRefused takes over that a server takes no connections.
+func (c *crashDetector) connectionRefused(now time.Time, server string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.decide(now, server, "it refuses connections")
 }
 
 // decide takes a server for ended if something broke there.
-func (c *crashes) decide(now time.Time, server, why string) {
+func (c *crashDetector) decide(now time.Time, server, why string) {
 	b := c.broken[server]
 	broke := func(l lost) bool { return l.how != lostByCaller }
 	if b == nil || !b.ended.IsZero() || !slices.ContainsFunc(b.there, broke) {
@@ -139,7 +139,7 @@
 	c.ended(now, server, why, there)
 }
 
-func (c *crashes) ended(now time.Time, server, why string, there []lost) {
+func (c *crashDetector) ended(now time.Time, server, why string, there []lost) {
 	if why != "" {
 		c.log.Warn().Str("event", "server.ended").Str("server", server).Str("by", why).Int("requests", len(there)).Msg("unplanned; each of its requests may be the cause")
 	}
@@ -151,7 +151,7 @@
 }
 
 // viewChanged takes over which servers there are.
-func (c *crashes) viewChanged(now time.Time, before, after []catalog.Server) {
+func (c *crashDetector) viewChanged(now time.Time, before, after []catalog.Server) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, s := range missing(before, after) {
@@ -181,7 +181,7 @@
 }
 
 // sweep forgets what is over.
-func (c *crashes) sweep(now time.Time) {
+func (c *crashDetector) sweep(now time.Time) {
 	for id, b := range c.broken {
 		if now.Sub(b.since) > brokenFor {
 			delete(c.broken, id)
@@ -194,8 +194,8 @@
 	}
 }
 
-// probe asks servers whether they take connections, until ctx ends.
-func (c *crashes) probe(ctx context.Context) {
+// runProbes asks servers whether they take connections, until ctx ends.
+func (c *crashDetector) runProbes(ctx context.Context) {
 	dialer := net.Dialer{Timeout: probeTimeout}
 	for {
 		select {
@@ -208,7 +208,7 @@
 				continue
 			}
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				c.refused(time.Now(), s.ID)
+				c.connectionRefused(time.Now(), s.ID)
 			}
 		}
 	}
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -22,20 +22,20 @@
 
 // TestEnds: what a gateway sees of servers, and which requests it blames.
 func TestEnds(t *testing.T) {
-	server := ready("i-1@5")
-	others := []catalog.Server{ready("i-0"), ready("i-2")}
+	server := readyServer("i-1@5")
+	others := []catalog.Server{readyServer("i-0"), readyServer("i-2")}
 	all := []catalog.Server{others[0], server, others[1]}
-	draining := []catalog.Server{others[0], leaving("i-1@5"), others[1]}
-	lose := func(l lostAt) func(e *crashes, now time.Time) {
-		return func(e *crashes, now time.Time) {
-			e.lose(now, server, l.planned, now.Add(-l.ago), lost{how: l.how, suspect: suspect{key: quarantine.Key{l.n}}})
+	draining := []catalog.Server{others[0], leavingServer("i-1@5"), others[1]}
+	lose := func(l lostAt) func(e *crashDetector, now time.Time) {
+		return func(e *crashDetector, now time.Time) {
+			e.requestLost(now, server, l.planned, now.Add(-l.ago), lost{how: l.how, suspect: suspect{key: quarantine.Key{l.n}}})
 		}
 	}
-	refuse := func(e *crashes, now time.Time) { e.refused(now, server.ID) }
-	view := func(before, after []catalog.Server) func(e *crashes, now time.Time) {
-		return func(e *crashes, now time.Time) { e.viewChanged(now, before, after) }
+	refuse := func(e *crashDetector, now time.Time) { e.connectionRefused(now, server.ID) }
+	view := func(before, after []catalog.Server) func(e *crashDetector, now time.Time) {
+		return func(e *crashDetector, now time.Time) { e.viewChanged(now, before, after) }
 	}
-	type does func(e *crashes, now time.Time)
+	type does func(e *crashDetector, now time.Time)
 	tests := []struct {
 		name  string
 		steps []does // a tenth of a second apart
@@ -47,7 +47,7 @@
 		{"sent after its end", []does{lose(lostAt{n: 1}), refuse, lose(lostAt{n: 2})}, []byte{1}},
 		{"refused, and nothing broke", []does{refuse, view(all, others)}, nil},
 		{"its entry goes", []does{lose(lostAt{n: 1}), view(all, others)}, []byte{1}},
-		{"another lifetime begins", []does{lose(lostAt{n: 1}), view(all, []catalog.Server{others[0], ready("i-1@9"), others[1]})}, []byte{1}},
+		{"another lifetime begins", []does{lose(lostAt{n: 1}), view(all, []catalog.Server{others[0], readyServer("i-1@9"), others[1]})}, []byte{1}},
 		{"another server goes", []does{lose(lostAt{n: 1}), view(all, all[1:])}, nil},
 		{"both", []does{lose(lostAt{n: 1}), refuse, view(all, others)}, []byte{1}},
 		{"it was leaving", []does{lose(lostAt{n: 1, planned: true}), refuse, view(draining, others)}, nil},
@@ -62,7 +62,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var blamed []byte
-			e := newCrashes(zerolog.Nop(), func(_ time.Time, server string, there []suspect) {
+			e := newCrashDetector(zerolog.Nop(), func(_ time.Time, server string, there []suspect) {
 				require.Equal(t, "i-1@5", server)
 				for _, s := range there {
 					blamed = append(blamed, s.key[0])
@@ -81,19 +81,19 @@
 // TestEndsForget: what broke long ago is not blamed, and memory is bounded.
 func TestEndsForget(t *testing.T) {
 	blamed := 0
-	e := newCrashes(zerolog.Nop(), func(_ time.Time, _ string, there []suspect) { blamed += len(there) })
+	e := newCrashDetector(zerolog.Nop(), func(_ time.Time, _ string, there []suspect) { blamed += len(there) })
 	now := time.Now()
 	for n := range 2 * mostThere {
-		e.lose(now, ready("i-1"), false, now, lost{suspect: suspect{key: quarantine.Key{byte(n)}}})
+		e.requestLost(now, readyServer("i-1"), false, now, lost{suspect: suspect{key: quarantine.Key{byte(n)}}})
 	}
-	e.refused(now, "i-1")
+	e.connectionRefused(now, "i-1")
 	require.Equal(t, mostThere, blamed)
-	e.lose(now, ready("i-2"), false, now, lost{})
+	e.requestLost(now, readyServer("i-2"), false, now, lost{})
 	now = now.Add(brokenFor + time.Second)
 	for n := range 1000 {
-		e.lose(now, ready(fmt.Sprint("x", n)), false, now, lost{})
+		e.requestLost(now, readyServer(fmt.Sprint("x", n)), false, now, lost{})
 	}
-	e.refused(now, "i-2")
+	e.connectionRefused(now, "i-2")
 	require.Equal(t, mostThere, blamed)
 	require.Len(t, e.broken, 1000)
 	require.LessOrEqual(t, len(e.probes), probeQueue)
--- a/gateway/shortage_test.go
+++ b/gateway/delay_test.go
@@ -24,33 +24,33 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Now()
-			d := modelDesk(t, now, 3)
-			d.late = func(_, _ time.Time) time.Duration { return test.late }
-			before := d.board.Speed("s")
+			d := newTestDispatcher(t, now, 3)
+			d.lateness = func(_, _ time.Time) time.Duration { return test.late }
+			before := d.balancer.Speed("s")
 			takes := time.Duration(0) // what a prompt takes; the first prediction is right
 			for range 300 {
-				reply, _ := d.request(now, "a", func(a *placement.Ask) { a.Prompt = 20000; a.Objective = 3 * time.Second })
+				reply, _ := d.placeRequest(now, "a", func(a *placement.Request) { a.PromptTokens = 20000; a.Objective = 3 * time.Second })
 				assign, ok := (<-reply).(placement.Assign)
 				require.True(t, ok)
 				if takes == 0 {
 					takes = assign.Predicted
 				}
 				heard := now.Add(takes + test.late)
-				d.findLate(heard)
-				d.findSilent(heard)
+				d.detectOverdue(heard)
+				d.detectSilent(heard)
 				for ticket, p := range d.pending {
-					require.False(t, p.told, "server of request %d counts as silent", ticket)
+					require.False(t, p.reportedSilent, "server of request %d counts as silent", ticket)
 				}
-				d.start(heard, startedMessage{ticket: assign.Ticket, server: assign.Server.ID})
-				d.end(heard, endedMessage{ticket: assign.Ticket, server: assign.Server.ID, end: placement.Served})
+				d.recordFirstEvent(heard, firstEventReceived{ticket: assign.ID, server: assign.Server.ID})
+				d.recordEnd(heard, attemptEnded{ticket: assign.ID, server: assign.Server.ID, end: placement.Served})
 				now = heard.Add(100 * time.Millisecond)
 			}
-			require.InEpsilon(t, before.Reading, d.board.Speed("s").Reading, 0.1)
-			reply, _ := d.request(now, "a", nil)
+			require.InEpsilon(t, before.PrefillSlowdown, d.balancer.Speed("s").PrefillSlowdown, 0.1)
+			reply, _ := d.placeRequest(now, "a", nil)
 			assign, ok := (<-reply).(placement.Assign)
 			require.True(t, ok)
-			d.end(now, endedMessage{ticket: assign.Ticket, server: assign.Server.ID, end: placement.Unreachable})
-			again, _ := d.request(now, "a", func(a *placement.Ask) { a.Exclude = nil })
+			d.recordEnd(now, attemptEnded{ticket: assign.ID, server: assign.Server.ID, end: placement.Unreachable})
+			again, _ := d.placeRequest(now, "a", func(a *placement.Request) { a.Exclude = nil })
 			require.IsType(t, placement.Assign{}, <-again)
 		})
 	}
--- a/gateway/desk.go
+++ b/gateway/desk.go
@@ -37,22 +37,22 @@
 	deskQueue = 256
 )
 
-// desk is the duty that owns all decisions on placing: the board, the shares of
+// dispatcher is the duty that owns all decisions on placing: the board, the shares of
 // accounts and the budget of repeats. Others ask it through its channel.
-type desk struct {
-	log      zerolog.Logger
-	peers    *peer.Node
-	asks     chan any // one of the messages below
-	done     chan struct{}
-	telling  atomic.Pointer[peer.State]
-	settings DeskSettings
-	late     func(since, now time.Time) time.Duration // how late this process was at worst
-	claims   chan<- warmup.Claim                      // to be written; one that finds it full is tried again
+type dispatcher struct {
+	log       zerolog.Logger
+	peers     *peer.Node
+	messages  chan any // one of the messages below
+	done      chan struct{}
+	peerState atomic.Pointer[peer.State]
+	settings  DispatcherOptions
+	lateness  func(since, now time.Time) time.Duration // how late this process was at worst
+	claims    chan<- warmup.Claim                      // to be written; one that finds it full is tried again
 	// To be told to the operators; one that finds it full is tried again.
-	statements chan<- statement
-	fresh      func(now time.Time) bool // the view is known to be the store's latest
+	statusWrites chan<- rolloutStatusWrite
+	viewFresh    func(now time.Time) bool // the view is known to be the store's latest
 
-	peersAlive atomic.Int64 // live gateways besides this one
+	livePeers atomic.Int64 // live gateways besides this one
 
 	// Owned by run.
 	tickets     uint64                     // the last one given
@@ -60,78 +60,78 @@
 	pending     map[uint64]*awaited        // own requests without a first event, by ticket
 	heard       map[string]time.Time       // last sign of life, by server
 	speeds      map[string]placement.Speed // last written to the log, by service
-	board       *placement.Board
-	book        *share.Book
-	budget      *budget.Budget
-	guard       *warmup.Guard
+	balancer    *placement.Balancer
+	shares      *share.Tracker
+	retryBudget *budget.Budget
+	coldLimiter *warmup.Limiter
 	rollouts    map[string]*serviceRollout // by service
 	wanted      map[string]time.Time       // when a request last came, by service
 	halls       map[string]string          // of live gateways, by address
 	view        *View
-	waits       waitQueue
+	queue       waitQueue
 	published   time.Time                 // when the state that beacons tell was made
 	unpublished bool                      // it has changed since
 	running     map[string]int            // own requests by server
-	ids         map[uint64]string         // server by hash of its ID
+	serverIDs   map[uint64]string         // server by hash of its ID
 	rests       map[string]time.Time      // ends of those that servers have asked for
-	gateways    map[string]map[uint64]int // running requests at servers, by live gateway
+	peerRunning map[string]map[uint64]int // running requests at servers, by live gateway
 	asked       map[string]float64        // tokens in the window of fair shares, by gateway, this one included
 }
 
-// DeskSettings are the bounds that the desk keeps.
-type DeskSettings struct {
-	Repeats budget.Limits
-	Shares  time.Duration // window of accounts' fair shares
-	Policy  placement.Policy
-	Hall    string
-	Regions map[string]string // by hall
-	Cold    warmup.Limits     // of a cold server, but for what it bears
-	Address string            // IP address of this gateway
+// DispatcherOptions are the bounds that the desk keeps.
+type DispatcherOptions struct {
+	Retries     budget.Limits
+	ShareWindow time.Duration // window of accounts' fair shares
+	Policy      placement.Policy
+	Hall        string
+	Regions     map[string]string // by hall
+	ColdLimits  warmup.Limits     // of a cold server, but for what it bears
+	Address     string            // IP address of this gateway
 }
 
 // awaited is a request whose server has not made its first event yet.
 type awaited struct {
-	server   string
-	due      time.Time     // by the prediction
-	told     bool          // that it is overdue
-	position time.Duration // work sent to the server up to this request
-	copies   bool          // it takes cached parts from another server first
-	sent     time.Time
-	waiting  time.Duration // predicted, until the server comes to it
-	reading  time.Duration // predicted, of its own prompt
-	account  string
-	tokens   float64 // that count as got by the account
+	server         string
+	due            time.Time     // by the prediction
+	reportedSilent bool          // that it is overdue
+	position       time.Duration // work sent to the server up to this request
+	copies         bool          // it takes cached parts from another server first
+	sent           time.Time
+	waiting        time.Duration // predicted, until the server comes to it
+	reading        time.Duration // predicted, of its own prompt
+	account        string
+	tokens         float64 // that count as got by the account
 }
 
 // Messages to the desk.
 type (
-	// placeMessage asks for a decision; if it is to send, all is booked as sent.
-	placeMessage struct {
-		ask    *placement.Ask
-		repeat bool            // the request has been at a server before
-		ended  <-chan struct{} // closed when nobody waits for a decision any more
-		tokens float64
-		reply  chan<- placement.Decision
-	}
-	// arrivedMessage tells of a caller's request.
-	arrivedMessage struct {
+	// placementRequest asks for a decision; if it is to send, all is booked as sent.
+	placementRequest struct {
+		request *placement.Request
+		retry   bool            // the request has been at a server before
+		done    <-chan struct{} // closed when nobody waits for a decision any more
+		tokens  float64
+		reply   chan<- placement.Decision
+	}
+	// requestArrived tells of a caller's request.
+	requestArrived struct {
 		service string
 		account string
 		tokens  float64
 	}
-	startedMessage struct {
+	firstEventReceived struct {
 		ticket uint64
 		server string
 	}
-	endedMessage struct {
+	attemptEnded struct {
 		ticket uint64
 		server string
-		end    placement.End
+		end    placement.Outcome
 		route  string
 		status int           // of the server's answer; 0: there was none, or not all of it
 		pause  time.Duration // mean between a stream's events; 0: not known
 	}
-	cacheMessage struct {
+	cacheReported struct {
 		server string
 		parts  []uint64 // that its cache holds
 	}
@@ -144,40 +144,40 @@
 		server string
 		until  time.Time // it wants nothing before then
 	}
-	viewMessage   struct{ view *View }
-	updateMessage struct{ updates []peer.Update }
+	viewMessage  struct{ view *View }
+	peersUpdated struct{ updates []peer.Update }
 )
 
-func newDesk(log zerolog.Logger, s DeskSettings, now time.Time) *desk {
-	d := &desk{
-		log: log, settings: s, late: func(_, _ time.Time) time.Duration { return 0 }, asks: make(chan any, deskQueue), done: make(chan struct{}),
-		board: placement.NewBoard(s.Policy), book: share.NewBook(s.Shares), budget: budget.New(s.Repeats, now),
+func newDispatcher(log zerolog.Logger, s DispatcherOptions, now time.Time) *dispatcher {
+	d := &dispatcher{
+		log: log, settings: s, lateness: func(_, _ time.Time) time.Duration { return 0 }, messages: make(chan any, deskQueue), done: make(chan struct{}),
+		balancer: placement.NewBalancer(s.Policy), shares: share.NewTracker(s.ShareWindow), retryBudget: budget.New(s.Retries, now),
 		pending: map[uint64]*awaited{}, heard: map[string]time.Time{}, speeds: map[string]placement.Speed{},
-		view: &View{}, running: map[string]int{}, ids: map[uint64]string{}, rests: map[string]time.Time{},
-		gateways: map[string]map[uint64]int{}, asked: map[string]float64{},
-		rollouts: map[string]*serviceRollout{}, fresh: func(time.Time) bool { return true },
-		guard: warmup.NewGuard(), wanted: map[string]time.Time{}, halls: map[string]string{},
+		view: &View{}, running: map[string]int{}, serverIDs: map[uint64]string{}, rests: map[string]time.Time{},
+		peerRunning: map[string]map[uint64]int{}, asked: map[string]float64{},
+		rollouts: map[string]*serviceRollout{}, viewFresh: func(time.Time) bool { return true },
+		coldLimiter: warmup.NewLimiter(), wanted: map[string]time.Time{}, halls: map[string]string{},
 	}
-	d.board.SetRegions(s.Regions)
-	d.telling.Store(&peer.State{})
+	d.balancer.SetRegions(s.Regions)
+	d.peerState.Store(&peer.State{})
 	return d
 }
 
-// tell passes a message to the desk; once the desk has ended, messages are dropped.
-func (d *desk) tell(m any) {
+// send passes a message to the desk; once the desk has ended, messages are dropped.
+func (d *dispatcher) send(m any) {
 	select {
-	case d.asks <- m:
+	case d.messages <- m:
 	case <-d.done:
 	}
 }
 
-func (d *desk) viewChanged(v *View) { d.tell(viewMessage{v}) }
+func (d *dispatcher) viewChanged(v *View) { d.send(viewMessage{v}) }
 
-// decision asks for a decision, which may wait. ok is false when ctx has ended first.
-func (d *desk) decision(ctx context.Context, a *placement.Ask, repeat bool, tokens float64) (placement.Decision, bool) {
+// requestPlacement asks for a requestPlacement, which may wait. ok is false when ctx has ended first.
+func (d *dispatcher) requestPlacement(ctx context.Context, a *placement.Request, repeat bool, tokens float64) (placement.Decision, bool) {
 	reply := make(chan placement.Decision, 1)
 	asked := *a // the desk may be slower than the caller is patient
-	d.tell(placeMessage{ask: &asked, repeat: repeat, tokens: tokens, ended: ctx.Done(), reply: reply})
+	d.send(placementRequest{request: &asked, retry: repeat, tokens: tokens, done: ctx.Done(), reply: reply})
 	select {
 	case decision := <-reply:
 		*a = asked // the desk has filled in where the account stands
@@ -191,37 +191,37 @@
 }
 
 // undo takes back a decision that nobody waits for any more.
-func (d *desk) undo(reply <-chan placement.Decision) {
+func (d *dispatcher) undo(reply <-chan placement.Decision) {
 	select {
 	case decision := <-reply:
 		if a, ok := decision.(placement.Assign); ok {
-			d.tell(endedMessage{ticket: a.Ticket, server: a.Server.ID, end: placement.Abandoned})
+			d.send(attemptEnded{ticket: a.ID, server: a.Server.ID, end: placement.Abandoned})
 		}
 	case <-d.done:
 	}
 }
 
 // run answers until ctx ends.
-func (d *desk) run(ctx context.Context) {
+func (d *dispatcher) run(ctx context.Context) {
 	defer close(d.done)
 	settle := time.NewTicker(settleEvery)
 	defer settle.Stop()
 	late := time.NewTicker(lateEvery)
 	defer late.Stop()
-	d.waits.timer = time.NewTimer(waitEvery)
-	defer d.waits.timer.Stop()
+	d.queue.timer = time.NewTimer(waitScanInterval)
+	defer d.queue.timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-d.asks:
+		case m := <-d.messages:
 			d.handle(time.Now(), m)
 		case now := <-settle.C:
 			d.settle(now)
-		case now := <-d.waits.timer.C:
-			d.look(now)
+		case now := <-d.queue.timer.C:
+			d.scanWaiting(now)
 		case now := <-late.C:
-			d.findLate(now)
+			d.detectOverdue(now)
 			d.claim(now)
 			d.lookRollouts(now)
 			if d.unpublished {
@@ -231,36 +231,36 @@
 	}
 }
 
-func (d *desk) handle(now time.Time, m any) {
+func (d *dispatcher) handle(now time.Time, m any) {
 	switch m := m.(type) {
-	case placeMessage:
+	case placementRequest:
 		d.place(now, m)
-	case arrivedMessage:
-		d.budget.Request(now, m.service)
+	case requestArrived:
+		d.retryBudget.RecordRequest(now, m.service)
 		d.wanted[m.service] = now
 		if m.account != "" {
-			d.book.Ask(now, m.account, m.tokens)
+			d.shares.RecordAsked(now, m.account, m.tokens)
 		}
-	case startedMessage:
-		d.start(now, m)
-	case endedMessage:
-		d.end(now, m)
-	case cacheMessage:
-		d.board.Holds(now, m.server, m.parts)
+	case firstEventReceived:
+		d.recordFirstEvent(now, m)
+	case attemptEnded:
+		d.recordEnd(now, m)
+	case cacheReported:
+		d.balancer.RecordCached(now, m.server, m.parts)
 	case statedMessage:
 		d.stated(now, m)
 	case claimMessage:
 		d.settleClaim(now, m)
 	case leavesMessage:
-		d.board.Leave(m.server)
+		d.balancer.MarkLeaving(m.server)
 	case restMessage:
 		d.rests[m.server] = latest(d.rests[m.server], m.until)
-		d.board.Rest(now, m.server, m.until)
+		d.balancer.BackoffUntil(now, m.server, m.until)
 	case viewMessage:
 		d.setView(now, m.view)
-	case updateMessage:
+	case peersUpdated:
 		for _, u := range m.updates {
-			d.update(now, u)
+			d.applyUpdate(now, u)
 		}
 	}
 }
@@ -268,70 +268,70 @@
 // repeatsSpent is the reason for a refusal when the fleet's budget of repeats is used.
 const repeatsSpent placement.Reason = "budget of repeats spent"
 
-func (d *desk) decide(now time.Time, m placeMessage) placement.Decision {
-	if m.repeat && d.budget.Left(now, m.ask.Service, d.fleetSize()) < 1 {
-		return placement.Refuse{RetryAfter: d.settings.Policy.LeastRetryAfter, Reason: repeatsSpent}
+func (d *dispatcher) decide(now time.Time, m placementRequest) placement.Decision {
+	if m.retry && d.retryBudget.Remaining(now, m.request.Service, d.fleetSize()) < 1 {
+		return placement.Refuse{RetryAfter: d.settings.Policy.MinRetryAfter, Reason: repeatsSpent}
 	}
-	d.stand(m.ask)
+	d.stand(m.request)
 	var decision placement.Decision
-	moving := d.rollouts[m.ask.Service]
+	moving := d.rollouts[m.request.Service]
 	if moving == nil {
-		decision = d.board.Place(now, m.ask)
+		decision = d.balancer.Place(now, m.request)
 	} else {
-		decision = d.placeVersion(now, moving, m.ask)
+		decision = d.placeVersion(now, moving, m.request)
 	}
 	assign, ok := decision.(placement.Assign)
 	if !ok {
 		return decision
 	}
-	if m.repeat {
-		d.budget.Take(now, m.ask.Service, d.fleetSize())
+	if m.retry {
+		d.retryBudget.Take(now, m.request.Service, d.fleetSize())
 	}
-	if m.ask.Account != "" {
-		d.book.Admit(now, m.ask.Account, m.tokens)
+	if m.request.Account != "" {
+		d.shares.RecordAdmitted(now, m.request.Account, m.tokens)
 	}
-	position := d.board.Sent(now, assign.Load, true)
+	position := d.balancer.RecordSent(now, assign.Load, true)
 	d.tickets++
-	assign.Ticket = d.tickets
-	d.pending[assign.Ticket] = &awaited{
+	assign.ID = d.tickets
+	d.pending[assign.ID] = &awaited{
 		server: assign.Server.ID, due: now.Add(assign.Predicted), position: position, copies: assign.CopyFrom != "",
-		sent: now, waiting: assign.Waiting, reading: assign.Reading, account: m.ask.Account, tokens: m.tokens,
+		sent: now, waiting: assign.QueueTime, reading: assign.PrefillTime, account: m.request.Account, tokens: m.tokens,
 	}
 	d.running[assign.Server.ID]++
 	if moving != nil {
 		d.sentVersion(now, moving, assign)
 	}
-	if d.guard.Cold(now, assign.Server.ID) {
-		assign.Before = now.Add(warmup.SendWithin)
+	if d.coldLimiter.Cold(now, assign.Server.ID) {
+		assign.SendBefore = now.Add(warmup.MaxSendDelay)
 		d.sentCold(now, assign.Server.ID)
 	}
 	d.changed(now)
 	if assign.Load.Work > 0 {
-		d.peers.Tell(peer.Load{Server: hash(assign.Server.ID), Work: assign.Load.Work, Parts: assign.Load.Parts, Tokens: assign.Load.Tokens})
+		d.peers.PublishLoad(peer.Load{Server: hashString(assign.Server.ID), Work: assign.Load.Work, Parts: assign.Load.Parts, Tokens: assign.Load.CacheTokens})
 	}
 	return assign
 }
 
 // stand fills in where the request's account stands against its share.
-func (d *desk) stand(a *placement.Ask) {
+func (d *dispatcher) stand(a *placement.Request) {
 	if a.Account == "" {
 		return
 	}
-	standing := d.book.Standing(a.Account)
-	a.OverShare, a.Stop, a.Ahead = standing.Over, standing.Stop, standing.Ahead
+	standing := d.shares.Status(a.Account)
+	a.OverShare, a.Capped, a.ShareRatio = standing.OverShare, standing.Capped, standing.ShareRatio
 }
 
-func (d *desk) end(now time.Time, m endedMessage) {
+func (d *dispatcher) recordEnd(now time.Time, m attemptEnded) {
 	d.takeBack(now, m)
-	d.answered(now, m)
+	d.recordRolloutAnswer(now, m)
 	delete(d.pending, m.ticket)
-	if m.end == placement.Served || m.end == placement.Full {
+	if m.end == placement.Served || m.end == placement.Rejected {
 		d.heard[m.server] = now
 	}
 	if m.end == placement.Unreachable && d.unsure(now, now.Add(-dialLimit)) {
 		m.end = placement.Abandoned // the connection may have come up unnoticed
 	}
-	d.board.Ended(now, m.server, true, m.end)
+	d.balancer.RecordEnd(now, m.server, true, m.end)
 	d.running[m.server]--
 	if d.running[m.server] <= 0 {
 		delete(d.running, m.server)
@@ -342,14 +342,14 @@
 // takeBack lets a request count as got by its account no more if it did not begin to run, for
 // no doing of its caller: a server took 0.27 million tokens in the second in which it ended,
 // and accounts that had got nothing of it were held to be beyond their share for four seconds.
-func (d *desk) takeBack(now time.Time, m endedMessage) {
+func (d *dispatcher) takeBack(now time.Time, m attemptEnded) {
 	p := d.pending[m.ticket]
 	if p == nil || p.account == "" {
 		return
 	}
 	switch m.end {
-	case placement.Failed, placement.Unreachable, placement.Full, placement.NotSent:
-		d.book.TakeBack(now, p.sent, p.account, p.tokens)
+	case placement.Failed, placement.Unreachable, placement.Rejected, placement.NotSent:
+		d.shares.RevertAdmitted(now, p.sent, p.account, p.tokens)
 	}
 }
 
@@ -358,7 +358,7 @@
 const publishEvery = 5 * time.Millisecond
 
 // changed makes the state that beacons tell, now or with the next look for late ones.
-func (d *desk) changed(now time.Time) {
+func (d *dispatcher) changed(now time.Time) {
 	if now.Sub(d.published) < publishEvery {
 		d.unpublished = true
 		return
@@ -368,19 +368,19 @@
 }
 
 // publish makes the state that the next beacon tells.
-func (d *desk) publish() {
+func (d *dispatcher) publish() {
 	d.unpublished = false
-	old := d.telling.Load()
+	old := d.peerState.Load()
 	s := &peer.State{Running: make(map[uint64]int, len(d.running)), Demands: old.Demands, Speeds: old.Speeds}
 	for id, n := range d.running {
-		s.Running[hash(id)] = n
+		s.Running[hashString(id)] = n
 	}
-	d.telling.Store(s)
+	d.peerState.Store(s)
 }
 
-func (d *desk) setView(now time.Time, v *View) {
+func (d *dispatcher) setView(now time.Time, v *View) {
 	d.view = v
-	d.board.SetServers(now, v.Servers, func(service string) *catalog.Engine {
+	d.balancer.SetServers(now, v.Servers, func(service string) *catalog.Engine {
 		if v.Configuration == nil {
 			return nil
 		}
@@ -392,11 +392,11 @@
 	})
 	d.keepRests(now)
 	others := d.runningElsewhere()
-	clear(d.ids)
+	clear(d.serverIDs)
 	for _, s := range v.Servers {
-		h := hash(s.ID)
-		d.ids[h] = s.ID
-		d.board.SetOthers(s.ID, others[h]) // a server that is new here may have been told of before
+		h := hashString(s.ID)
+		d.serverIDs[h] = s.ID
+		d.balancer.SetRemoteRunning(s.ID, others[h]) // a server that is new here may have been told of before
 	}
 	d.setCold(now, v)
 	d.setRollouts(now, v)
@@ -405,21 +405,21 @@
 
 // keepRests tells the board of rests again: a server whose entry lapsed for a moment is new to
 // it. Those that are over are forgotten.
-func (d *desk) keepRests(now time.Time) {
+func (d *dispatcher) keepRests(now time.Time) {
 	for id, until := range d.rests {
 		if !now.Before(until) {
 			delete(d.rests, id)
 			continue
 		}
-		d.board.Rest(now, id, until)
+		d.balancer.BackoffUntil(now, id, until)
 	}
 }
 
 // runningElsewhere returns the other gateways' requests by server. It goes through what runs,
 // not through all gateways for each server, which grows with both.
-func (d *desk) runningElsewhere() map[uint64]int {
+func (d *dispatcher) runningElsewhere() map[uint64]int {
 	sums := map[uint64]int{}
-	for _, running := range d.gateways {
+	for _, running := range d.peerRunning {
 		for h, n := range running {
 			sums[h] += n
 		}
@@ -427,18 +427,18 @@
 	return sums
 }
 
-func (d *desk) settle(now time.Time) {
+func (d *dispatcher) settle(now time.Time) {
 	rate := 0.0
 	if d.view.Configuration != nil {
 		rate = d.view.Configuration.Limits.TokensPerSecond
 	}
-	d.book.Settle(now, rate)
+	d.shares.Recompute(now, rate)
 	if d.settled++; d.settled%forgetEvery == 0 {
-		d.board.Forget()
+		d.balancer.PruneCaches()
 	}
-	d.findSilent(now)
+	d.detectSilent(now)
 	d.tellSpeeds()
-	own := d.book.Own(now)
+	own := d.shares.LocalDemands(now)
 	asked := 0.0
 	for _, o := range own {
 		asked += o.Asked
@@ -448,16 +448,16 @@
 	for _, o := range own[:min(len(own), mostDemands)] {
 		list = append(list, &peerpb.Demand{Account: o.Account, Asked: uint32(o.Asked), Admitted: uint32(o.Admitted)})
 	}
-	s := *d.telling.Load()
-	s.Demands, s.Speeds, s.Rollouts = list, d.learned(), d.rolloutNews(now)
-	d.telling.Store(&s)
+	s := *d.peerState.Load()
+	s.Demands, s.Speeds, s.Rollouts = list, d.learnedSpeeds(), d.rolloutNews(now)
+	d.peerState.Store(&s)
 }
 
 // fleetSize is the number of gateways that are known to live, this one included.
-func (d *desk) fleetSize() int { return len(d.gateways) + 1 }
+func (d *dispatcher) fleetSize() int { return len(d.peerRunning) + 1 }
 
-// hash names an ID in few bytes.
-func hash(id string) uint64 {
+// hashString names an ID in few bytes.
+func hashString(id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return h.Sum64()
--- a/gateway/desk_cold.go
+++ b/gateway/desk_cold.go
@@ -11,9 +11,9 @@
 // This file is the desk's part in sparing cold servers (package warmup), and the duty
 // that writes claims.
 
-// Claims writes who holds a cold server where each gateway finds it alike. A key is
+// ClaimStore writes who holds a cold server where each gateway finds it alike. A key is
 // written once.
-type Claims interface {
+type ClaimStore interface {
 	// Claim returns whether this process holds the server in that episode, and the era of the
 	// store in which that was decided. After an error nobody knows.
 	Claim(ctx context.Context, c warmup.Claim) (won bool, era uint64, err error)
@@ -24,15 +24,15 @@
 	// gateway can make more of them.
 	wantedFor = time.Second
 	// Claims that wait to be written; the store answers within milliseconds.
-	claimQueue = 64
+	claimQueueSize = 64
 	// A claim is given up after this time, a third of the shortest coldness seen.
 	claimTimeout = time.Second
 )
 
 // setCold takes over which servers are cold.
-func (d *desk) setCold(now time.Time, v *View) {
-	for _, id := range d.guard.Servers() {
-		d.board.Close(id, time.Time{})
+func (d *dispatcher) setCold(now time.Time, v *View) {
+	for _, id := range d.coldLimiter.Servers() {
+		d.balancer.CloseUntil(id, time.Time{})
 	}
 	var list []warmup.Server
 	for _, s := range v.Servers {
@@ -43,20 +43,20 @@
 		if limits := d.coldLimits(v, s.Service); limits.PerSecond > 0 {
 			list = append(list, warmup.Server{
 				Claim: warmup.Claim{Server: s.ID, Episode: c.Episode}, Hall: s.Hall, Limits: limits,
-				Until: c.until(), Clear: c.Clear, Witnessed: c.Witnessed, Claimed: c.Claimed,
+				ColdUntil: c.until(), IdleSince: c.Clear, StartObserved: c.Witnessed, Claimed: c.Claimed,
 			})
 		}
 	}
-	d.guard.Set(now, list)
+	d.coldLimiter.Set(now, list)
 	for _, s := range list {
-		d.board.Close(s.Server, d.guard.OpenAt(now, s.Server))
+		d.balancer.CloseUntil(s.Server, d.coldLimiter.NextSendAt(now, s.Server))
 	}
 	d.claim(now)
 }
 
 // coldLimits returns what a service's servers bear while they are cold.
-func (d *desk) coldLimits(v *View, service string) warmup.Limits {
-	l := d.settings.Cold
+func (d *dispatcher) coldLimits(v *View, service string) warmup.Limits {
+	l := d.settings.ColdLimits
 	if v.Configuration != nil {
 		if s, ok := v.Configuration.Service(service); ok {
 			l.PerSecond = s.ColdPerSecond
@@ -66,30 +66,30 @@
 }
 
 // sentCold notes a request to a cold server.
-func (d *desk) sentCold(now time.Time, server string) {
-	d.guard.Sent(now, server)
-	d.board.Close(server, d.guard.OpenAt(now, server))
+func (d *dispatcher) sentCold(now time.Time, server string) {
+	d.coldLimiter.RecordSend(now, server)
+	d.balancer.CloseUntil(server, d.coldLimiter.NextSendAt(now, server))
 }
 
 // claim asks for cold servers to be claimed.
-func (d *desk) claim(now time.Time) {
+func (d *dispatcher) claim(now time.Time) {
 	wanted := func(server string) bool {
-		return now.Sub(d.wanted[d.board.Service(server)]) < wantedFor
+		return now.Sub(d.wanted[d.balancer.ServiceOf(server)]) < wantedFor
 	}
-	for _, c := range d.guard.Due(now, wanted, d.ranking()) {
+	for _, c := range d.coldLimiter.DueClaims(now, wanted, d.ranking()) {
 		select {
 		case d.claims <- c:
 		default:
-			d.guard.Settle(now, c, warmup.Unknown)
+			d.coldLimiter.ResolveClaim(now, c, warmup.Unknown)
 		}
 	}
 }
 
 // settleClaim takes over how a claim ended.
-func (d *desk) settleClaim(now time.Time, m claimMessage) {
-	d.guard.Settle(now, m.claim, m.outcome)
+func (d *dispatcher) settleClaim(now time.Time, m claimMessage) {
+	d.coldLimiter.ResolveClaim(now, m.claim, m.outcome)
 	if m.outcome == warmup.Won {
-		d.board.Close(m.claim.Server, d.guard.OpenAt(now, m.claim.Server))
+		d.balancer.CloseUntil(m.claim.Server, d.coldLimiter.NextSendAt(now, m.claim.Server))
 	}
 }
 
@@ -98,17 +98,17 @@
 // server, so who is asked for more holds more of them: by an even hash most cold servers got
 // fewer than two of the ten requests a second that they might. What is asked counts beside the
 // requests in hand, since a gateway whose servers have gone has little in hand.
-func (d *desk) ranking() func(s warmup.Server) int {
+func (d *dispatcher) ranking() func(s warmup.Server) int {
 	inHand, asked := float64(sum(d.running)+1), d.asked[d.settings.Address]
 	hands, demand := inHand, asked
-	for address, running := range d.gateways {
+	for address, running := range d.peerRunning {
 		hands += float64(sum(running) + 1)
 		demand += d.asked[address]
 	}
 	weightOf := func(inHand, asked float64) float64 { return inHand/hands + asked/max(demand, 1) }
 	weight := weightOf(inHand, asked)
 	weights := map[string]float64{}
-	for address, running := range d.gateways {
+	for address, running := range d.peerRunning {
 		weights[address] = weightOf(float64(sum(running)+1), d.asked[address])
 	}
 	return func(s warmup.Server) int {
@@ -126,7 +126,7 @@
 // score orders gateways for a server: each comes first as often as its weight is of all
 // weights.
 func score(gateway, server string, weight float64) float64 {
-	return -weight / math.Log(draw(gateway+"/"+server))
+	return -weight / math.Log(unitHash(gateway+"/"+server))
 }
 
 func sum[K comparable](counts map[K]int) int {
@@ -144,7 +144,7 @@
 		case <-ctx.Done():
 			return
 		case c := <-g.claims:
-			g.desk.tell(claimMessage{claim: c, outcome: g.writeClaim(ctx, c)})
+			g.dispatcher.send(claimMessage{claim: c, outcome: g.writeClaim(ctx, c)})
 		}
 	}
 }
--- a/gateway/desk_news.go
+++ b/gateway/desk_news.go
@@ -21,15 +21,17 @@
 
 // unsure tells whether what was seen of servers since a time says more of this process
 // than of them.
-func (d *desk) unsure(now, since time.Time) bool { return d.late(since, now) > trustedLateness }
+func (d *dispatcher) unsure(now, since time.Time) bool {
+	return d.lateness(since, now) > trustedLateness
+}
 
-// start takes over that a request has its first event, which shows how far its server
+// recordFirstEvent takes over that a request has its first event, which shows how far its server
 // has got.
-func (d *desk) start(now time.Time, m startedMessage) {
+func (d *dispatcher) recordFirstEvent(now time.Time, m firstEventReceived) {
 	p := d.pending[m.ticket]
 	delete(d.pending, m.ticket)
 	d.heard[m.server] = now
-	d.board.Works(now, m.server)
+	d.balancer.RecordAccepting(now, m.server)
 	d.startedVersion(now, m.ticket)
 	if p == nil || p.copies {
 		return // while it was copying, others may have overtaken it
@@ -37,25 +39,25 @@
 	if d.unsure(now, p.sent) {
 		return
 	}
-	d.board.Took(m.server, now.Sub(p.sent), p.waiting, p.reading)
-	left, miss := d.board.Started(now, m.server, p.position)
+	d.balancer.RecordLatency(m.server, now.Sub(p.sent), p.waiting, p.reading)
+	left, miss := d.balancer.RecordFirstEvent(now, m.server, p.position)
 	d.tellBacklog(m.server, left, miss)
 }
 
 // tellBacklog tells the others how far a server has got, at once if that is news.
-func (d *desk) tellBacklog(server string, left, miss time.Duration) {
-	d.peers.TellBacklog(peer.Backlog{Server: hash(server), Left: left})
+func (d *dispatcher) tellBacklog(server string, left, miss time.Duration) {
+	d.peers.PublishBacklog(peer.Backlog{Server: hashString(server), Remaining: left})
 	if miss.Abs() > newsMiss {
-		d.peers.TellNow()
+		d.peers.SendSoon()
 	}
 }
 
 // After a process was late it takes this long until it has read what had come.
 const unreadFor = 200 * time.Millisecond
 
-// findLate looks for servers that owe a first event, and so are further behind than was
+// detectOverdue looks for servers that owe a first event, and so are further behind than was
 // believed.
-func (d *desk) findLate(now time.Time) {
+func (d *dispatcher) detectOverdue(now time.Time) {
 	if d.unsure(now, now.Add(-unreadFor)) {
 		return // their first events may lie unread
 	}
@@ -63,7 +65,7 @@
 		if now.Before(p.due) || p.copies {
 			continue
 		}
-		if left, miss := d.board.Overdue(now, p.server, p.position); miss > newsMiss {
+		if left, miss := d.balancer.RecordOverdue(now, p.server, p.position); miss > newsMiss {
 			d.tellBacklog(p.server, left, miss)
 		}
 	}
@@ -71,22 +73,22 @@
 
 // A server that is this late with a first event, and gave no sign of life since it was
 // due, counts as failing: nearly all predictions miss by less than half of it.
-const overdue = 500 * time.Millisecond
+const silenceThreshold = 500 * time.Millisecond
 
-// findSilent marks servers that owe a first event and are silent.
-func (d *desk) findSilent(now time.Time) {
-	unsure := d.unsure(now, now.Add(-overdue))
+// detectSilent marks servers that owe a first event and are silent.
+func (d *dispatcher) detectSilent(now time.Time) {
+	unsure := d.unsure(now, now.Add(-silenceThreshold))
 	for _, p := range d.pending {
-		if unsure || p.told || now.Sub(p.due) < overdue || d.heard[p.server].After(p.due) {
+		if unsure || p.reportedSilent || now.Sub(p.due) < silenceThreshold || d.heard[p.server].After(p.due) {
 			continue
 		}
-		p.told = true
+		p.reportedSilent = true
 		d.log.Warn().Str("event", "server.silent").Str("server", p.server).Dur("overdue", now.Sub(p.due)).
 			Dur("heard", now.Sub(d.heard[p.server])).Msg("let it rest")
-		d.board.Silent(now, p.server)
+		d.balancer.RecordSilence(now, p.server)
 	}
 	for id := range d.heard {
-		if _, known := d.ids[hash(id)]; !known {
+		if _, known := d.serverIDs[hashString(id)]; !known {
 			delete(d.heard, id)
 		}
 	}
@@ -97,7 +99,7 @@
 
 // tellSpeeds writes to the log how fast services' engines are believed to be, if that has
 // changed.
-func (d *desk) tellSpeeds() {
+func (d *dispatcher) tellSpeeds() {
 	if d.view.Configuration == nil {
 		return
 	}
@@ -105,39 +107,39 @@
 		if s.Engine == nil {
 			continue
 		}
-		now, last := d.board.Speed(s.Name), d.speeds[s.Name]
-		if alike(now.Reading, last.Reading) && alike(now.FirstStep.Seconds(), last.FirstStep.Seconds()) {
+		now, last := d.balancer.Speed(s.Name), d.speeds[s.Name]
+		if alike(now.PrefillSlowdown, last.PrefillSlowdown) && alike(now.FirstEventDelay.Seconds(), last.FirstEventDelay.Seconds()) {
 			continue
 		}
 		d.speeds[s.Name] = now
-		d.log.Info().Str("event", "engine.speed").Str("service", s.Name).Float64("reading", now.Reading).
-			Dur("first_step", now.FirstStep).Msg("learned from first events")
+		d.log.Info().Str("event", "engine.speed").Str("service", s.Name).Float64("reading", now.PrefillSlowdown).
+			Dur("first_step", now.FirstEventDelay).Msg("learned from first events")
 	}
 }
 
-// learned is what this gateway has learned of engines, for the others.
-func (d *desk) learned() []peer.Speed {
+// learnedSpeeds is what this gateway has learnedSpeeds of engines, for the others.
+func (d *dispatcher) learnedSpeeds() []peer.Speed {
 	if d.view.Configuration == nil {
 		return nil
 	}
 	var list []peer.Speed
 	for _, s := range d.view.Configuration.Services {
-		if v := d.board.Speed(s.Name); s.Engine != nil && v.Learned {
-			list = append(list, peer.Speed{Service: hash(s.Name), Reading: v.Reading, FirstStep: v.FirstStep})
+		if v := d.balancer.Speed(s.Name); s.Engine != nil && v.Learned {
+			list = append(list, peer.Speed{Service: hashString(s.Name), PrefillSlowdown: v.PrefillSlowdown, FirstEventDelay: v.FirstEventDelay})
 		}
 	}
 	return list
 }
 
 // takeSpeeds takes over what another gateway has learned of engines.
-func (d *desk) takeSpeeds(list []peer.Speed) {
+func (d *dispatcher) takeSpeeds(list []peer.Speed) {
 	if d.view.Configuration == nil {
 		return
 	}
 	for _, v := range list {
 		for _, s := range d.view.Configuration.Services {
-			if hash(s.Name) == v.Service {
-				d.board.SetSpeed(s.Name, placement.Speed{Reading: v.Reading, FirstStep: v.FirstStep})
+			if hashString(s.Name) == v.Service {
+				d.balancer.SetSpeed(s.Name, placement.Speed{PrefillSlowdown: v.PrefillSlowdown, FirstEventDelay: v.FirstEventDelay})
 			}
 		}
 	}
@@ -146,22 +148,22 @@
 // alike tells whether two figures differ by less than the factor that makes news.
 func alike(x, y float64) bool { return x < speedNews*y && y < speedNews*x }
 
-// update takes over the news of another gateway.
-func (d *desk) update(now time.Time, u peer.Update) {
+// applyUpdate takes over the news of another gateway.
+func (d *dispatcher) applyUpdate(now time.Time, u peer.Update) {
 	if !u.Alive {
-		if _, known := d.gateways[u.From]; known {
-			d.log.Info().Str("event", "peer.lost").Str("peer", u.From).Int("gateways", len(d.gateways)).Msg("silent or leaving")
+		if _, known := d.peerRunning[u.From]; known {
+			d.log.Info().Str("event", "peer.lost").Str("peer", u.From).Int("gateways", len(d.peerRunning)).Msg("silent or leaving")
 		}
-		d.addOthers(d.gateways[u.From], nil)
-		delete(d.gateways, u.From)
+		d.addOthers(d.peerRunning[u.From], nil)
+		delete(d.peerRunning, u.From)
 		delete(d.halls, u.From)
 		delete(d.asked, u.From)
-		d.peersAlive.Store(int64(len(d.gateways)))
-		d.book.SetOthers(u.From, nil)
+		d.livePeers.Store(int64(len(d.peerRunning)))
+		d.shares.SetRemoteDemands(u.From, nil)
 		return
 	}
-	if _, known := d.gateways[u.From]; !known {
-		d.log.Info().Str("event", "peer.regained").Str("peer", u.From).Int("gateways", len(d.gateways)+2).Msg("heard")
+	if _, known := d.peerRunning[u.From]; !known {
+		d.log.Info().Str("event", "peer.regained").Str("peer", u.From).Int("gateways", len(d.peerRunning)+2).Msg("heard")
 	}
 	if u.Hall != "" {
 		d.halls[u.From] = u.Hall
@@ -169,38 +171,38 @@
 	d.takeSpeeds(u.Speeds)
 	d.hearRollouts(now, u.From, u.Rollouts)
 	for _, l := range u.Loads {
-		d.board.Sent(now, placement.Load{Server: d.ids[l.Server], Work: l.Work, Parts: l.Parts, Tokens: l.Tokens}, false)
+		d.balancer.RecordSent(now, placement.Load{Server: d.serverIDs[l.Server], Work: l.Work, Parts: l.Parts, CacheTokens: l.Tokens}, false)
 	}
 	for _, l := range u.Backlogs {
-		d.board.Backlog(now, d.ids[l.Server], l.Left)
+		d.balancer.RecordBacklog(now, d.serverIDs[l.Server], l.Remaining)
 	}
-	if u.DemandsTold {
+	if u.HasDemands {
 		d.asked[u.From] = 0
 		list := make([]share.Demand, len(u.Demands))
 		for i, p := range u.Demands {
 			list[i] = share.Demand{Account: p.Account, Asked: float64(p.Asked), Admitted: float64(p.Admitted)}
 			d.asked[u.From] += list[i].Asked
 		}
-		d.book.SetOthers(u.From, list)
+		d.shares.SetRemoteDemands(u.From, list)
 	}
-	defer func() { d.peersAlive.Store(int64(len(d.gateways))) }()
-	if u.Whole {
-		d.addOthers(d.gateways[u.From], u.Running)
-		d.gateways[u.From] = u.Running
+	defer func() { d.livePeers.Store(int64(len(d.peerRunning))) }()
+	if u.Full {
+		d.addOthers(d.peerRunning[u.From], u.Running)
+		d.peerRunning[u.From] = u.Running
 		return
 	}
 	d.changeOthers(u.From, u.Running)
 }
 
 // changeOthers takes over what has changed of another gateway's requests at servers.
-func (d *desk) changeOthers(from string, changed map[uint64]int) {
-	known := d.gateways[from]
+func (d *dispatcher) changeOthers(from string, changed map[uint64]int) {
+	known := d.peerRunning[from]
 	if known == nil {
 		known = map[uint64]int{}
-		d.gateways[from] = known
+		d.peerRunning[from] = known
 	}
 	for h, n := range changed {
-		d.board.AddOthers(d.ids[h], n-known[h])
+		d.balancer.AddRemoteRunning(d.serverIDs[h], n-known[h])
 		known[h] = n
 		if n == 0 {
 			delete(known, h)
@@ -209,15 +211,15 @@
 }
 
 // addOthers tells the board what has changed of another gateway's requests at servers.
-func (d *desk) addOthers(before, now map[uint64]int) {
+func (d *dispatcher) addOthers(before, now map[uint64]int) {
 	for h, n := range now {
 		if n != before[h] {
-			d.board.AddOthers(d.ids[h], n-before[h])
+			d.balancer.AddRemoteRunning(d.serverIDs[h], n-before[h])
 		}
 	}
 	for h, n := range before {
 		if _, still := now[h]; !still {
-			d.board.AddOthers(d.ids[h], -n)
+			d.balancer.AddRemoteRunning(d.serverIDs[h], -n)
 		}
 	}
 }
--- a/gateway/desk_rollout.go
+++ b/gateway/desk_rollout.go
@@ -12,11 +12,11 @@
 // This file is the desk's part in roll-outs (package rollout), and the duty that tells the
 // operators how far they are.
 
-// Rollouts tells operators how far roll-outs are.
-type Rollouts interface {
-	// State says so for a service if s.Revision is still that of what was said last (0: nothing
+// RolloutStore tells operators how far roll-outs are.
+type RolloutStore interface {
+	// UpdateStatus says so for a service if s.Revision is still that of what was said last (0: nothing
 	// was). It returns what stands now. After an error nobody knows.
-	State(ctx context.Context, service string, s rollout.Status) (rollout.Status, error)
+	UpdateStatus(ctx context.Context, service string, s rollout.Status) (rollout.Status, error)
 }
 
 const (
@@ -27,7 +27,7 @@
 	stateRetry   = 500 * time.Millisecond
 	stateTimeout = time.Second
 	// States that wait to be told: one a service.
-	stateQueue = 16
+	statusQueueSize = 16
 	// Servers of the earlier version have nothing of any gateway for so long before they are
 	// said to be done with: gateways tell what they have four times a second.
 	idleBeforeEnd = time.Second
@@ -41,7 +41,7 @@
 
 // serviceRollout is a service's roll-out at this desk.
 type serviceRollout struct {
-	known ordered
+	known rolloutRecord
 	work  *rollout.Rollout // nil: there is no order
 	state rollout.State    // as the operators were told
 	stage rollout.Stage    // as the log was told
@@ -75,14 +75,14 @@
 	err     error
 }
 
-// statement is what is to be told of a roll-out.
-type statement struct {
+// rolloutStatusWrite is what is to be told of a roll-out.
+type rolloutStatusWrite struct {
 	service string
 	status  rollout.Status
 }
 
 // setRollouts takes over what the view tells of roll-outs.
-func (d *desk) setRollouts(now time.Time, v *View) {
+func (d *dispatcher) setRollouts(now time.Time, v *View) {
 	for service := range d.rollouts {
 		if _, still := v.Rollouts[service]; !still {
 			delete(d.rollouts, service)
@@ -115,7 +115,7 @@
 func (s *serviceRollout) settle(now time.Time, seen bool) {
 	s.state = s.known.Status.State
 	if s.work != nil {
-		s.state = s.known.Status.Of(s.work.Order)
+		s.state = s.known.Status.StateFor(s.work.Order)
 	}
 	switch {
 	case s.state == rollout.RolledBack && s.work != nil:
@@ -126,7 +126,7 @@
 }
 
 // versions finds out which servers are of which version.
-func (d *desk) versions() {
+func (d *dispatcher) versions() {
 	for _, s := range d.rollouts {
 		s.baseline, s.target = s.baseline[:0], s.target[:0]
 	}
@@ -157,14 +157,14 @@
 func (s *serviceRollout) withhold() {
 	s.chosen = len(s.target)
 	if s.work != nil {
-		s.chosen = s.work.Servers(len(s.target))
+		s.chosen = s.work.TargetServers(len(s.target))
 	}
 	s.fromTarget, s.fromOthers = map[string]bool{}, map[string]bool{}
 	for _, id := range s.baseline {
 		s.fromTarget[id] = true
 	}
 	// The same ones at each gateway, whatever order they are in.
-	for i, id := range placement.Ranked(uint64(s.known.Order.Revision), s.target) {
+	for i, id := range placement.RendezvousOrder(uint64(s.known.Order.Revision), s.target) {
 		if i >= s.chosen {
 			s.fromTarget[id] = true
 		}
@@ -173,14 +173,14 @@
 }
 
 // lookRollouts takes the next steps of roll-outs.
-func (d *desk) lookRollouts(now time.Time) {
-	fresh := len(d.rollouts) > 0 && d.fresh(now)
+func (d *dispatcher) lookRollouts(now time.Time) {
+	fresh := len(d.rollouts) > 0 && d.viewFresh(now)
 	for service, s := range d.rollouts {
 		if s.work == nil || s.state == rollout.Complete {
 			continue
 		}
 		s.work.Look(now, fresh)
-		if s.chosen != s.work.Servers(len(s.target)) {
+		if s.chosen != s.work.TargetServers(len(s.target)) {
 			s.withhold()
 		}
 		d.tellStage(now, service, s)
@@ -190,15 +190,15 @@
 }
 
 // tellStage writes a new stage to the log.
-func (d *desk) tellStage(now time.Time, service string, s *serviceRollout) {
+func (d *dispatcher) tellStage(now time.Time, service string, s *serviceRollout) {
 	stage := s.work.Stage()
 	if stage == s.stage {
 		return
 	}
 	s.stage = stage
 	e := d.log.Info().Str("event", "rollout.stage").Str("service", service).Str("target", s.work.Target).Stringer("stage", stage).
-		Dur("age", now.Sub(s.work.Since)).Float64("share", s.work.Share()).Int("servers", len(s.target))
-	if b := s.work.Bad(); b != nil {
+		Dur("age", now.Sub(s.work.OrderedAt)).Float64("share", s.work.TargetShare()).Int("servers", len(s.target))
+	if b := s.work.Evidence(); b != nil {
 		e = e.Bool("slow", b.Slow).Uint32("route", b.Route).Dur("window", b.Window).Int("of_servers", b.Servers).
 			Uint32("answers", b.Target.Answers).Uint32("failed", b.Target.Failed).Uint32("slow_answers", b.Target.Slow).
 			Uint32("usual_answers", b.Baseline.Answers).Uint32("usual_failed", b.Baseline.Failed).Uint32("usual_slow", b.Baseline.Slow)
@@ -207,13 +207,13 @@
 }
 
 // findIdle finds out since when no gateway has anything at the servers of the earlier version.
-func (d *desk) findIdle(now time.Time, s *serviceRollout) {
-	if s.work.Moved().IsZero() {
+func (d *dispatcher) findIdle(now time.Time, s *serviceRollout) {
+	if s.work.FullSince().IsZero() {
 		s.idle = time.Time{}
 		return
 	}
 	for _, id := range s.baseline {
-		if d.board.InHand(id) > 0 {
+		if d.balancer.InFlight(id) > 0 {
 			s.idle = time.Time{}
 			return
 		}
@@ -224,12 +224,12 @@
 }
 
 // state lets the operators be told how far a roll-out is, if that is news.
-func (d *desk) state(now time.Time, service string, s *serviceRollout) {
+func (d *dispatcher) state(now time.Time, service string, s *serviceRollout) {
 	want := rollout.InProgress
 	switch {
-	case s.work.Stage() == rollout.Back:
+	case s.work.Stage() == rollout.Reverted:
 		want = rollout.RolledBack
-	case !s.idle.IsZero() && now.Sub(s.idle) >= idleBeforeEnd && now.Sub(s.work.Moved()) >= idleBeforeEnd:
+	case !s.idle.IsZero() && now.Sub(s.idle) >= idleBeforeEnd && now.Sub(s.work.FullSince()) >= idleBeforeEnd:
 		want = rollout.Complete
 	}
 	if want == s.state || s.state == rollout.RolledBack {
@@ -244,16 +244,16 @@
 	}
 	s.due = now.Add(stateRetry)
 	select {
-	case d.statements <- statement{service, rollout.Status{State: want, Target: s.work.Target, Revision: s.known.Status.Revision}}:
+	case d.statusWrites <- rolloutStatusWrite{service, rollout.Status{State: want, Target: s.work.Target, Revision: s.known.Status.Revision}}:
 	default: // tried again
 	}
 }
 
 // rankFor tells how many live gateways come before this one for a service.
-func (d *desk) rankFor(service string) (before int) {
-	own := draw(d.settings.Address + "/" + service)
-	for address := range d.gateways {
-		if draw(address+"/"+service) < own {
+func (d *dispatcher) rankFor(service string) (before int) {
+	own := unitHash(d.settings.Address + "/" + service)
+	for address := range d.peerRunning {
+		if unitHash(address+"/"+service) < own {
 			before++
 		}
 	}
@@ -261,7 +261,7 @@
 }
 
 // stated takes over what the operators have been told.
-func (d *desk) stated(now time.Time, m statedMessage) {
+func (d *dispatcher) stated(now time.Time, m statedMessage) {
 	s := d.rollouts[m.service]
 	if s == nil || m.err != nil || m.status.Revision < s.known.Status.Revision {
 		return
@@ -272,32 +272,32 @@
 }
 
 // placeVersion decides on a request of a service with a roll-out.
-func (d *desk) placeVersion(now time.Time, s *serviceRollout, a *placement.Ask) placement.Decision {
+func (d *dispatcher) placeVersion(now time.Time, s *serviceRollout, a *placement.Request) placement.Decision {
 	defer func() { a.Withheld = nil }()
 	switch {
 	case s.state == rollout.Complete:
 		if now.Sub(s.ended) < endedFor && len(s.target) > 0 {
 			a.Withheld = s.fromTarget
 		}
-		return d.board.Place(now, a)
-	case s.state == rollout.RolledBack || s.work != nil && s.work.Stage() == rollout.Back:
+		return d.balancer.Place(now, a)
+	case s.state == rollout.RolledBack || s.work != nil && s.work.Stage() == rollout.Reverted:
 		a.Withheld = s.fromOthers
-		return d.board.Place(now, a)
+		return d.balancer.Place(now, a)
 	case s.work == nil || len(s.target) == 0:
-		return d.board.Place(now, a)
+		return d.balancer.Place(now, a)
 	}
 	if s.work.Turn() {
 		a.Withheld = s.fromTarget
-		if decision := d.board.Place(now, a); s.takes(decision) {
+		if decision := d.balancer.Place(now, a); s.takes(decision) {
 			return decision
 		}
 	}
-	if len(s.baseline) == 0 && s.work.Share() > 0 {
+	if len(s.baseline) == 0 && s.work.TargetShare() > 0 {
 		a.Withheld = nil // there is no other version: what it gets is all that can be had
-		return d.board.Place(now, a)
+		return d.balancer.Place(now, a)
 	}
 	a.Withheld = s.fromOthers
-	return d.board.Place(now, a)
+	return d.balancer.Place(now, a)
 }
 
 // takes tells whether the target's servers take what was decided for them. While few requests
@@ -308,25 +308,25 @@
 	case placement.Assign:
 		return true
 	case placement.Hold:
-		return s.work.Stage() == rollout.Move
+		return s.work.Stage() == rollout.Full
 	case placement.Refuse:
-		return s.work.Stage() == rollout.Move && (decision.Reason == placement.OverShare || decision.Reason == placement.TooLate)
+		return s.work.Stage() == rollout.Full && (decision.Reason == placement.OverShare || decision.Reason == placement.TooLate)
 	default:
 		return false
 	}
 }
 
 // sentVersion notes that a request of a service with a roll-out was sent.
-func (d *desk) sentVersion(now time.Time, s *serviceRollout, a placement.Assign) {
+func (d *dispatcher) sentVersion(now time.Time, s *serviceRollout, a placement.Assign) {
 	if s.work == nil || s.state == rollout.Complete {
 		return
 	}
 	s.work.Sent(s.fromOthers[a.Server.ID])
-	s.answers[a.Ticket] = &judged{server: a.Server.ID, sent: now, usual: a.Usual, waiting: a.Waiting}
+	s.answers[a.ID] = &judged{server: a.Server.ID, sent: now, usual: a.NominalLatency, waiting: a.QueueTime}
 }
 
-// answered counts how a server has answered.
-func (d *desk) answered(now time.Time, m endedMessage) {
+// recordRolloutAnswer counts how a server has recordRolloutAnswer.
+func (d *dispatcher) recordRolloutAnswer(now time.Time, m attemptEnded) {
 	for _, s := range d.rollouts {
 		if j := s.answers[m.ticket]; j != nil {
 			delete(s.answers, m.ticket)
@@ -336,25 +336,25 @@
 }
 
 // judge counts how a server has answered a request.
-func (s *serviceRollout) judge(now time.Time, j *judged, m endedMessage) {
+func (s *serviceRollout) judge(now time.Time, j *judged, m attemptEnded) {
 	if m.status == 0 || s.work == nil {
 		return
 	}
-	a := rollout.Answer{Failed: m.status >= failedStatus, Pause: m.pause, First: now.Sub(j.sent).Seconds()}
+	a := rollout.Answer{Failed: m.status >= minFailureStatus, EventInterval: m.pause, RelativeLatency: now.Sub(j.sent).Seconds()}
 	if j.usual > 0 {
-		a.First = 0
+		a.RelativeLatency = 0
 		if j.first > 0 {
-			a.First = max(j.first-j.waiting, 0).Seconds() / j.usual.Seconds()
+			a.RelativeLatency = max(j.first-j.waiting, 0).Seconds() / j.usual.Seconds()
 		}
 	}
-	s.work.Answer(uint32(hash(m.route)), uint32(hash(j.server)), s.fromOthers[j.server], a)
+	s.work.Answer(uint32(hashString(m.route)), uint32(hashString(j.server)), s.fromOthers[j.server], a)
 }
 
 // The least status of an answer by which a server says that it has failed.
-const failedStatus = 500
+const minFailureStatus = 500
 
 // startedVersion notes when a request had its first event.
-func (d *desk) startedVersion(now time.Time, ticket uint64) {
+func (d *dispatcher) startedVersion(now time.Time, ticket uint64) {
 	for _, s := range d.rollouts {
 		if j := s.answers[ticket]; j != nil {
 			j.first = now.Sub(j.sent)
@@ -363,7 +363,7 @@
 }
 
 // rolloutNews is what the next beacons tell of roll-outs.
-func (d *desk) rolloutNews(now time.Time) []*peerpb.Rollout {
+func (d *dispatcher) rolloutNews(now time.Time) []*peerpb.Rollout {
 	var list []*peerpb.Rollout
 	for _, s := range d.rollouts {
 		if s.work == nil || s.state == rollout.Complete || s.state == rollout.RolledBack {
@@ -381,7 +381,7 @@
 
 // reportOf encodes what this gateway has seen of a roll-out; bad is how many answers were.
 func reportOf(now time.Time, w *rollout.Rollout) (r *peerpb.Rollout, bad uint32) {
-	r = &peerpb.Rollout{Order: uint64(w.Revision), Stage: uint32(w.Stage()), AgeMs: uint32(max(now.Sub(w.Since), 0).Milliseconds())}
+	r = &peerpb.Rollout{Order: uint64(w.Revision), Stage: uint32(w.Stage()), AgeMs: uint32(max(now.Sub(w.OrderedAt), 0).Milliseconds())}
 	for cell, n := range w.Report() {
 		r.Answers = append(r.Answers, &peerpb.Answers{
 			Route: cell.Route, Server: cell.Server, Target: cell.Target, Answers: n.Answers, Failed: n.Failed, Slow: n.Slow,
@@ -394,7 +394,7 @@
 }
 
 // hearRollouts takes over what another gateway has seen of roll-outs.
-func (d *desk) hearRollouts(now time.Time, from string, list []*peerpb.Rollout) {
+func (d *dispatcher) hearRollouts(now time.Time, from string, list []*peerpb.Rollout) {
 	for _, r := range list {
 		for _, s := range d.rollouts {
 			if s.work == nil || uint64(s.work.Revision) != r.Order {
@@ -402,32 +402,32 @@
 			}
 			report := make(rollout.Report, len(r.Answers))
 			for _, a := range r.Answers {
-				report[rollout.Cell{Target: a.Target, Route: a.Route, Server: a.Server}] = rollout.Count{Answers: a.Answers, Failed: a.Failed, Slow: a.Slow}
+				report[rollout.CountKey{Target: a.Target, Route: a.Route, Server: a.Server}] = rollout.Count{Answers: a.Answers, Failed: a.Failed, Slow: a.Slow}
 			}
-			s.work.Hear(from, report, min(rollout.Stage(r.Stage), rollout.Back), before(now, int64(r.AgeMs)))
+			s.work.Hear(from, report, min(rollout.Stage(r.Stage), rollout.Reverted), timeAgo(now, int64(r.AgeMs)))
 		}
 	}
 }
 
-// writeStatements tells the operators how far roll-outs are, until ctx ends.
-func (g *Gateway) writeStatements(ctx context.Context) {
+// writeRolloutStatuses tells the operators how far roll-outs are, until ctx ends.
+func (g *Gateway) writeRolloutStatuses(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case s := <-g.statements:
+		case s := <-g.statusWrites:
 			if g.options.Rollouts == nil || g.stopping.Load() {
 				continue
 			}
-			g.desk.tell(g.writeStatement(ctx, s))
+			g.dispatcher.send(g.writeStatement(ctx, s))
 		}
 	}
 }
 
-func (g *Gateway) writeStatement(ctx context.Context, s statement) statedMessage {
+func (g *Gateway) writeStatement(ctx context.Context, s rolloutStatusWrite) statedMessage {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
-	now, err := g.options.Rollouts.State(ctx, s.service, s.status)
+	now, err := g.options.Rollouts.UpdateStatus(ctx, s.service, s.status)
 	e := g.log.Info().Str("event", "rollout.stated").Str("service", s.service).Str("target", s.status.Target).Stringer("state", s.status.State)
 	switch {
 	case err != nil:
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -41,41 +41,41 @@
 
 // Options set up a Gateway.
 type Options struct {
-	Front     net.Listener // callers
-	Ready     net.Listener // the balancer's questions
-	ReadyPath string
-	Peers     net.Listener // views for other gateways, on the address of Peer
-	Peer      peer.Options // State and Failed are set by New
-	Source    Source
-	Caches    Caches   // nil: servers don't tell what their caches hold
-	Claims    Claims   // nil: cold servers get nothing
-	Rollouts  Rollouts // nil: operators are not told how far roll-outs are
-	Suspects  Suspects // nil: what requests have done to servers is forgotten with the gateways
-	Codec     protocol.Codec
-	Desk      DeskSettings
-	Processor int           // thousandths of a core that the process may use
-	Memory    int64         // bytes that it may use; 0: no limit
-	Files     int           // descriptors that it may open; 0: no limit
-	StopGrace time.Duration // a planned stop ends after this time at the latest
-	Log       zerolog.Logger
-	Metrics   Metrics
+	CallerListener net.Listener // callers
+	ReadyListener  net.Listener // the balancer's questions
+	ReadyPath      string
+	PeerListener   net.Listener // views for other gateways, on the address of Peer
+	Peer           peer.Options // State and Failed are set by New
+	Source         Source
+	Caches         Caches       // nil: servers don't tell what their caches hold
+	Claims         ClaimStore   // nil: cold servers get nothing
+	Rollouts       RolloutStore // nil: operators are not told how far roll-outs are
+	Suspects       SuspectStore // nil: what requests have done to servers is forgotten with the gateways
+	Codec          protocol.Codec
+	Dispatcher     DispatcherOptions
+	MilliCPU       int           // thousandths of a core that the process may use
+	MemoryLimit    int64         // bytes that it may use; 0: no limit
+	FileLimit      int           // descriptors that it may open; 0: no limit
+	ShutdownGrace  time.Duration // a planned stop ends after this time at the latest
+	Log            zerolog.Logger
+	Metrics        Metrics
 }
 
 // Metrics hears how requests end. Its methods must not block.
 type Metrics interface {
-	// Ended tells of a request's end: its route's kind, outcome and times.
-	Ended(o Outcome)
+	// RequestEnded tells of a request's end: its route's kind, outcome and times.
+	RequestEnded(o Outcome)
 }
 
 // Outcome is how a request ended.
 type Outcome struct {
-	Service  string
-	Account  string
-	Kind     string // "stream", "repeatable", "one-shot"
-	Result   string // "served", "late", "refused", "barred", "failed", "left", "cut", "denied"
-	First    time.Duration
-	Whole    time.Duration
-	Attempts int
+	Service   string
+	Account   string
+	Kind      string // "stream", "repeatable", "one-shot"
+	Result    string // "served", "late", "refused", "barred", "failed", "left", "cut", "denied"
+	FirstByte time.Duration
+	Total     time.Duration
+	Attempts  int
 }
 
 // Gateway is one gateway of a fleet.
@@ -86,74 +86,74 @@
 	view    atomic.Pointer[View]
 	// When the view was last known to be the store's latest, as time since started:
 	// the steady clock, not the time of day.
-	confirmed atomic.Int64
-	watches   atomic.Bool // this gateway watches the store for its hall
-	storeAway atomic.Bool // own calls to the store fail
+	confirmed        atomic.Int64
+	watchesStore     atomic.Bool // this gateway watches the store for its hall
+	storeUnreachable atomic.Bool // own calls to the store fail
 	// Other gateways of the hall whose calls fail as well.
-	awayBeside atomic.Int64
-	desk       *desk
-	pool       *upstream.Pool
-	peers      *peer.Node
-	follower   *follower
-	whole      wholeView
-	claims     chan warmup.Claim // to be written
-	statements chan statement    // to be told to the operators
-	crashes    *crashes
-	suspects   *suspects
-	underWay   *underWay
-	signals    *signals
-	returned   returned
-	stopping   atomic.Bool
-	active     atomic.Int64 // requests being served
-	room       room
-	helpers    *helpers
-	passer     *passer         // set by serve
-	duties     context.Context // of what runs beside requests; set by serve
-	overload   overload
+	hallPeersWithoutStore atomic.Int64
+	dispatcher            *dispatcher
+	pool                  *upstream.Pool
+	peers                 *peer.Node
+	storeWatcher          *storeWatcher
+	whole                 wholeView
+	claims                chan warmup.Claim       // to be written
+	statusWrites          chan rolloutStatusWrite // to be told to the operators
+	crashes               *crashDetector
+	suspects              *suspectTracker
+	activeCalls           *activeCalls
+	signals               *serverSignals
+	returned              returned
+	stopping              atomic.Bool
+	active                atomic.Int64 // requests being served
+	room                  room
+	helpers               *helpers
+	passer                *passer         // set by serve
+	duties                context.Context // of what runs beside requests; set by serve
+	overload              overload
 }
 
 // New returns a gateway that does not run yet.
 func New(o Options) (*Gateway, error) {
 	if host, _, err := net.SplitHostPort(o.Peer.Address); err == nil {
-		o.Desk.Address = host // peer.Listen says what is wrong with another one
+		o.Dispatcher.Address = host // peer.Listen says what is wrong with another one
 	}
 	g := &Gateway{options: o, log: o.Log, started: time.Now(), pool: upstream.NewPool(o.Codec)}
 	g.view.Store(&View{})
-	g.room = roomFor(o.Memory, o.Files)
-	g.helpers = &helpers{hall: o.Desk.Hall, list: map[string]int{}}
-	g.claims = make(chan warmup.Claim, claimQueue)
-	g.desk = newDesk(o.Log, o.Desk, time.Now())
-	g.desk.claims = g.claims
-	g.statements = make(chan statement, stateQueue)
-	g.desk.statements = g.statements
-	g.desk.fresh = func(now time.Time) bool { return now.Sub(g.confirmedAt()) <= unconfirmed }
-	g.desk.late = g.overload.worst
-	g.suspects = newSuspects(o.Log, o.Desk.Address, func() int { return int(g.desk.peersAlive.Load()) + 1 })
+	g.room = roomFor(o.MemoryLimit, o.FileLimit)
+	g.helpers = &helpers{hall: o.Dispatcher.Hall, list: map[string]int{}}
+	g.claims = make(chan warmup.Claim, claimQueueSize)
+	g.dispatcher = newDispatcher(o.Log, o.Dispatcher, time.Now())
+	g.dispatcher.claims = g.claims
+	g.statusWrites = make(chan rolloutStatusWrite, statusQueueSize)
+	g.dispatcher.statusWrites = g.statusWrites
+	g.dispatcher.viewFresh = func(now time.Time) bool { return now.Sub(g.confirmedAt()) <= confirmationTimeout }
+	g.dispatcher.lateness = g.overload.worst
+	g.suspects = newSuspectTracker(o.Log, o.Dispatcher.Address, func() int { return int(g.dispatcher.livePeers.Load()) + 1 })
 	g.suspects.store = o.Suspects
-	g.crashes = newCrashes(o.Log, g.suspects.ended)
-	g.underWay = newUnderWay()
-	g.signals = newSignals()
-	g.pool.Heard = g.heed
-	o.Peer.Hall = o.Desk.Hall
+	g.crashes = newCrashDetector(o.Log, g.suspects.serverCrashed)
+	g.activeCalls = newActiveCalls()
+	g.signals = newServerSignals()
+	g.pool.OnSignal = g.handleSignal
+	o.Peer.Hall = o.Dispatcher.Hall
 	o.Peer.State = g.tell
-	g.watches.Store(true) // until others are known
-	o.Peer.Failed = func(err error) { g.log.Debug().Str("event", "peer.datagram").Err(err).Msg("passed over") }
+	g.watchesStore.Store(true) // until others are known
+	o.Peer.OnError = func(err error) { g.log.Debug().Str("event", "peer.datagram").Err(err).Msg("passed over") }
 	peers, err := peer.Listen(o.Peer)
 	if err != nil {
 		return nil, err
 	}
-	g.peers, g.desk.peers, g.suspects.peers = peers, peers, peers
-	g.follower = newFollower(g)
+	g.peers, g.dispatcher.peers, g.suspects.peers = peers, peers, peers
+	g.storeWatcher = newStoreWatcher(g)
 	return g, nil
 }
 
 // tell is what the others hear of this gateway.
 func (g *Gateway) tell() peer.State {
-	s := *g.desk.telling.Load()
+	s := *g.dispatcher.peerState.Load()
 	v := g.view.Load()
-	s.StoreRevision, s.Confirmed, s.StoreAway = v.Revision, g.confirmedAt(), g.storeAway.Load()
+	s.StoreRevision, s.ConfirmedAt, s.StoreUnreachable = v.Revision, g.confirmedAt(), g.storeUnreachable.Load()
 	if !g.overload.short(time.Now()) && !g.stopping.Load() {
-		s.Weight = g.options.Processor
+		s.Weight = g.options.MilliCPU
 	}
 	if v.Configuration != nil {
 		s.ConfigurationVersion = v.Configuration.Version
@@ -182,20 +182,20 @@
 	defer cancel()
 	group := duty.NewGroup()
 	group.Go(duties, "peers", g.peers.Run)
-	group.Go(duties, "desk", g.desk.run)
-	group.Go(duties, "follower", g.follower.run)
+	group.Go(duties, "desk", g.dispatcher.run)
+	group.Go(duties, "follower", g.storeWatcher.run)
 	group.Go(duties, "news", g.hear)
 	group.Go(duties, "idle", g.closeIdle)
-	group.Go(duties, "caches", g.askCaches)
+	group.Go(duties, "caches", g.queryCaches)
 	group.Go(duties, "claims", g.writeClaims)
-	group.Go(duties, "statements", g.writeStatements)
+	group.Go(duties, "statements", g.writeRolloutStatuses)
 	group.Go(duties, "suspects", g.suspects.write)
-	group.Go(duties, "barred", g.takeBackBarred)
-	for range probers {
-		group.Go(duties, "probes", g.crashes.probe)
+	group.Go(duties, "barred", g.cancelQuarantinedCalls)
+	for range probeWorkers {
+		group.Go(duties, "probes", g.crashes.runProbes)
 	}
 	group.Go(duties, "overload", func(ctx context.Context) { g.overload.run(ctx, g) })
-	g.log.Info().Str("event", "start").Str("front", g.options.Front.Addr().String()).Msg("gateway")
+	g.log.Info().Str("event", "start").Str("front", g.options.CallerListener.Addr().String()).Msg("gateway")
 	err := g.serve(ctx, duties)
 	cancel()
 	group.Collect(duties)
@@ -211,20 +211,20 @@
 	Servers              int
 	Peers                int
 	Active               int           // requests in hand
-	Lateness             time.Duration // of the process, as of the latest measurement
-	Admitted             float64       // share of requests that the process has time for
+	SchedulingDelay      time.Duration // of the process, as of the latest measurement
+	AdmittedShare        float64       // share of requests that the process has time for
 	Suspects             int           // requests that were at servers when these ended
-	Barred               int           // of them, those that reach no server any more
-	SaidLeaving          int           // servers that have said in answers that they leave
-	Resting              int           // servers that have asked this gateway for rest
+	Quarantined          int           // of them, those that reach no server any more
+	AnnouncedLeaving     int           // servers that have said in answers that they leave
+	BackingOff           int           // servers that have asked this gateway for rest
 }
 
 // Status returns what the gateway believes now.
 func (g *Gateway) Status() Status {
 	v := g.view.Load()
-	s := Status{StoreEra: v.Revision.Era(), ViewAge: time.Since(g.confirmedAt()), Servers: len(v.Servers), Peers: int(g.desk.peersAlive.Load()), Active: int(g.active.Load()), Lateness: time.Duration(g.overload.lateness.Load()), Admitted: g.overload.share()}
-	s.SaidLeaving, s.Resting = g.signals.counts(time.Now())
-	s.Suspects, s.Barred = int(g.suspects.known.Load()), g.suspects.barred()
+	s := Status{StoreEra: v.Revision.Era(), ViewAge: time.Since(g.confirmedAt()), Servers: len(v.Servers), Peers: int(g.dispatcher.livePeers.Load()), Active: int(g.active.Load()), SchedulingDelay: time.Duration(g.overload.lateness.Load()), AdmittedShare: g.overload.share()}
+	s.AnnouncedLeaving, s.BackingOff = g.signals.count(time.Now())
+	s.Suspects, s.Quarantined = int(g.suspects.suspectCount.Load()), g.suspects.barredCount()
 	if v.Configuration != nil {
 		s.ConfigurationVersion = v.Configuration.Version
 	}
--- a/gateway/handed_view.go
+++ b/gateway/handed_view.go
@@ -9,41 +9,41 @@
 
 // This file takes over what other gateways tell of their views.
 
-// handover is a view that another gateway has told.
-type handover struct {
-	from     string
-	snapshot Snapshot
-	halls    map[string]evacuation // that are evacuated
-	cold     map[string]coldness   // by server
-	rollouts map[string]ordered    // by service; all of them
-	revived  []catalog.Server      // that a copy names and that are kept back
-	settled  time.Time             // until then the store may lack what it had
-	partial  bool                  // only what has changed since a revision that this gateway has passed
-	gone     []string              // servers that are no more; only if partial
-	cleared  []quarantine.Key      // requests that are no suspects any more; only if partial
-	left     []string              // servers that have said that they leave
+// peerView is a view that another gateway has told.
+type peerView struct {
+	from            string
+	snapshot        Snapshot
+	evacuations     map[string]evacuation    // that are evacuated
+	cold            map[string]coldState     // by server
+	rollouts        map[string]rolloutRecord // by service; all of them
+	unverified      []catalog.Server         // that a copy names and that are kept back
+	reconcileUntil  time.Time                // until then the store may lack what it had
+	partial         bool                     // only what has changed since a revision that this gateway has passed
+	removedServers  []string                 // servers that are no more; only if partial
+	removedSuspects []quarantine.Key         // requests that are no suspects any more; only if partial
+	leaving         []string                 // servers that have said that they leave
 	// Without it a whole view leaves what is known of suspects.
-	suspectsTold bool
-	confirmed    time.Time // when it was the store's latest
+	hasSuspects bool
+	confirmed   time.Time // when it was the store's latest
 }
 
-// takeHandover takes over the view of another gateway if it is newer than the own one.
-func (f *follower) takeHandover(now time.Time, h handover) {
+// applyPeerView takes over the view of another gateway if it is newer than the own one.
+func (f *storeWatcher) applyPeerView(now time.Time, h peerView) {
 	f.now = now
-	f.gateway.hearLeaves(now, h.from, h.left)
+	f.gateway.applyPeerLeaving(now, h.from, h.leaving)
 	v := f.gateway.view.Load()
 	if h.snapshot.Revision <= v.Revision {
 		f.takeConfiguration(v, h)
 		return
 	}
 	f.gateway.log.Info().Str("event", "view.handed_over").Str("peer", h.from).
-		EmbedObject(atRevision(h.snapshot.Revision)).Stringer("before", v.Revision).Bool("partial", h.partial).Msg("a gateway knows more than the store tells")
+		EmbedObject(revisionFields(h.snapshot.Revision)).Stringer("before", v.Revision).Bool("partial", h.partial).Msg("a gateway knows more than the store tells")
 	if h.snapshot.Revision.Era() > v.Revision.Era() {
-		f.enter(h.snapshot.Revision, h.settled)
+		f.enter(h.snapshot.Revision, h.reconcileUntil)
 	}
-	f.mark = h.snapshot.Revision
-	f.takeWarmth(now, h)
-	f.takeRollouts(now, h.rollouts)
+	f.changeRevision = h.snapshot.Revision
+	f.applyPeerCold(now, h)
+	f.applyPeerRollouts(now, h.rollouts)
 	if h.partial {
 		f.takePart(h)
 	} else {
@@ -54,30 +54,30 @@
 
 // takeConfiguration takes over a later configuration of a gateway that knows no more of the
 // store: a copy may be older than the one that this gateway has started with.
-func (f *follower) takeConfiguration(v *View, h handover) {
+func (f *storeWatcher) takeConfiguration(v *View, h peerView) {
 	c := h.snapshot.Configuration
 	if c == nil || v.Configuration == nil || c.Version <= v.Configuration.Version {
 		return
 	}
 	f.gateway.log.Info().Str("event", "configuration.handed_over").Str("peer", h.from).Uint64("version", c.Version).Msg("later than what the store tells")
-	f.publish(c, h.snapshot.Raw, v.Revision)
+	f.publish(c, h.snapshot.RawConfiguration, v.Revision)
 }
 
 // takeWhole takes over the whole view of another gateway.
-func (f *follower) takeWhole(h handover) {
-	f.log.restart(h.snapshot.Revision)
+func (f *storeWatcher) takeWhole(h peerView) {
+	f.serverChanges.restart(h.snapshot.Revision)
 	f.suspectLog.restart(h.snapshot.Revision)
-	if !h.suspectsTold {
+	if !h.hasSuspects {
 		h.snapshot.Suspects = f.suspects
 	}
-	if !f.settling(f.now) {
+	if !f.reconciling(f.now) {
 		clear(f.missing)
 	}
-	for id, until := range h.snapshot.Missing {
+	for id, until := range h.snapshot.MissingUntil {
 		f.missing[id] = until
 	}
-	for _, s := range h.revived {
-		if f.settling(f.now) {
+	for _, s := range h.unverified {
+		if f.reconciling(f.now) {
 			f.hold(s)
 		}
 	}
@@ -86,16 +86,16 @@
 
 // takePart takes over what has changed at another gateway. Servers that are missing here
 // only stay so: the other one may have dropped them before.
-func (f *follower) takePart(h handover) {
+func (f *storeWatcher) takePart(h peerView) {
 	for _, server := range h.snapshot.Servers {
 		delete(f.revived, server.Name())
 		f.set(server)
 	}
-	for _, id := range h.gone {
+	for _, id := range h.removedServers {
 		delete(f.revived, catalog.ServerName(id))
 		f.drop(id)
 	}
-	for id, until := range h.snapshot.Missing {
+	for id, until := range h.snapshot.MissingUntil {
 		if _, known := f.servers[id]; known {
 			f.missing[id] = until
 		}
@@ -103,8 +103,8 @@
 	for key, kept := range h.snapshot.Suspects {
 		f.setSuspect(key, kept)
 	}
-	for _, key := range h.cleared {
+	for _, key := range h.removedSuspects {
 		f.dropSuspect(key)
 	}
-	f.publish(h.snapshot.Configuration, h.snapshot.Raw, h.snapshot.Revision)
+	f.publish(h.snapshot.Configuration, h.snapshot.RawConfiguration, h.snapshot.Revision)
 }
--- a/gateway/handoff/handoff.go
+++ b/gateway/handoff/handoff.go
@@ -60,8 +60,8 @@
 )
 
 // linkSilence finds links that have gone silent.
-var linkSilence = upstream.Silence{
-	Unacknowledged: 1500 * time.Millisecond, ProbeIdle: time.Second, ProbeInterval: 500 * time.Millisecond, Probes: 3,
+var linkSilence = upstream.KeepAlive{
+	UserTimeout: 1500 * time.Millisecond, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3,
 }
 
 func linkConfig() *yamux.Config {
@@ -75,20 +75,20 @@
 	return c
 }
 
-// ErrNotCarried means that no byte of the connection was passed on, and the caller has
+// ErrNotForwarded means that no byte of the connection was passed on, and the caller has
 // got no answer: it can still be served in another way.
-var ErrNotCarried = errors.New("handoff: no link")
+var ErrNotForwarded = errors.New("handoff: no link")
 
-// Carrier carries connections to other gateways. It is safe for use by several
+// Forwarder carries connections to other gateways. It is safe for use by several
 // goroutines.
-type Carrier struct {
+type Forwarder struct {
 	mutex  sync.Mutex
 	links  map[string]*link // by address
 	closed bool
 }
 
-// NewCarrier returns a carrier without links.
-func NewCarrier() *Carrier { return &Carrier{links: map[string]*link{}} }
+// NewForwarder returns a carrier without links.
+func NewForwarder() *Forwarder { return &Forwarder{links: map[string]*link{}} }
 
 // link is the way to one gateway.
 type link struct {
@@ -98,7 +98,7 @@
 }
 
 // Close breaks all links, and so the connections that are being carried.
-func (c *Carrier) Close() {
+func (c *Forwarder) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.closed = true
@@ -117,10 +117,10 @@
 
 // Carry passes a caller's connection on to the gateway at an address until it has ended,
 // and closes it. With ErrNotCarried it is still open and untouched.
-func (c *Carrier) Carry(ctx context.Context, address string, conn net.Conn) error {
+func (c *Forwarder) Carry(ctx context.Context, address string, conn net.Conn) error {
 	stream, err := c.open(ctx, address)
 	if err != nil {
-		return errors.CombineErrors(ErrNotCarried, err)
+		return errors.CombineErrors(ErrNotForwarded, err)
 	}
 	e := exchange{caller: conn, stream: stream}
 	e.run()
@@ -128,7 +128,7 @@
 }
 
 // open opens a stream to a gateway.
-func (c *Carrier) open(ctx context.Context, address string) (*yamux.Stream, error) {
+func (c *Forwarder) open(ctx context.Context, address string) (*yamux.Stream, error) {
 	c.mutex.Lock()
 	l := c.links[address]
 	if l == nil {
@@ -208,10 +208,10 @@
 	return session, errors.Wrap(err, "handoff: open link")
 }
 
-// Leaver is a connection that can tell, without reading, whether its caller has closed it.
+// CloseChecker is a connection that can tell, without reading, whether its caller has closed it.
 // It is looked at before each piece of a request goes on, so that a request whose caller
 // left while it lay here is never passed on whole.
-type Leaver interface{ Left() bool }
+type CloseChecker interface{ Left() bool }
 
 // exchange passes bytes between a caller and a stream.
 type exchange struct {
@@ -264,7 +264,7 @@
 	defer requestPieces.Put(piece)
 	for {
 		n, err := e.caller.Read(piece[:])
-		if l, ok := e.caller.(Leaver); ok && n > 0 && l.Left() {
+		if l, ok := e.caller.(CloseChecker); ok && n > 0 && l.Left() {
 			e.stream.Close()
 			return
 		}
--- a/gateway/handoff/handoff_test.go
+++ b/gateway/handoff/handoff_test.go
@@ -19,7 +19,7 @@
 // fleet is a gateway that callers connect to, and one that serves them.
 type fleet struct {
 	t       *testing.T
-	carrier *handoff.Carrier
+	carrier *handoff.Forwarder
 	peer    string // address of the serving gateway
 	front   net.Listener
 	ended   chan error // of each connection that was carried
@@ -49,7 +49,7 @@
 	ends := make(chan error, 2)
 	go func() { ends <- links.Serve(peers) }()
 	go func() { ends <- server.Serve(taken) }()
-	f := &fleet{t: t, carrier: handoff.NewCarrier(), peer: peers.Addr().String(), front: front, ended: make(chan error, 100), cut: cut}
+	f := &fleet{t: t, carrier: handoff.NewForwarder(), peer: peers.Addr().String(), front: front, ended: make(chan error, 100), cut: cut}
 	go f.accept()
 	t.Cleanup(func() {
 		front.Close()
@@ -211,12 +211,12 @@
 	require.NoError(t, err)
 	address := l.Addr().String()
 	l.Close()
-	carrier := handoff.NewCarrier()
+	carrier := handoff.NewForwarder()
 	defer carrier.Close()
 	caller, conn := net.Pipe()
 	defer caller.Close()
 	for range 3 {
-		require.ErrorIs(t, carrier.Carry(t.Context(), address, conn), handoff.ErrNotCarried)
+		require.ErrorIs(t, carrier.Carry(t.Context(), address, conn), handoff.ErrNotForwarded)
 	}
 	go func() { _, _ = conn.Write([]byte("still open")) }()
 	got := make([]byte, 10)
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -23,7 +23,7 @@
 	viewPath = "/view"
 	// The store's own news are waited for this long before a gateway is asked that
 	// says it knows more.
-	handoverAfter   = 300 * time.Millisecond
+	handoverDelay   = 300 * time.Millisecond
 	handoverTimeout = time.Second
 	// A view holds the configuration (1 MB at most) in base64 and the servers.
 	longestView = 16 << 20
@@ -38,9 +38,9 @@
 	// milliseconds.
 	Missing map[string]int64 `json:"missing,omitempty"`
 	// Evacuated are the halls that are evacuated.
-	Evacuated map[string]evacuatedDocument `json:"evacuated,omitempty"`
-	Cold      map[string]coldDocument      `json:"cold,omitempty"`     // by server
-	Rollouts  map[string]rolloutDocument   `json:"rollouts,omitempty"` // by service
+	Evacuated map[string]evacuationDocument `json:"evacuated,omitempty"`
+	Cold      map[string]coldDocument       `json:"cold,omitempty"`     // by server
+	Rollouts  map[string]rolloutDocument    `json:"rollouts,omitempty"` // by service
 	// Suspects are the servers that ended under a request, by its key's text.
 	Suspects map[string][]string `json:"suspects,omitempty"`
 	// Doubts tell of those whose servers ended at one moment how often they were tried. They
@@ -51,29 +51,29 @@
 	SuspectsTold bool `json:"suspects_told,omitempty"`
 	// Partial is true if Servers, Gone, Cold, Suspects and Cleared hold only what has changed
 	// since the revision that was asked for, and Configuration only a later version.
-	Partial bool     `json:"partial,omitempty"`
-	Gone    []string `json:"gone,omitempty"`    // servers that are no more
-	Cleared []string `json:"cleared,omitempty"` // keys of requests that are no suspects any more
+	Partial        bool     `json:"partial,omitempty"`
+	RemovedServers []string `json:"gone,omitempty"`    // servers that are no more
+	Cleared        []string `json:"cleared,omitempty"` // keys of requests that are no suspects any more
 	// Revived are servers that a copy names and that are kept back; not if Partial.
 	Revived []catalog.Server `json:"revived,omitempty"`
 	// SettleMS tells for how much longer the store may lack what it had, in milliseconds.
 	SettleMS int64 `json:"settle_ms,omitempty"`
-	// Left are all lifetimes of servers that have said that they leave, also if Partial.
-	Left []string `json:"left,omitempty"`
+	// Leaving are all lifetimes of servers that have said that they leave, also if Partial.
+	Leaving []string `json:"left,omitempty"`
 }
 
 // changes is what of the view has changed since a revision, for a gateway that knows it and
 // a version of the configuration; ok is false if that is not known any more.
 func (v *View) changes(now time.Time, revision catalog.Revision, version uint64) (d viewDocument, ok bool) {
-	d = viewDocument{Revision: v.Revision, Partial: true, Left: v.Left, SettleMS: ahead(now, v.Settled)}
+	d = viewDocument{Revision: v.Revision, Partial: true, Leaving: v.ReportedLeaving, SettleMS: millisUntil(now, v.ReconcileUntil)}
 	if v.Configuration != nil && v.Configuration.Version > version {
-		d.Configuration = v.Raw
+		d.Configuration = v.RawConfiguration
 	}
 	if revision > v.Revision {
 		return d, true // who asks knows more of the store
 	}
-	ids, ok := v.log.since(revision)
-	keys, suspectsKnown := v.suspectLog.since(revision)
+	ids, ok := v.serverChanges.since(revision)
+	keys, suspectsKnown := v.suspectChanges.since(revision)
 	if !ok || !suspectsKnown {
 		return d, false
 	}
@@ -81,12 +81,12 @@
 		if s, known := v.server(id); known {
 			d.Servers = append(d.Servers, s)
 		} else {
-			d.Gone = append(d.Gone, id)
+			d.RemovedServers = append(d.RemovedServers, id)
 		}
 	}
 	d.addMissing(now, v)
 	d.addRollouts(now, v)
-	d.addWarmth(now, v, func(server string) bool { return ids[server] })
+	d.addCold(now, v, func(server string) bool { return ids[server] })
 	d.addSuspects(v, func(key string) bool { return keys[key] })
 	for key := range keys {
 		if _, still := d.Suspects[key]; !still {
@@ -98,10 +98,10 @@
 
 // document is the whole view as it goes to another gateway.
 func (v *View) document(now time.Time) viewDocument {
-	d := viewDocument{Configuration: v.Raw, Servers: v.Servers, Revision: v.Revision, Left: v.Left, Revived: v.Revived, SettleMS: ahead(now, v.Settled)}
+	d := viewDocument{Configuration: v.RawConfiguration, Servers: v.Servers, Revision: v.Revision, Leaving: v.ReportedLeaving, Revived: v.Unverified, SettleMS: millisUntil(now, v.ReconcileUntil)}
 	d.addMissing(now, v)
 	d.addRollouts(now, v)
-	d.addWarmth(now, v, func(string) bool { return true })
+	d.addCold(now, v, func(string) bool { return true })
 	d.addSuspects(v, func(string) bool { return true })
 	d.SuspectsTold = true
 	return d
@@ -117,20 +117,20 @@
 			d.Suspects, d.Doubts = map[string][]string{}, map[string]int{}
 		}
 		d.Suspects[text] = kept.Servers
-		if kept.AtOnce {
-			d.Doubts[text] = kept.Tries
+		if kept.Simultaneous {
+			d.Doubts[text] = kept.Probes
 		}
 	}
 }
 
 // suspects returns what a view that has arrived tells of suspects. What can't be read is
 // passed over: other gateways write only what can.
-func (d viewDocument) suspects() (changed map[quarantine.Key]quarantine.Kept, cleared []quarantine.Key) {
-	changed = map[quarantine.Key]quarantine.Kept{}
+func (d viewDocument) suspects() (changed map[quarantine.Key]quarantine.StoredRecord, cleared []quarantine.Key) {
+	changed = map[quarantine.Key]quarantine.StoredRecord{}
 	for text, servers := range d.Suspects {
 		if key, err := quarantine.ParseKey(text); err == nil {
 			tries, atOnce := d.Doubts[text]
-			changed[key] = quarantine.Kept{Servers: servers, AtOnce: atOnce, Tries: tries}
+			changed[key] = quarantine.StoredRecord{Servers: servers, Simultaneous: atOnce, Probes: tries}
 		}
 	}
 	for _, text := range d.Cleared {
@@ -142,7 +142,7 @@
 }
 
 func (d *viewDocument) addMissing(now time.Time, v *View) {
-	for id, until := range v.Missing {
+	for id, until := range v.MissingUntil {
 		if d.Missing == nil {
 			d.Missing = map[string]int64{}
 		}
@@ -150,29 +150,29 @@
 	}
 }
 
-// snapshot is what a view that has arrived tells, but for the configuration.
-func (d viewDocument) snapshot(now time.Time) Snapshot {
-	s := Snapshot{Raw: d.Configuration, Servers: d.Servers, Revision: d.Revision, Missing: map[string]time.Time{}}
+// decodeSnapshot is what a view that has arrived tells, but for the configuration.
+func (d viewDocument) decodeSnapshot(now time.Time) Snapshot {
+	s := Snapshot{RawConfiguration: d.Configuration, Servers: d.Servers, Revision: d.Revision, MissingUntil: map[string]time.Time{}}
 	for id, ms := range d.Missing {
-		s.Missing[id] = now.Add(time.Duration(ms) * time.Millisecond)
+		s.MissingUntil[id] = now.Add(time.Duration(ms) * time.Millisecond)
 	}
 	return s
 }
 
-// handover is what a view that has arrived tells, but for the configuration and who told it.
-func (d viewDocument) handover(now time.Time) handover {
-	h := handover{snapshot: d.snapshot(now), partial: d.Partial, gone: d.Gone, left: d.Left, revived: d.Revived, suspectsTold: d.SuspectsTold}
-	h.settled = now.Add(time.Duration(d.SettleMS) * time.Millisecond)
-	h.halls, h.cold = d.warmth(now)
-	h.rollouts = d.rollouts(now)
-	h.snapshot.Suspects, h.cleared = d.suspects()
+// peerView is what a view that has arrived tells, but for the configuration and who told it.
+func (d viewDocument) peerView(now time.Time) peerView {
+	h := peerView{snapshot: d.decodeSnapshot(now), partial: d.Partial, removedServers: d.RemovedServers, leaving: d.Leaving, unverified: d.Revived, hasSuspects: d.SuspectsTold}
+	h.reconcileUntil = now.Add(time.Duration(d.SettleMS) * time.Millisecond)
+	h.evacuations, h.cold = d.decodeCold(now)
+	h.rollouts = d.decodeRollouts(now)
+	h.snapshot.Suspects, h.removedSuspects = d.suspects()
 	return h
 }
 
 // serveView answers another gateway that asks for the view.
 func (g *Gateway) serveView(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	packed, err := g.packedView(time.Now(), r.URL.Query())
+	packed, err := g.encodedView(time.Now(), r.URL.Query())
 	if err == nil {
 		_, err = w.Write(packed)
 	}
@@ -187,9 +187,9 @@
 	versionKey = "version"
 )
 
-// packedView returns what a gateway is told that asks for the view: what has changed since
+// encodedView returns what a gateway is told that asks for the view: what has changed since
 // the revision that it knows, or all.
-func (g *Gateway) packedView(now time.Time, known url.Values) ([]byte, error) {
+func (g *Gateway) encodedView(now time.Time, known url.Values) ([]byte, error) {
 	v := g.view.Load()
 	since, err := strconv.ParseUint(known.Get(sinceKey), 10, 64)
 	version, versionErr := strconv.ParseUint(known.Get(versionKey), 10, 64)
@@ -231,43 +231,43 @@
 
 // hear takes up what other gateways tell, until their channel is closed.
 func (g *Gateway) hear(ctx context.Context) {
-	h := hearing{gateway: g, halls: map[string]string{}, away: map[string]bool{}, ended: make(chan struct{}, 1)}
+	h := updateReceiver{gateway: g, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
 	for {
 		select {
-		case <-h.ended:
-			h.asking = false
+		case <-h.fetched:
+			h.fetching = false
 		case list, open := <-g.peers.Updates():
 			if !open {
-				if h.asking {
-					<-h.ended
+				if h.fetching {
+					<-h.fetched
 				}
 				return
 			}
-			g.desk.tell(updateMessage{list})
+			g.dispatcher.send(peersUpdated{list})
 			for _, u := range list {
 				g.helpers.update(u)
 				g.returned.told(time.Now(), u.Refusals)
-				g.suspects.live(u.From, u.Alive)
-				g.suspects.hear(time.Now(), u.Ends, u.Answered)
-				g.hearLeaves(time.Now(), u.From, u.Leaves)
-				h.take(ctx, time.Now(), u)
+				g.suspects.setPeerLive(u.From, u.Alive)
+				g.suspects.applyPeerReports(time.Now(), u.Crashes, u.Cleared)
+				g.applyPeerLeaving(time.Now(), u.From, u.LeavingServers)
+				h.handle(ctx, time.Now(), u)
 			}
 		}
 	}
 }
 
-// hearing is the state of the duty that hears other gateways.
-type hearing struct {
-	gateway *Gateway
-	halls   map[string]string // of live gateways that reach the store, by address
-	away    map[string]bool   // live gateways of the own hall that don't reach it
-	ahead   catalog.Revision  // the highest revision that was told
-	behind  time.Time         // since when a gateway knows more of the store; zero: none does
-	asking  bool              // a view is being fetched
-	ended   chan struct{}     // tells that it was
+// updateReceiver is the state of the duty that hears other gateways.
+type updateReceiver struct {
+	gateway      *Gateway
+	halls        map[string]string // of live gateways that reach the store, by address
+	withoutStore map[string]bool   // live gateways of the own hall that don't reach it
+	ahead        catalog.Revision  // the highest revision that was told
+	behind       time.Time         // since when a gateway knows more of the store; zero: none does
+	fetching     bool              // a view is being fetched
+	fetched      chan struct{}     // tells that it was
 }
 
-func (h *hearing) take(ctx context.Context, now time.Time, u peer.Update) {
+func (h *updateReceiver) handle(ctx context.Context, now time.Time, u peer.Update) {
 	h.count(u)
 	if !u.Alive {
 		return
@@ -283,7 +283,7 @@
 	}
 	if u.StoreRevision <= own && !later {
 		if u.StoreRevision.Era() == own.Era() {
-			g.confirm(u.Confirmed)
+			g.confirm(u.ConfirmedAt)
 		}
 		return
 	}
@@ -293,30 +293,30 @@
 	}
 	// A gateway of the own hall that watches is asked at once. For the others the own
 	// hall's news are waited for; they cost no bytes between halls.
-	patience := handoverAfter
-	if u.Hall == g.options.Desk.Hall && !g.watches.Load() {
+	patience := handoverDelay
+	if u.Hall == g.options.Dispatcher.Hall && !g.watchesStore.Load() {
 		patience = 0
 	}
-	if !h.asking && now.Sub(h.behind) >= patience {
-		h.asking = true
+	if !h.fetching && now.Sub(h.behind) >= patience {
+		h.fetching = true
 		h.behind = time.Time{}
 		go func() {
 			g.askView(ctx, u)
-			h.ended <- struct{}{}
+			h.fetched <- struct{}{}
 		}()
 	}
 }
 
 // count keeps the list of gateways that can watch the store.
-func (h *hearing) count(u peer.Update) {
-	if u.Alive && u.StoreAway && u.Hall == h.gateway.options.Desk.Hall {
-		h.away[u.From] = true
+func (h *updateReceiver) count(u peer.Update) {
+	if u.Alive && u.StoreUnreachable && u.Hall == h.gateway.options.Dispatcher.Hall {
+		h.withoutStore[u.From] = true
 	} else {
-		delete(h.away, u.From)
+		delete(h.withoutStore, u.From)
 	}
-	h.gateway.awayBeside.Store(int64(len(h.away)))
+	h.gateway.hallPeersWithoutStore.Store(int64(len(h.withoutStore)))
 	hall, known := h.halls[u.From]
-	if !u.Alive || u.StoreAway {
+	if !u.Alive || u.StoreUnreachable {
 		delete(h.halls, u.From)
 		if known {
 			h.elect()
@@ -332,20 +332,20 @@
 // elect decides whether this gateway watches the store for its hall: the gateway
 // of the hall with the lowest hash that reaches it does. If lists differ for a moment, two watch or
 // none does, and who hears nothing asks the store itself.
-func (h *hearing) elect() {
+func (h *updateReceiver) elect() {
 	g := h.gateway
 	own, _, err := net.SplitHostPort(g.options.Peer.Address)
 	if err != nil {
 		return // peer.Listen has checked it
 	}
-	least := hash(own)
+	least := hashString(own)
 	watches := true
 	for address, hall := range h.halls {
-		if hall == g.options.Desk.Hall && hash(address) < least {
+		if hall == g.options.Dispatcher.Hall && hashString(address) < least {
 			watches = false
 		}
 	}
-	if g.watches.Swap(watches) != watches {
+	if g.watchesStore.Swap(watches) != watches {
 		g.log.Info().Str("event", "watch.duty").Bool("watches", watches).Int("gateways", len(h.halls)+1).Msg("store")
 	}
 }
@@ -357,15 +357,15 @@
 		g.log.Warn().Str("event", "view.not_handed_over").Str("peer", u.From).Err(err).Msg("go on with what is known")
 		return
 	}
-	h.confirmed = u.Confirmed
+	h.confirmed = u.ConfirmedAt
 	select {
-	case g.follower.handed <- h:
+	case g.storeWatcher.peerViews <- h:
 	case <-ctx.Done():
 	}
 }
 
-// knownOfView is what another gateway that is asked for its view needs to know.
-func (g *Gateway) knownOfView() url.Values {
+// viewQuery is what another gateway that is asked for its view needs to know.
+func (g *Gateway) viewQuery() url.Values {
 	v := g.view.Load()
 	if v.Configuration == nil {
 		return url.Values{} // all is needed
@@ -376,35 +376,35 @@
 	}
 }
 
-func (g *Gateway) fetchView(ctx context.Context, from string) (handover, error) {
+func (g *Gateway) fetchView(ctx context.Context, from string) (peerView, error) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	_, port, err := net.SplitHostPort(g.options.Peer.Address)
 	if err != nil {
-		return handover{}, errors.Wrap(err, "gateway: own peer address")
+		return peerView{}, errors.Wrap(err, "gateway: own peer address")
 	}
 	if n, err := strconv.Atoi(port); err != nil || n <= 0 {
-		return handover{}, errors.Newf("gateway: own peer port %q", port)
+		return peerView{}, errors.Newf("gateway: own peer port %q", port)
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+net.JoinHostPort(from, port)+viewPath+"?"+g.knownOfView().Encode(), nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+net.JoinHostPort(from, port)+viewPath+"?"+g.viewQuery().Encode(), nil)
 	if err != nil {
-		return handover{}, errors.Wrap(err, "gateway: ask for a view")
+		return peerView{}, errors.Wrap(err, "gateway: ask for a view")
 	}
 	request.Close = true
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return handover{}, errors.Wrapf(err, "gateway: ask %s for its view", from)
+		return peerView{}, errors.Wrapf(err, "gateway: ask %s for its view", from)
 	}
 	defer response.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(response.Body, longestView))
 	if err != nil {
-		return handover{}, errors.Wrapf(err, "gateway: view of %s", from)
+		return peerView{}, errors.Wrapf(err, "gateway: view of %s", from)
 	}
 	var d viewDocument
 	if err := json.Unmarshal(raw, &d); err != nil {
-		return handover{}, errors.Wrapf(err, "gateway: view of %s", from)
+		return peerView{}, errors.Wrapf(err, "gateway: view of %s", from)
 	}
-	h := d.handover(time.Now())
+	h := d.peerView(time.Now())
 	h.from = from
 	if len(d.Configuration) == 0 {
 		return h, nil
--- a/gateway/handover_test.go
+++ b/gateway/handover_test.go
@@ -13,17 +13,17 @@
 // TestAskAlthoughOneIsBehindToo: a gateway of the own hall that is cut off from the
 // store goes on telling an old revision between the beacons of one that knows more.
 func TestAskAlthoughOneIsBehindToo(t *testing.T) {
-	g := quiet(t)
-	g.follower.publish(version(1), nil, 16)
-	h := hearing{gateway: g, halls: map[string]string{}, away: map[string]bool{}, ended: make(chan struct{}, 1)}
+	g := newIdleGateway(t)
+	g.storeWatcher.publish(configurationVersion(1), nil, 16)
+	h := updateReceiver{gateway: g, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
 	now := time.Now()
 	for range 4 {
 		now = now.Add(100 * time.Millisecond)
-		h.take(t.Context(), now, peer.Update{From: "127.0.0.3", Hall: "other", Alive: true, StoreRevision: 17})
-		h.take(t.Context(), now, peer.Update{From: "127.0.0.2", Hall: "h", Alive: true, StoreRevision: 16})
+		h.handle(t.Context(), now, peer.Update{From: "127.0.0.3", Hall: "other", Alive: true, StoreRevision: 17})
+		h.handle(t.Context(), now, peer.Update{From: "127.0.0.2", Hall: "h", Alive: true, StoreRevision: 16})
 	}
-	require.True(t, h.asking, "300 ms are over")
-	<-h.ended
+	require.True(t, h.fetching, "300 ms are over")
+	<-h.fetched
 }
 
 // TestElect: who watches the store for the hall.
@@ -31,7 +31,7 @@
 	lower, higher := "", "" // addresses that come before and after the own one
 	for n := 2; n < 255; n++ {
 		address := fmt.Sprintf("127.0.0.%d", n)
-		if hash(address) < hash("127.0.0.1") {
+		if hashString(address) < hashString("127.0.0.1") {
 			lower = address
 		} else {
 			higher = address
@@ -46,16 +46,16 @@
 	}{
 		{"alone", peer.Update{From: lower}, true},
 		{"one before it", peer.Update{From: lower, Hall: "h", Alive: true}, false},
-		{"one before it that has lost the store", peer.Update{From: lower, Hall: "h", Alive: true, StoreAway: true}, true},
+		{"one before it that has lost the store", peer.Update{From: lower, Hall: "h", Alive: true, StoreUnreachable: true}, true},
 		{"one before it in another hall", peer.Update{From: lower, Hall: "other", Alive: true}, true},
 		{"one after it", peer.Update{From: higher, Hall: "h", Alive: true}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := quiet(t)
-			h := hearing{gateway: g, halls: map[string]string{}, away: map[string]bool{}, ended: make(chan struct{}, 1)}
-			h.take(t.Context(), time.Now(), test.update)
-			require.Equal(t, test.watches, g.watches.Load())
+			g := newIdleGateway(t)
+			h := updateReceiver{gateway: g, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
+			h.handle(t.Context(), time.Now(), test.update)
+			require.Equal(t, test.watches, g.watchesStore.Load())
 		})
 	}
 }
@@ -69,22 +69,22 @@
 	}{{0, 200 * time.Millisecond}, {1, 200 * time.Millisecond}, {5, 600 * time.Millisecond}, {19, 2 * time.Second}, {200, 2 * time.Second}}
 	for _, test := range tests {
 		t.Run(fmt.Sprint(test.beside), func(t *testing.T) {
-			g := quiet(t)
-			h := hearing{gateway: g, halls: map[string]string{}, away: map[string]bool{}, ended: make(chan struct{}, 1)}
+			g := newIdleGateway(t)
+			h := updateReceiver{gateway: g, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
 			now := g.started.Add(time.Minute)
 			for n := range test.beside {
-				h.take(t.Context(), now, peer.Update{From: fmt.Sprint(n), Hall: "h", Alive: true, StoreAway: true})
+				h.handle(t.Context(), now, peer.Update{From: fmt.Sprint(n), Hall: "h", Alive: true, StoreUnreachable: true})
 			}
-			h.take(t.Context(), now, peer.Update{From: "sound", Hall: "h", Alive: true})
-			h.take(t.Context(), now, peer.Update{From: "far", Hall: "other", Alive: true, StoreAway: true})
-			f := g.follower
-			f.away, f.called = true, now
-			require.False(t, f.mustCall(now.Add(test.after-time.Millisecond)))
-			require.True(t, f.mustCall(now.Add(test.after)))
+			h.handle(t.Context(), now, peer.Update{From: "sound", Hall: "h", Alive: true})
+			h.handle(t.Context(), now, peer.Update{From: "far", Hall: "other", Alive: true, StoreUnreachable: true})
+			f := g.storeWatcher
+			f.unreachable, f.lastQuery = true, now
+			require.False(t, f.shouldQuery(now.Add(test.after-time.Millisecond)))
+			require.True(t, f.shouldQuery(now.Add(test.after)))
 			for n := range test.beside {
-				h.take(t.Context(), now, peer.Update{From: fmt.Sprint(n), Hall: "h", Alive: true})
+				h.handle(t.Context(), now, peer.Update{From: fmt.Sprint(n), Hall: "h", Alive: true})
 			}
-			require.Equal(t, sourceRetry, f.retryAfter(), "the others have it again")
+			require.Equal(t, sourceRetryInterval, f.retryInterval(), "the others have it again")
 		})
 	}
 }
--- a/gateway/holder_test.go
+++ b/gateway/holder_test.go
@@ -26,7 +26,7 @@
 	const names, parts = 1000, 10
 	var found [parts]int
 	for n := range names {
-		found[int(parts*draw(fmt.Sprint("10.0.0.1/i-", n)))]++
+		found[int(parts*unitHash(fmt.Sprint("10.0.0.1/i-", n)))]++
 	}
 	for part, n := range found {
 		require.InDelta(t, names/parts, n, names/parts/2, "part %d", part)
@@ -37,10 +37,10 @@
 // servers as its demand is of all demand.
 func TestHoldersHaveTheDemand(t *testing.T) {
 	now := time.Now()
-	d := modelDesk(t, now, 1)
+	d := newTestDispatcher(t, now, 1)
 	d.settings.Address = "10.0.0.1"
 	for range 300 { // refused, most of them
-		d.handle(now, arrivedMessage{service: "s", account: "a", tokens: 6000})
+		d.handle(now, requestArrived{service: "s", account: "a", tokens: 6000})
 	}
 	d.settle(now)
 	for n := range 5 {
@@ -49,7 +49,7 @@
 		for server := range uint64(10) {
 			running[server] = 3
 		}
-		d.update(now, peer.Update{From: from, Alive: true, Whole: true, Running: running, DemandsTold: true, Demands: []*peerpb.Demand{{Account: "b", Asked: 200_000}}})
+		d.applyUpdate(now, peer.Update{From: from, Alive: true, Full: true, Running: running, HasDemands: true, Demands: []*peerpb.Demand{{Account: "b", Asked: 200_000}}})
 	}
 	first := 0
 	const servers = 400
--- a/gateway/ingress.go
+++ b/gateway/ingress.go
@@ -123,12 +123,12 @@
 
 // rawPath is the path as the caller wrote it.
 func rawPath(r *http.Request) string {
-	path, _, _ := strings.Cut(target(r), "?")
+	path, _, _ := strings.Cut(requestTarget(r), "?")
 	return path
 }
 
-// target is the path and query as the caller wrote them, without scheme and host.
-func target(r *http.Request) string {
+// requestTarget is the path and query as the caller wrote them, without scheme and host.
+func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
@@ -180,10 +180,10 @@
 
 // describe fills in what placement wants to know.
 func (c *call) describe(v *View) {
-	c.service = c.route.Pick(draw(c.told.ID))
-	output := c.told.OutputHint
+	c.service = c.route.Pick(unitHash(c.told.ID))
+	output := c.told.ExpectedOutputTokens
 	if output == 0 {
-		output = c.told.MostOutput
+		output = c.told.MaxOutputTokens
 	}
 	prompt := c.told.PromptTokens
 	parts := make([]placement.Part, len(c.told.Parts))
@@ -195,9 +195,9 @@
 	prompt = max(prompt, sum)
 	c.tokens = float64(prompt + outputWeight*output)
 	c.spent = c.gateway.returned.spent(c)
-	c.ask = placement.Ask{
-		Service: c.service, Account: c.account, Parts: parts, Prompt: prompt, Output: output,
-		Hall: c.gateway.options.Desk.Hall, Draw: hash(c.told.ID), Regions: c.regions,
+	c.ask = placement.Request{
+		Service: c.service, Account: c.account, Parts: parts, PromptTokens: prompt, OutputTokens: output,
+		Hall: c.gateway.options.Dispatcher.Hall, TieBreak: hashString(c.told.ID), Regions: c.regions,
 	}
 	if s, ok := v.Configuration.Service(c.service); ok {
 		c.engine = s.Engine != nil
@@ -205,18 +205,18 @@
 }
 
 // partHash names a part of a model's prompts in few bytes.
-func partHash(model, id string) uint64 { return hash(model + "/" + id) }
+func partHash(model, id string) uint64 { return hashString(model + "/" + id) }
 
 // A token that is made counts as much as two that are read (source: the platform's
 // page on the servers' rate).
 const outputWeight = 2
 
-// draw maps an ID to [0, 1), so that a request keeps its service when a caller's
+// unitHash maps an ID to [0, 1), so that a request keeps its service when a caller's
 // connection breaks and it comes again. IDs that differ in their last signs only have nearly
 // the same high bits in an FNV sum, so it is mixed (the finalizer of MurmurHash3).
-func draw(id string) float64 {
+func unitHash(id string) float64 {
 	const bits = 53 // of a float64's mantissa
-	h := hash(id)
+	h := hashString(id)
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
 	h ^= h >> 33
@@ -228,8 +228,8 @@
 	writeDenial(w, d)
 	g.log.Info().Str("event", "request.denied").Str("host", r.Host).Str("path", r.URL.Path).
 		Int("status", d.status).Str("reason", d.reason).Dur("retry_after", d.retryAfter).
-		EmbedObject(atRevision(g.view.Load().Revision)).Dur("view_age", time.Since(g.confirmedAt())).Msg("answered")
-	g.options.Metrics.Ended(Outcome{Result: "denied"})
+		EmbedObject(revisionFields(g.view.Load().Revision)).Dur("view_age", time.Since(g.confirmedAt())).Msg("answered")
+	g.options.Metrics.RequestEnded(Outcome{Result: "denied"})
 }
 
 // writeDenial also ends the connection: who comes back does so on another one, and
--- a/gateway/lifetime_test.go
+++ b/gateway/lifetime_test.go
@@ -29,59 +29,59 @@
 // the larger figure, and however the gateway hears of it.
 func TestStartedAgain(t *testing.T) {
 	now := time.Now()
-	first := answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{lifetime("i-1", 5000), lifetime("i-2", 1)}, Revision: 3}}
+	first := sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-1", 5000), lifetime("i-2", 1)}, Revision: 3}}
 	tests := []struct {
 		name string
-		hear func(f *follower)
+		hear func(f *storeWatcher)
 		want []string
 	}{
-		{"by the watch", func(f *follower) {
-			f.take(now, answer{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
+		{"by the watch", func(f *storeWatcher) {
+			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
 		}, []string{"i-1@6000", "i-2@1"}},
-		{"its host's clock was set back", func(f *follower) {
-			f.take(now, answer{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 400)}}})
+		{"its host's clock was set back", func(f *storeWatcher) {
+			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 400)}}})
 		}, []string{"i-1@400", "i-2@1"}},
-		{"twice at once", func(f *follower) {
-			f.take(now, answer{since: 3, revision: 5, changes: []Change{
+		{"twice at once", func(f *storeWatcher) {
+			f.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
 				ServerChanged{Server: lifetime("i-1", 6000)}, ServerChanged{Server: lifetime("i-1", 7000)},
 			}})
 		}, []string{"i-1@7000", "i-2@1"}},
-		{"its entry had gone meanwhile", func(f *follower) {
-			f.take(now, answer{since: 3, revision: 5, changes: []Change{ServerGone{"i-1"}, ServerChanged{Server: lifetime("i-1", 6000)}}})
+		{"its entry had gone meanwhile", func(f *storeWatcher) {
+			f.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{ServerRemoved{"i-1"}, ServerChanged{Server: lifetime("i-1", 6000)}}})
 		}, []string{"i-1@6000", "i-2@1"}},
-		{"and is kept for a moment, since the store was away", func(f *follower) {
+		{"and is kept for a moment, since the store was away", func(f *storeWatcher) {
 			f.failed = now
-			f.take(now, answer{since: 3, revision: 4, changes: []Change{ServerGone{"i-1"}}})
-			f.take(now, answer{since: 4, revision: 5, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
-			f.dropMissing(now.Add(time.Minute))
+			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
+			f.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
+			f.expireMissing(now.Add(time.Minute))
 		}, []string{"i-1@6000", "i-2@1"}},
-		{"by a list", func(f *follower) {
-			f.take(now, answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{lifetime("i-1", 6000)}, Revision: 9}})
+		{"by a list", func(f *storeWatcher) {
+			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-1", 6000)}, Revision: 9}})
 		}, []string{"i-1@6000"}},
-		{"an older list comes late", func(f *follower) {
-			f.take(now, answer{since: 3, revision: 8, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
-			f.take(now, first)
+		{"an older list comes late", func(f *storeWatcher) {
+			f.applyResult(now, sourceResult{since: 3, revision: 8, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
+			f.applyResult(now, first)
 		}, []string{"i-1@6000", "i-2@1"}},
-		{"its start is not told any more", func(f *follower) {
-			f.take(now, answer{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 0)}}})
+		{"its start is not told any more", func(f *storeWatcher) {
+			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 0)}}})
 		}, []string{"i-1", "i-2@1"}},
-		{"its entry becomes unreadable", func(f *follower) {
+		{"its entry becomes unreadable", func(f *storeWatcher) {
 			f.failed = now // what is unreadable is not kept
-			f.take(now, answer{since: 3, revision: 4, changes: []Change{ServerUnreadable{"i-1"}}})
+			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerUnreadable{"i-1"}}})
 		}, []string{"i-2@1"}},
-		{"by a list in which it is unreadable", func(f *follower) {
+		{"by a list in which it is unreadable", func(f *storeWatcher) {
 			f.failed = now
-			f.take(now, answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{lifetime("i-2", 1)}, Unreadable: []string{"i-1"}, Revision: 9}})
+			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-2", 1)}, Unreadable: []string{"i-1"}, Revision: 9}})
 		}, []string{"i-2@1"}},
-		{"and sound again", func(f *follower) {
-			f.take(now, answer{since: 3, revision: 5, changes: []Change{ServerUnreadable{"i-1"}, ServerChanged{Server: lifetime("i-1", 5000)}}})
+		{"and sound again", func(f *storeWatcher) {
+			f.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{ServerUnreadable{"i-1"}, ServerChanged{Server: lifetime("i-1", 5000)}}})
 		}, []string{"i-1@5000", "i-2@1"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := quiet(t)
-			g.follower.take(now, first)
-			test.hear(g.follower)
+			g := newIdleGateway(t)
+			g.storeWatcher.applyResult(now, first)
+			test.hear(g.storeWatcher)
 			require.Equal(t, test.want, g.ids())
 		})
 	}
@@ -91,25 +91,25 @@
 // ends the lifetime before as well, and one that knows more is not turned back.
 func TestStartedAgainIsHandedOver(t *testing.T) {
 	now := time.Now()
-	first := answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{lifetime("i-1", 5000)}, Revision: 3}}
-	from, to := quiet(t), quiet(t)
+	first := sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-1", 5000)}, Revision: 3}}
+	from, to := newIdleGateway(t), newIdleGateway(t)
 	for _, g := range []*Gateway{from, to} {
-		g.follower.take(now, first)
+		g.storeWatcher.applyResult(now, first)
 	}
 	hand := func(from, to *Gateway) {
-		raw, err := from.packedView(now, to.knownOfView())
+		raw, err := from.encodedView(now, to.viewQuery())
 		require.NoError(t, err)
 		var d viewDocument
 		require.NoError(t, json.Unmarshal(raw, &d))
-		h := handover{from: "x", snapshot: d.snapshot(now), partial: d.Partial, gone: d.Gone}
-		h.halls, h.cold = d.warmth(now)
-		to.follower.takeHandover(now, h)
+		h := peerView{from: "x", snapshot: d.decodeSnapshot(now), partial: d.Partial, removedServers: d.RemovedServers}
+		h.evacuations, h.cold = d.decodeCold(now)
+		to.storeWatcher.applyPeerView(now, h)
 	}
-	from.follower.take(now, answer{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 400), Cold: time.Second}}})
+	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 400), Cold: time.Second}}})
 	hand(from, to)
 	require.Equal(t, []string{"i-1@400"}, to.ids())
 	require.True(t, to.view.Load().Cold["i-1@400"].Witnessed)
-	to.follower.take(now, answer{since: 4, revision: 5, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
+	to.storeWatcher.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
 	hand(from, to)
 	require.Equal(t, []string{"i-1@6000"}, to.ids(), "what is older is passed over")
 }
@@ -118,7 +118,7 @@
 // does not count for the later one.
 func TestLifetimesAreApart(t *testing.T) {
 	now := time.Now()
-	d := modelDesk(t, now, 1)
+	d := newTestDispatcher(t, now, 1)
 	server := func(born int64) catalog.Server {
 		s := d.view.Servers[0]
 		s.ID, s.Born = catalog.LifetimeID(s.Name(), born), born
@@ -131,8 +131,8 @@
 	}
 	see(1)
 	place := func() placement.Assign {
-		reply, _ := d.request(now, "a", func(a *placement.Ask) {
-			a.Prompt, a.Objective, a.Patience, a.Exclude = 50000, 10*time.Second, 30*time.Second, nil
+		reply, _ := d.placeRequest(now, "a", func(a *placement.Request) {
+			a.PromptTokens, a.Objective, a.CallerTimeout, a.Exclude = 50000, 10*time.Second, 30*time.Second, nil
 			a.Parts = []placement.Part{{Hash: 7, Tokens: 49000}, {Hash: 8, Tokens: 1000}}
 		})
 		assign, ok := (<-reply).(placement.Assign)
@@ -143,20 +143,20 @@
 	again := place()
 	require.Less(t, again.Load.Work, before.Load.Work, "the first part is cached by then")
 	for range 20 {
-		d.end(now, endedMessage{server: server(1).ID, end: placement.Failed})
+		d.recordEnd(now, attemptEnded{server: server(1).ID, end: placement.Failed})
 	}
 	see(2)
 	after := place()
 	require.Equal(t, "i", after.Server.Name()[:1])
 	require.Equal(t, server(2).ID, after.Server.ID)
 	require.Equal(t, before.Load.Work, after.Load.Work, "its cache is empty")
-	require.Zero(t, after.Waiting, "nothing was sent to it")
+	require.Zero(t, after.QueueTime, "nothing was sent to it")
 	// News of the lifetime before come late.
-	d.start(now, startedMessage{ticket: before.Ticket, server: before.Server.ID})
-	d.end(now, endedMessage{ticket: before.Ticket, server: before.Server.ID, end: placement.Unreachable})
-	d.handle(now, cacheMessage{server: before.Server.ID, parts: []uint64{7, 8}})
+	d.recordFirstEvent(now, firstEventReceived{ticket: before.ID, server: before.Server.ID})
+	d.recordEnd(now, attemptEnded{ticket: before.ID, server: before.Server.ID, end: placement.Unreachable})
+	d.handle(now, cacheReported{server: before.Server.ID, parts: []uint64{7, 8}})
 	require.Equal(t, 1, d.running[after.Server.ID])
-	d.end(now, endedMessage{ticket: after.Ticket, server: after.Server.ID, end: placement.Served})
+	d.recordEnd(now, attemptEnded{ticket: after.ID, server: after.Server.ID, end: placement.Served})
 	require.Equal(t, server(2).ID, place().Server.ID, "it does not rest")
 }
 
--- a/gateway/lifetimes.go
+++ b/gateway/lifetimes.go
@@ -8,12 +8,12 @@
 
 // This file keeps which servers there are, each from one start to its end.
 
-func (f *follower) set(s catalog.Server) {
+func (f *storeWatcher) set(s catalog.Server) {
 	delete(f.missing, s.ID)
 	s.Evacuated = false // publish fills it in
 	f.endBefore(s)
 	delete(f.memory.gone, s.Name())
-	f.log.add(f.mark, s.ID)
+	f.serverChanges.add(f.changeRevision, s.ID)
 	if old, known := f.servers[s.ID]; !known || old != s {
 		f.gateway.log.Info().Str("event", "server.changed").Str("server", s.ID).Str("service", s.Service).
 			Str("address", s.Address).Str("hall", s.Hall).Bool("leaving", s.Leaving).Bool("new", !known).Msg("server entry")
@@ -21,36 +21,36 @@
 	f.put(s)
 }
 
-func (f *follower) put(s catalog.Server) {
+func (f *storeWatcher) put(s catalog.Server) {
 	if _, known := f.servers[s.ID]; !known {
 		f.order = nil
 	}
 	f.servers[s.ID] = s
-	f.current[s.Name()] = s.ID
+	f.currentIDs[s.Name()] = s.ID
 }
 
 // endBefore drops the lifetime that a server had before it started again. News come in the
 // order of the store's revisions, so what is told now is the later one, whatever the clock of
 // the server's host said at the two starts.
-func (f *follower) endBefore(s catalog.Server) {
-	before, known := f.current[s.Name()]
+func (f *storeWatcher) endBefore(s catalog.Server) {
+	before, known := f.currentIDs[s.Name()]
 	if !known || before == s.ID {
 		return
 	}
 	f.gateway.log.Info().Str("event", "server.started_again").Str("server", s.Name()).
-		Int64("born", s.Born).Int64("before", f.servers[before].Born).EmbedObject(atRevision(f.mark)).
+		Int64("born", s.Born).Int64("before", f.servers[before].Born).EmbedObject(revisionFields(f.changeRevision)).
 		Msg("nothing that was learned of it holds")
 	f.drop(before)
 }
 
 // dropNamed drops the server of that name at once.
-func (f *follower) dropNamed(name string) {
-	if id, known := f.current[name]; known {
+func (f *storeWatcher) dropNamed(name string) {
+	if id, known := f.currentIDs[name]; known {
 		f.drop(id)
 	}
 }
 
-func (f *follower) remove(now time.Time, id string) {
+func (f *storeWatcher) remove(now time.Time, id string) {
 	s, known := f.servers[id]
 	if !known {
 		return
@@ -66,14 +66,14 @@
 }
 
 // drop forgets a server.
-func (f *follower) drop(id string) {
+func (f *storeWatcher) drop(id string) {
 	if s, known := f.servers[id]; known {
 		f.memory.dropped(f.now, s)
 	}
-	f.log.add(f.mark, id)
+	f.serverChanges.add(f.changeRevision, id)
 	delete(f.servers, id)
-	if name := catalog.ServerName(id); f.current[name] == id {
-		delete(f.current, name)
+	if name := catalog.ServerName(id); f.currentIDs[name] == id {
+		delete(f.currentIDs, name)
 	}
 	f.order = nil
 	delete(f.missing, id)
@@ -81,11 +81,11 @@
 	f.gateway.log.Info().Str("event", "server.gone").Str("server", id).Msg("no new work")
 }
 
-// dropMissing removes servers whose entry has not come back.
-func (f *follower) dropMissing(now time.Time) {
+// expireMissing removes servers whose entry has not come back.
+func (f *storeWatcher) expireMissing(now time.Time) {
 	f.now = now
 	dropped := false
-	f.mark = f.gateway.view.Load().Revision + 1 // no change of the store says so
+	f.changeRevision = f.gateway.view.Load().Revision + 1 // no change of the store says so
 	for id, until := range f.missing {
 		if now.After(until) {
 			f.drop(id)
@@ -94,9 +94,9 @@
 	}
 	settled, takenBack := f.settle(now), f.takeBackLost(now)
 	if dropped || settled || takenBack {
-		f.publishAgain()
+		f.republish()
 	}
-	if now.Sub(f.gateway.confirmedAt()) < unconfirmed {
+	if now.Sub(f.gateway.confirmedAt()) < confirmationTimeout {
 		f.memory.forget(now) // while the store is away, it may come back from a copy of before
 	}
 }
--- a/gateway/pass.go
+++ b/gateway/offload.go
@@ -34,7 +34,7 @@
 
 // update takes over news of another gateway.
 func (h *helpers) update(u peer.Update) {
-	if !u.Whole && u.Alive {
+	if !u.Full && u.Alive {
 		return
 	}
 	h.mutex.Lock()
@@ -78,7 +78,7 @@
 // brought their callers here from another one.
 func (g *Gateway) mayPass() bool {
 	c := g.view.Load().Configuration
-	region := g.options.Desk.Regions[g.options.Desk.Hall]
+	region := g.options.Dispatcher.Regions[g.options.Dispatcher.Hall]
 	return g.helpers.any() && (c == nil || c.Free(region))
 }
 
@@ -87,7 +87,7 @@
 	log      zerolog.Logger
 	port     string
 	helpers  *helpers
-	carrier  *handoff.Carrier
+	carrier  *handoff.Forwarder
 	overload *overload
 	failed   func(turnable) // takes a connection that could not be passed on
 	active   atomic.Int64
@@ -107,7 +107,7 @@
 		return nil, errors.Wrap(err, "gateway: own peer address")
 	}
 	return &passer{
-		log: g.log, port: port, helpers: g.helpers, carrier: handoff.NewCarrier(), overload: &g.overload, failed: failed,
+		log: g.log, port: port, helpers: g.helpers, carrier: handoff.NewForwarder(), overload: &g.overload, failed: failed,
 		ended: make(chan struct{}, passQueue),
 	}, nil
 }
--- a/gateway/pass_path_test.go
+++ b/gateway/offload_path_test.go
@@ -42,7 +42,7 @@
 	ends := make(chan error, 3)
 	run := func(f func() error) { go func() { ends <- f() }() }
 
-	helper := quiet(t)
+	helper := newIdleGateway(t)
 	taken := handoff.NewListener(peers.Addr())
 	links := &http.Server{Handler: helper.peersHandler(ctx, taken)}
 	server := &http.Server{Handler: serve, ConnContext: withConn}
@@ -51,9 +51,9 @@
 
 	g := &Gateway{log: zerolog.Nop(), room: roomFor(0, 0), helpers: &helpers{hall: "h", list: map[string]int{}}}
 	g.view.Store(&View{})
-	g.options = Options{Front: front, Codec: idCodec{}, Metrics: &counted{}, Peer: peer.Options{Address: peers.Addr().String()}}
+	g.options = Options{CallerListener: front, Codec: idCodec{}, Metrics: &counted{}, Peer: peer.Options{Address: peers.Addr().String()}}
 	g.overload.turnedAway.Store(partsOfShare)
-	g.helpers.update(peer.Update{From: "127.0.0.2", Hall: "h", Alive: true, Whole: true, Weight: 800})
+	g.helpers.update(peer.Update{From: "127.0.0.2", Hall: "h", Alive: true, Full: true, Weight: 800})
 	a := newAdmission(g)
 	p, err := newPasser(g, a.turn)
 	require.NoError(t, err)
@@ -136,7 +136,7 @@
 	status, _ := s.ask(t, "y")
 	require.Equal(t, http.StatusOK, status)
 
-	s.passer.helpers.update(peer.Update{From: "127.0.0.2", Hall: "h", Alive: true, Whole: true})
+	s.passer.helpers.update(peer.Update{From: "127.0.0.2", Hall: "h", Alive: true, Full: true})
 	status, _ = s.ask(t, "z")
 	require.Equal(t, http.StatusServiceUnavailable, status, "no gateway of the hall has processor left")
 }
@@ -146,7 +146,7 @@
 func TestPassingFindsNobody(t *testing.T) {
 	s := startShort(t, func(http.ResponseWriter, *http.Request) {})
 	s.passer.helpers.update(peer.Update{From: "127.0.0.2"})
-	s.passer.helpers.update(peer.Update{From: "127.0.0.3", Hall: "h", Alive: true, Whole: true, Weight: 1})
+	s.passer.helpers.update(peer.Update{From: "127.0.0.3", Hall: "h", Alive: true, Full: true, Weight: 1})
 	for range 3 {
 		status, _ := s.ask(t, "x")
 		require.Equal(t, http.StatusServiceUnavailable, status)
--- a/gateway/pass_test.go
+++ b/gateway/offload_test.go
@@ -14,7 +14,7 @@
 	h := &helpers{hall: "a", list: map[string]int{}}
 	require.Empty(t, h.choose())
 	told := func(from, hall string, weight int) {
-		h.update(peer.Update{From: from, Hall: hall, Alive: true, Whole: true, Weight: weight})
+		h.update(peer.Update{From: from, Hall: hall, Alive: true, Full: true, Weight: weight})
 	}
 	told("1", "a", 144)
 	told("2", "a", 800)
--- a/gateway/peer/beacon.go
+++ b/gateway/peer/beacon.go
@@ -16,8 +16,8 @@
 	n.sequence++
 	b := &peerpb.Beacon{
 		Incarnation: n.incarnation, NewestLoad: n.newest - uint64(len(n.pending)), Sequence: n.sequence,
-		ConfigurationVersion: s.ConfigurationVersion, StoreRevision: uint64(s.StoreRevision), StoreAway: s.StoreAway, Leaving: n.leaving,
-		ConfirmedMs: uint32(min(time.Since(s.Confirmed), longestAge).Milliseconds()),
+		ConfigurationVersion: s.ConfigurationVersion, StoreRevision: uint64(s.StoreRevision), StoreAway: s.StoreUnreachable, Leaving: n.leaving,
+		ConfirmedMs: uint32(min(time.Since(s.ConfirmedAt), longestAge).Milliseconds()),
 	}
 	for server, left := range n.seen {
 		b.Backlogs = append(b.Backlogs, &peerpb.Backlog{Server: server, LeftUs: microseconds(left)})
@@ -39,7 +39,7 @@
 		b.Rollouts = s.Rollouts
 		b.Demands, b.DemandsTold, b.Hall, b.Weight = s.Demands, true, n.options.Hall, uint32(max(s.Weight, 0))
 		for _, v := range s.Speeds {
-			b.Speeds = append(b.Speeds, &peerpb.Speed{Service: v.Service, Reading: float32(v.Reading), FirstStepUs: microseconds(v.FirstStep)})
+			b.Speeds = append(b.Speeds, &peerpb.Speed{Service: v.Service, Reading: float32(v.PrefillSlowdown), FirstStepUs: microseconds(v.FirstEventDelay)})
 		}
 	}
 	if rare {
@@ -65,7 +65,7 @@
 // addRefusals adds the refusals that are still to be told.
 func (n *Node) addRefusals(now time.Time, b *peerpb.Beacon) {
 	for _, r := range n.refused.next(mostRefusals) {
-		b.Refusals = append(b.Refusals, &peerpb.Refusal{Key: r.Key, LeftMs: milliseconds(r.Ends.Sub(now)), SpentMs: milliseconds(now.Sub(r.First))})
+		b.Refusals = append(b.Refusals, &peerpb.Refusal{Key: r.Key, LeftMs: milliseconds(r.Deadline.Sub(now)), SpentMs: milliseconds(now.Sub(r.FirstAttempt))})
 	}
 }
 
@@ -86,9 +86,9 @@
 }
 
 // ends returns what a beacon tells of servers that have ended.
-func ends(b *peerpb.Beacon) (ends []End, answered []Answered) {
+func ends(b *peerpb.Beacon) (ends []Crash, answered []Cleared) {
 	for _, e := range b.Ends {
-		end := End{Server: e.Server}
+		end := Crash{Server: e.Server}
 		for rest := e.Suspects; len(rest) >= len(Key{}); rest = rest[len(Key{}):] {
 			end.Suspects = append(end.Suspects, Key(rest[:len(Key{})]))
 		}
@@ -96,7 +96,7 @@
 	}
 	for _, a := range b.Answered {
 		if len(a.Key) == len(Key{}) {
-			answered = append(answered, Answered{Key: Key(a.Key), Servers: a.Servers})
+			answered = append(answered, Cleared{Key: Key(a.Key), Servers: a.Servers})
 		}
 	}
 	return ends, answered
@@ -185,20 +185,20 @@
 	}
 	u = Update{
 		From: from.String(), Alive: true, Loads: r.news(b, first), Running: map[uint64]int{},
-		ConfigurationVersion: b.ConfigurationVersion, StoreRevision: catalog.Revision(b.StoreRevision), StoreAway: b.StoreAway,
-		Confirmed: now.Add(-age - time.Duration(b.ConfirmedMs)*time.Millisecond),
+		ConfigurationVersion: b.ConfigurationVersion, StoreRevision: catalog.Revision(b.StoreRevision), StoreUnreachable: b.StoreAway,
+		ConfirmedAt: now.Add(-age - time.Duration(b.ConfirmedMs)*time.Millisecond),
 	}
 	for _, l := range b.Backlogs {
-		u.Backlogs = append(u.Backlogs, Backlog{Server: l.Server, Left: time.Duration(l.LeftUs) * time.Microsecond})
+		u.Backlogs = append(u.Backlogs, Backlog{Server: l.Server, Remaining: time.Duration(l.LeftUs) * time.Microsecond})
 	}
 	made := now.Add(-age)
 	for _, f := range b.Refusals {
 		u.Refusals = append(u.Refusals, Refusal{
-			Key: f.Key, Ends: made.Add(time.Duration(f.LeftMs) * time.Millisecond), First: made.Add(-time.Duration(f.SpentMs) * time.Millisecond),
+			Key: f.Key, Deadline: made.Add(time.Duration(f.LeftMs) * time.Millisecond), FirstAttempt: made.Add(-time.Duration(f.SpentMs) * time.Millisecond),
 		})
 	}
-	u.Ends, u.Answered = ends(b)
-	u.Leaves = b.Leaves
+	u.Crashes, u.Cleared = ends(b)
+	u.LeavingServers = b.Leaves
 	if latest {
 		hall := r.hall
 		r.sequence = b.Sequence
@@ -219,10 +219,10 @@
 	if b.Hall != "" {
 		r.hall = b.Hall
 	}
-	u.Whole, u.Demands, u.DemandsTold = b.DemandsTold, b.Demands, b.DemandsTold
+	u.Full, u.Demands, u.HasDemands = b.DemandsTold, b.Demands, b.DemandsTold
 	u.Rollouts = b.Rollouts
 	for _, v := range b.Speeds {
-		u.Speeds = append(u.Speeds, Speed{Service: v.Service, Reading: float64(v.Reading), FirstStep: time.Duration(v.FirstStepUs) * time.Microsecond})
+		u.Speeds = append(u.Speeds, Speed{Service: v.Service, PrefillSlowdown: float64(v.Reading), FirstEventDelay: time.Duration(v.FirstStepUs) * time.Microsecond})
 	}
 	for _, g := range b.Running {
 		u.Running[g.Server] = int(g.Requests)
--- a/gateway/peer/news.go
+++ b/gateway/peer/news.go
@@ -19,38 +19,38 @@
 
 // Backlog is what a server had still to read when a request's first event showed it.
 type Backlog struct {
-	Server uint64 // hash of the incarnation's id
-	Left   time.Duration
+	Server    uint64 // hash of the incarnation's id
+	Remaining time.Duration
 }
 
 // Refusal is a request that was turned away and whose caller may come back.
 type Refusal struct {
-	Key   uint64    // of what it asks
-	Ends  time.Time // when its caller gives up
-	First time.Time // when its caller tried first
+	Key          uint64    // of what it asks
+	Deadline     time.Time // when its caller gives up
+	FirstAttempt time.Time // when its caller tried first
 }
 
 // Key names what a request asks, and of which account.
 type Key [16]byte
 
-// End is a server that has ended while it had requests of a gateway.
-type End struct {
+// Crash is a server that has ended while it had requests of a gateway.
+type Crash struct {
 	Server   string // its lifetime
 	Suspects []Key  // those requests; of more than 64, the first ones are told
 }
 
-// Answered is a request that was at servers when they ended, and that has been answered
+// Cleared is a request that was at servers when they ended, and that has been answered
 // since: it was not the cause.
-type Answered struct {
+type Cleared struct {
 	Key     Key
 	Servers []string // lifetimes
 }
 
 // Speed is how fast a service's engines are believed to be.
 type Speed struct {
-	Service   uint64        // hash of its name
-	Reading   float64       // how much longer reading takes than the policy says
-	FirstStep time.Duration // from the end of reading to the first event
+	Service         uint64        // hash of its name
+	PrefillSlowdown float64       // how much longer reading takes than the policy says
+	FirstEventDelay time.Duration // from the end of reading to the first event
 }
 
 // State is what a gateway tells of itself.
@@ -60,8 +60,8 @@
 	Speeds               []Speed
 	ConfigurationVersion uint64
 	StoreRevision        catalog.Revision
-	Confirmed            time.Time // when StoreRevision was last known to be the store's latest
-	StoreAway            bool      // own calls to the store fail
+	ConfirmedAt          time.Time // when StoreRevision was last known to be the store's latest
+	StoreUnreachable     bool      // own calls to the store fail
 	Weight               int       // thousandths of a core that it may use, 0 while it is short of them
 	Rollouts             []*peerpb.Rollout
 }
@@ -72,81 +72,81 @@
 	Hall  string // empty: not told yet
 	Alive bool
 	// What follows is set only when Alive.
-	Loads    []Load // not told before
-	Backlogs []Backlog
-	Refusals []Refusal
-	Ends     []End
-	Answered []Answered
-	Leaves   []string       // lifetimes of servers that have said in answers that they leave
-	Running  map[uint64]int // if Whole, of all servers; else of those where it has changed
-	Whole    bool
-	Speeds   []Speed           // only if Whole
-	Weight   int               // thousandths of a core that it may use, 0 while it is short of them; only if Whole
-	Rollouts []*peerpb.Rollout // only if Whole, and only those of which something has changed
+	Loads          []Load // not told before
+	Backlogs       []Backlog
+	Refusals       []Refusal
+	Crashes        []Crash
+	Cleared        []Cleared
+	LeavingServers []string       // lifetimes of servers that have said in answers that they leave
+	Running        map[uint64]int // if Whole, of all servers; else of those where it has changed
+	Full           bool
+	Speeds         []Speed           // only if Whole
+	Weight         int               // thousandths of a core that it may use, 0 while it is short of them; only if Whole
+	Rollouts       []*peerpb.Rollout // only if Whole, and only those of which something has changed
 	// Demands are set only when DemandsTold.
 	Demands              []*peerpb.Demand
-	DemandsTold          bool
+	HasDemands           bool
 	ConfigurationVersion uint64
 	StoreRevision        catalog.Revision
-	Confirmed            time.Time // when StoreRevision was last known to be the store's latest
-	StoreAway            bool      // own calls to the store fail
+	ConfirmedAt          time.Time // when StoreRevision was last known to be the store's latest
+	StoreUnreachable     bool      // own calls to the store fail
 }
 
-// Tell passes a load on to the others soon; it never blocks.
-func (n *Node) Tell(l Load) {
+// PublishLoad passes a load on to the others soon; it never blocks.
+func (n *Node) PublishLoad(l Load) {
 	select {
 	case n.loads <- l:
 	default: // accuracy only
 	}
 }
 
-// TellBacklog passes on how far a server has got, with the next beacon; it never blocks.
-func (n *Node) TellBacklog(b Backlog) {
+// PublishBacklog passes on how far a server has got, with the next beacon; it never blocks.
+func (n *Node) PublishBacklog(b Backlog) {
 	select {
 	case n.backlogs <- b:
 	default: // accuracy only
 	}
 }
 
-// TellRefusal passes on that a request was turned away, with the next beacon; it never
+// PublishRefusal passes on that a request was turned away, with the next beacon; it never
 // blocks.
-func (n *Node) TellRefusal(r Refusal) {
+func (n *Node) PublishRefusal(r Refusal) {
 	select {
 	case n.refusals <- r:
 	default: // accuracy only
 	}
 }
 
-// TellEnd passes on that a server has ended, with the next beacons; it never blocks.
-func (n *Node) TellEnd(e End) {
+// PublishCrash passes on that a server has ended, with the next beacons; it never blocks.
+func (n *Node) PublishCrash(e Crash) {
 	select {
 	case n.ends <- e:
-		n.TellNow()
+		n.SendSoon()
 	default: // who is there when more servers end counts then
 	}
 }
 
-// TellAnswered passes on that a request was the cause of no end, with the next beacons; it
+// PublishCleared passes on that a request was the cause of no end, with the next beacons; it
 // never blocks.
-func (n *Node) TellAnswered(a Answered) {
+func (n *Node) PublishCleared(a Cleared) {
 	select {
 	case n.answered <- a:
 	default: // whoever answers it next tells that again
 	}
 }
 
-// TellLeaves passes on that a server has said that it leaves, with the next beacons; it never
+// PublishLeaving passes on that a server has said that it leaves, with the next beacons; it never
 // blocks.
-func (n *Node) TellLeaves(server string) {
+func (n *Node) PublishLeaving(server string) {
 	select {
 	case n.leaves <- server:
-		n.TellNow()
+		n.SendSoon()
 	default: // the others hear it from the server, or from its entry
 	}
 }
 
-// TellNow lets the next beacon go out soon; it never blocks.
-func (n *Node) TellNow() {
+// SendSoon lets the next beacon go out soon; it never blocks.
+func (n *Node) SendSoon() {
 	select {
 	case n.hurry <- struct{}{}:
 	default: // one is on its way
--- a/gateway/peer/peer.go
+++ b/gateway/peer/peer.go
@@ -89,7 +89,7 @@
 	Hall    string   // of this gateway
 	Seeds   []string // IP addresses (a port is ignored) where other gateways may be
 	State   func() State
-	Failed  func(error) // hears of datagrams that could not be sent or read; must not block
+	OnError func(error) // hears of datagrams that could not be sent or read; must not block
 }
 
 // Node is one gateway among its peers.
@@ -102,8 +102,8 @@
 	loads       chan Load
 	backlogs    chan Backlog
 	refusals    chan Refusal
-	ends        chan End
-	answered    chan Answered
+	ends        chan Crash
+	answered    chan Cleared
 	leaves      chan string
 	hurry       chan struct{}
 	packets     chan packet
@@ -116,8 +116,8 @@
 	pending  []numbered               // loads that are still being told
 	seen     map[uint64]time.Duration // backlogs not told yet, by server
 	refused  retold[Refusal]
-	ended    retold[End]
-	cleared  retold[Answered]
+	ended    retold[Crash]
+	cleared  retold[Cleared]
 	gone     retold[string]
 	newest   uint64
 	told     map[uint64]int // running requests as the last beacon told them
@@ -170,7 +170,7 @@
 	n := &Node{
 		options: o, self: at.Addr(), port: at.Port(), conn: conn,
 		incarnation: uint64(now.UnixNano()),
-		loads:       make(chan Load, queue), backlogs: make(chan Backlog, queue), refusals: make(chan Refusal, queue), ends: make(chan End, queue), answered: make(chan Answered, queue), leaves: make(chan string, queue),
+		loads:       make(chan Load, queue), backlogs: make(chan Backlog, queue), refusals: make(chan Refusal, queue), ends: make(chan Crash, queue), answered: make(chan Cleared, queue), leaves: make(chan string, queue),
 		seen: map[uint64]time.Duration{}, hurry: make(chan struct{}, 1), packets: make(chan packet, queue), updates: make(chan []Update, queue),
 		peers: map[netip.Addr]*remote{}, relays: newRelays(),
 	}
@@ -227,13 +227,13 @@
 			return
 		}
 		if err != nil {
-			n.options.Failed(errors.Wrap(err, "peer: receive"))
+			n.options.OnError(errors.Wrap(err, "peer: receive"))
 			time.Sleep(loadDelay) // an error that lasts must not spin
 			continue
 		}
 		d := &peerpb.Datagram{}
 		if err := proto.Unmarshal(buffer[:size], d); err != nil {
-			n.options.Failed(errors.Wrapf(err, "peer: datagram from %s", from))
+			n.options.OnError(errors.Wrapf(err, "peer: datagram from %s", from))
 			continue
 		}
 		select {
@@ -271,7 +271,7 @@
 				waiting = true
 			}
 		case l := <-n.backlogs:
-			n.seen[l.Server] = l.Left
+			n.seen[l.Server] = l.Remaining
 		case r := <-n.refusals:
 			n.refused.add(r, mostRefusals)
 		case e := <-n.ends:
