--- a/gateway/peer/peer_test.go
+++ b/gateway/peer/peer_test.go
@@ -27,8 +27,8 @@
 	loads  map[string][]peer.Load
 	seen   map[string][]peer.Backlog
 	turned []peer.Refusal
-	ends   []peer.End
-	clear  []peer.Answered
+	ends   []peer.Crash
+	clear  []peer.Cleared
 	leaves []string
 	last   map[string]peer.Update
 	ended  chan struct{}
@@ -53,7 +53,7 @@
 	t.Helper()
 	node, err := peer.Listen(peer.Options{
 		Address: fmt.Sprintf("127.0.0.%d:%d", n, port), Hall: hall, Seeds: seeds,
-		State: func() peer.State { return state }, Failed: func(error) {},
+		State: func() peer.State { return state }, OnError: func(error) {},
 	})
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
@@ -83,9 +83,9 @@
 	m.loads[u.From] = append(m.loads[u.From], u.Loads...)
 	m.seen[u.From] = append(m.seen[u.From], u.Backlogs...)
 	m.turned = append(m.turned, u.Refusals...)
-	m.ends = append(m.ends, u.Ends...)
-	m.clear = append(m.clear, u.Answered...)
-	m.leaves = append(m.leaves, u.Leaves...)
+	m.ends = append(m.ends, u.Crashes...)
+	m.clear = append(m.clear, u.Cleared...)
+	m.leaves = append(m.leaves, u.LeavingServers...)
 	if u.Alive {
 		m.last[u.From] = u
 	}
@@ -152,7 +152,7 @@
 	eventually(t, "they meet", func() bool { return a.living() == 1 && b.living() == 1 })
 	const many = 40
 	for i := range many {
-		a.node.Tell(peer.Load{Server: uint64(i), Work: time.Duration(i) * time.Millisecond, Parts: []uint64{1, 2}})
+		a.node.PublishLoad(peer.Load{Server: uint64(i), Work: time.Duration(i) * time.Millisecond, Parts: []uint64{1, 2}})
 		time.Sleep(2 * time.Millisecond)
 	}
 	eventually(t, "all loads", func() bool { return len(b.heard("127.0.0.1")) >= many })
@@ -175,17 +175,17 @@
 	b := join(t, port, 2, peer.State{}, "127.0.0.1")
 	eventually(t, "they meet", func() bool { return a.living() == 1 && b.living() == 1 })
 	for _, left := range []time.Duration{700, 800, -1} {
-		a.node.TellBacklog(peer.Backlog{Server: 7, Left: left * time.Millisecond})
+		a.node.PublishBacklog(peer.Backlog{Server: 7, Remaining: left * time.Millisecond})
 	}
-	a.node.TellBacklog(peer.Backlog{Server: 8, Left: time.Second})
-	a.node.TellNow()
+	a.node.PublishBacklog(peer.Backlog{Server: 8, Remaining: time.Second})
+	a.node.SendSoon()
 	told := func() []peer.Backlog {
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
 		return append([]peer.Backlog(nil), b.seen["127.0.0.1"]...)
 	}
 	eventually(t, "the newest of both servers; less than nothing is nothing", func() bool {
-		return slices.Contains(told(), peer.Backlog{Server: 7}) && slices.Contains(told(), peer.Backlog{Server: 8, Left: time.Second})
+		return slices.Contains(told(), peer.Backlog{Server: 7}) && slices.Contains(told(), peer.Backlog{Server: 8, Remaining: time.Second})
 	})
 	many := len(told())
 	time.Sleep(600 * time.Millisecond) // two heartbeats
@@ -199,8 +199,8 @@
 	b := join(t, port, 2, peer.State{}, "127.0.0.1")
 	eventually(t, "they meet", func() bool { return a.living() == 1 && b.living() == 1 })
 	now := time.Now()
-	f := peer.Refusal{Key: 7, Ends: now.Add(9 * time.Second), First: now.Add(-time.Second)}
-	a.node.TellRefusal(f)
+	f := peer.Refusal{Key: 7, Deadline: now.Add(9 * time.Second), FirstAttempt: now.Add(-time.Second)}
+	a.node.PublishRefusal(f)
 	told := func() []peer.Refusal {
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
@@ -211,8 +211,8 @@
 	require.Len(t, told(), 2)
 	for _, x := range told() {
 		require.Equal(t, f.Key, x.Key)
-		require.InDelta(t, f.Ends.Sub(now), x.Ends.Sub(now), float64(100*time.Millisecond))
-		require.InDelta(t, f.First.Sub(now), x.First.Sub(now), float64(100*time.Millisecond))
+		require.InDelta(t, f.Deadline.Sub(now), x.Deadline.Sub(now), float64(100*time.Millisecond))
+		require.InDelta(t, f.FirstAttempt.Sub(now), x.FirstAttempt.Sub(now), float64(100*time.Millisecond))
 	}
 }
 
@@ -224,9 +224,9 @@
 	eventually(t, "they meet", func() bool { return a.living() == 1 && b.living() == 1 })
 	const many = 20
 	for n := range byte(many) {
-		a.node.TellEnd(peer.End{Server: fmt.Sprintf("i-%d@5", n), Suspects: []peer.Key{{n}, {n, 1}}})
+		a.node.PublishCrash(peer.Crash{Server: fmt.Sprintf("i-%d@5", n), Suspects: []peer.Key{{n}, {n, 1}}})
 	}
-	a.node.TellAnswered(peer.Answered{Key: peer.Key{7}, Servers: []string{"i-7@5"}})
+	a.node.PublishCleared(peer.Cleared{Key: peer.Key{7}, Servers: []string{"i-7@5"}})
 	told := func() map[string]int {
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
@@ -247,7 +247,7 @@
 		defer b.mutex.Unlock()
 		return len(b.clear) == 2
 	})
-	require.Equal(t, peer.Answered{Key: peer.Key{7}, Servers: []string{"i-7@5"}}, b.clear[0])
+	require.Equal(t, peer.Cleared{Key: peer.Key{7}, Servers: []string{"i-7@5"}}, b.clear[0])
 }
 
 // TestLeavesAreTold in two beacons each, also when many leave at once.
@@ -258,7 +258,7 @@
 	eventually(t, "they meet", func() bool { return a.living() == 1 && b.living() == 1 })
 	const many = 200
 	for n := range many {
-		a.node.TellLeaves(fmt.Sprintf("i-%d@5", n))
+		a.node.PublishLeaving(fmt.Sprintf("i-%d@5", n))
 	}
 	eventually(t, "each is told twice", func() bool {
 		b.mutex.Lock()
@@ -331,10 +331,10 @@
 func TestRunningIsTold(t *testing.T) {
 	port := freePort(t)
 	hears := join(t, port, 1, peer.State{})
-	speeds := []peer.Speed{{Service: 9, Reading: 0.5, FirstStep: 20 * time.Millisecond}}
+	speeds := []peer.Speed{{Service: 9, PrefillSlowdown: 0.5, FirstEventDelay: 20 * time.Millisecond}}
 	state := peer.State{Running: map[uint64]int{7: 2, 8: 1}, Speeds: speeds}
 	var mutex sync.Mutex
-	node, err := peer.Listen(peer.Options{Address: fmt.Sprintf("127.0.0.2:%d", port), Seeds: []string{"127.0.0.1"}, Failed: func(error) {}, State: func() peer.State {
+	node, err := peer.Listen(peer.Options{Address: fmt.Sprintf("127.0.0.2:%d", port), Seeds: []string{"127.0.0.1"}, OnError: func(error) {}, State: func() peer.State {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return state
@@ -350,7 +350,7 @@
 		hears.mutex.Lock()
 		defer hears.mutex.Unlock()
 		u := hears.last["127.0.0.2"]
-		if u.Whole != whole {
+		if u.Full != whole {
 			return nil
 		}
 		return u.Running
@@ -362,7 +362,7 @@
 	mutex.Lock()
 	state = peer.State{Running: map[uint64]int{7: 3}}
 	mutex.Unlock()
-	node.TellNow()
+	node.SendSoon()
 	require.Eventually(t, func() bool {
 		changed := latest(false)
 		n, gone := changed[8]
--- a/gateway/peer/relay.go
+++ b/gateway/peer/relay.go
@@ -272,7 +272,7 @@
 		from := unpackAddr(p.From)
 		b := &peerpb.Beacon{}
 		if err := proto.Unmarshal(p.Beacon, b); err != nil {
-			n.options.Failed(err)
+			n.options.OnError(err)
 			continue
 		}
 		if bundle.Spread {
--- a/gateway/peer/relay_test.go
+++ b/gateway/peer/relay_test.go
@@ -36,7 +36,7 @@
 	members := halls(t, 3, 5)
 	began := time.Now()
 	for n, m := range members {
-		m.node.Tell(peer.Load{Server: uint64(n + 1), Work: time.Millisecond})
+		m.node.PublishLoad(peer.Load{Server: uint64(n + 1), Work: time.Millisecond})
 	}
 	for i, m := range members {
 		for n := range members {
@@ -105,7 +105,7 @@
 	}
 	const many = 50
 	for i := range many {
-		members[3].node.Tell(peer.Load{Server: uint64(i), Work: time.Millisecond})
+		members[3].node.PublishLoad(peer.Load{Server: uint64(i), Work: time.Millisecond})
 		time.Sleep(20 * time.Millisecond)
 	}
 	eventually(t, "all loads", func() bool { return len(members[1].heard("127.0.0.4")) == many })
@@ -123,7 +123,7 @@
 	for i, m := range left {
 		eventually(t, fmt.Sprintf("node %d knows who is left", i+1), func() bool { return m.living() == 3 })
 	}
-	left[0].node.Tell(peer.Load{Server: 5, Work: time.Millisecond})
+	left[0].node.PublishLoad(peer.Load{Server: 5, Work: time.Millisecond})
 	for i, m := range left[1:] {
 		eventually(t, fmt.Sprintf("node %d hears", i+2), func() bool { return len(m.heard("127.0.0.1")) == 1 })
 	}
--- a/gateway/peer/size_test.go
+++ b/gateway/peer/size_test.go
@@ -14,7 +14,7 @@
 // TestBeaconBytes measures what beacons weigh, for docs/CAPACITY.md.
 func TestBeaconBytes(t *testing.T) {
 	size := func(loads, servers, accounts, backlogs, refusals int, whole bool) int {
-		s := State{Running: map[uint64]int{}, StoreRevision: 1000, ConfigurationVersion: 500, Confirmed: time.Now()}
+		s := State{Running: map[uint64]int{}, StoreRevision: 1000, ConfigurationVersion: 500, ConfirmedAt: time.Now()}
 		for i := range servers {
 			s.Running[uint64(i)<<40] = 5
 		}
@@ -30,7 +30,7 @@
 		}
 		now := time.Now()
 		for range refusals {
-			n.refused.add(Refusal{Key: 1 << 60, Ends: now.Add(10 * time.Second), First: now.Add(-time.Second)}, mostRefusals)
+			n.refused.add(Refusal{Key: 1 << 60, Deadline: now.Add(10 * time.Second), FirstAttempt: now.Add(-time.Second)}, mostRefusals)
 		}
 		b, _ := n.beacon(whole, false)
 		n.addLoads(b)
--- a/gateway/placement/backlog_test.go
+++ b/gateway/placement/backlog_test.go
@@ -11,9 +11,9 @@
 )
 
 // wait is how long a tiny request would wait at the only server.
-func wait(b *placement.Board, now time.Time) time.Duration {
+func wait(b *placement.Balancer, now time.Time) time.Duration {
 	policy := placement.DefaultPolicy()
-	a := b.Place(now, &placement.Ask{Service: "s", Hall: "h", Prompt: 1}).(placement.Assign)
+	a := b.Place(now, &placement.Request{Service: "s", Hall: "h", PromptTokens: 1}).(placement.Assign)
 	return a.Predicted - policy.FirstStep
 }
 
@@ -25,18 +25,18 @@
 	b := engines(1)
 	var positions []time.Duration
 	for range 10 {
-		positions = append(positions, b.Sent(start, placement.Load{Server: "i-00", Work: work}, true))
+		positions = append(positions, b.RecordSent(start, placement.Load{Server: "i-00", Work: work}, true))
 	}
 	require.InDelta(t, 10*work, wait(b, start), float64(time.Millisecond))
 	// The server stood still for a second; then the third request gets its first event.
 	now := start.Add(time.Second + 300*time.Millisecond + firstStep)
 	require.Less(t, wait(b, now), time.Millisecond, "by the sends alone all would be done")
-	left, miss := b.Started(now, "i-00", positions[2])
+	left, miss := b.RecordFirstEvent(now, "i-00", positions[2])
 	require.Equal(t, 7*work, left)
 	require.Positive(t, miss)
 	require.InDelta(t, 7*work-firstStep, wait(b, now), float64(time.Millisecond))
 	// Seeing the same again adds nothing.
-	b.Backlog(now, "i-00", left)
+	b.RecordBacklog(now, "i-00", left)
 	require.InDelta(t, 7*work-firstStep, wait(b, now), float64(time.Millisecond))
 }
 
@@ -44,15 +44,15 @@
 func TestOverdueRequestsShowABacklog(t *testing.T) {
 	const work = 100 * time.Millisecond
 	b := engines(1)
-	first := b.Sent(start, placement.Load{Server: "i-00", Work: work}, true)
-	b.Sent(start, placement.Load{Server: "i-00", Work: 5 * work}, false)
+	first := b.RecordSent(start, placement.Load{Server: "i-00", Work: work}, true)
+	b.RecordSent(start, placement.Load{Server: "i-00", Work: 5 * work}, false)
 	now := start.Add(2 * time.Second)
 	require.Less(t, wait(b, now), time.Millisecond)
-	left, miss := b.Overdue(now, "i-00", first)
+	left, miss := b.RecordOverdue(now, "i-00", first)
 	require.Equal(t, 5*work, left)
 	require.Positive(t, miss)
 	require.InDelta(t, 5*work, wait(b, now), float64(time.Millisecond))
-	_, miss = b.Overdue(now, "i-00", first)
+	_, miss = b.RecordOverdue(now, "i-00", first)
 	require.Zero(t, miss, "known already")
 }
 
@@ -64,23 +64,23 @@
 	now := start
 	var positions []time.Duration
 	for range 40 { // all are there from the start, so that the server never rests
-		positions = append(positions, b.Sent(start, placement.Load{Server: "i-00", Work: 50 * time.Millisecond}, false))
+		positions = append(positions, b.RecordSent(start, placement.Load{Server: "i-00", Work: 50 * time.Millisecond}, false))
 	}
 	for _, p := range positions {
 		now = now.Add(slower * 50 * time.Millisecond)
-		b.Started(now, "i-00", p)
+		b.RecordFirstEvent(now, "i-00", p)
 	}
-	ask := &placement.Ask{Service: "s", Hall: "h", Prompt: 17000}
+	ask := &placement.Request{Service: "s", Hall: "h", PromptTokens: 17000}
 	usual := engines(1).Place(now, ask).(placement.Assign).Predicted
 	require.Greater(t, b.Place(now, ask).(placement.Assign).Predicted, 3*usual)
 
 	positions = positions[:0]
 	for range 200 {
-		positions = append(positions, b.Sent(now, placement.Load{Server: "i-00", Work: 50 * time.Millisecond}, false))
+		positions = append(positions, b.RecordSent(now, placement.Load{Server: "i-00", Work: 50 * time.Millisecond}, false))
 	}
 	for _, p := range positions {
 		now = now.Add(50 * time.Millisecond)
-		b.Started(now, "i-00", p)
+		b.RecordFirstEvent(now, "i-00", p)
 	}
 	require.InDelta(t, usual, b.Place(now, ask).(placement.Assign).Predicted, float64(60*time.Millisecond))
 }
@@ -90,17 +90,17 @@
 	b := engines(1)
 	now := start
 	for range 20 {
-		p := b.Sent(now, placement.Load{Server: "i-00", Work: 100 * time.Millisecond}, true)
-		b.Started(now.Add(150*time.Millisecond), "i-00", p)
+		p := b.RecordSent(now, placement.Load{Server: "i-00", Work: 100 * time.Millisecond}, true)
+		b.RecordFirstEvent(now.Add(150*time.Millisecond), "i-00", p)
 		now = now.Add(2 * time.Second)
 	}
-	ask := &placement.Ask{Service: "s", Hall: "h", Prompt: 17000}
+	ask := &placement.Request{Service: "s", Hall: "h", PromptTokens: 17000}
 	require.Equal(t, engines(1).Place(now, ask).(placement.Assign).Predicted, b.Place(now, ask).(placement.Assign).Predicted)
 }
 
 // copying is an engine whose servers take cached parts of prompts from one another.
 func copying(string) *catalog.Engine {
-	return &catalog.Engine{Slots: 64, KVTokens: 500000, TokenBytes: 163840, LinkMbps: 550000}
+	return &catalog.Engine{Slots: 64, KVTokens: 500000, BytesPerToken: 163840, LinkMbps: 550000}
 }
 
 // TestCopies: a shared part that is held somewhere is copied rather than read again, and
@@ -109,30 +109,30 @@
 	type row struct {
 		name   string
 		load   time.Duration // on the server that holds the part
-		change func(list []catalog.Server, a *placement.Ask, holder string)
+		change func(list []catalog.Server, a *placement.Request, holder string)
 		copies bool
 	}
 	tests := []row{
 		{"holder idle", 0, nil, false},
 		{"holder busy", time.Second, nil, true},
-		{"holder leaves", 0, func(list []catalog.Server, _ *placement.Ask, holder string) {
+		{"holder leaves", 0, func(list []catalog.Server, _ *placement.Request, holder string) {
 			for i := range list {
 				list[i].Leaving = list[i].ID == holder
 			}
 		}, true},
-		{"holder has failed this request", 0, func(_ []catalog.Server, a *placement.Ask, holder string) {
+		{"holder has failed this request", 0, func(_ []catalog.Server, a *placement.Request, holder string) {
 			a.Exclude = []string{holder}
 		}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := placement.NewBoard(placement.DefaultPolicy())
+			b := placement.NewBalancer(placement.DefaultPolicy())
 			list := servers(9)
 			b.SetServers(start, list, copying)
 			first := put(b, start, long(7)).(placement.Assign)
 			require.Empty(t, first.CopyFrom, "nobody holds it yet")
 			now := start.Add(time.Second)
-			b.Sent(now, placement.Load{Server: first.Server.ID, Work: test.load}, false)
+			b.RecordSent(now, placement.Load{Server: first.Server.ID, Work: test.load}, false)
 			a := long(7)
 			if test.change != nil {
 				test.change(list, a, first.Server.ID)
@@ -152,10 +152,10 @@
 
 // TestRestingServersAreNoSource: a copy from a server that can't be reached would hang.
 func TestRestingServersAreNoSource(t *testing.T) {
-	b := placement.NewBoard(placement.DefaultPolicy())
+	b := placement.NewBalancer(placement.DefaultPolicy())
 	b.SetServers(start, servers(9), copying)
 	first := put(b, start, long(7)).(placement.Assign)
-	b.Ended(start, first.Server.ID, false, placement.Unreachable)
+	b.RecordEnd(start, first.Server.ID, false, placement.Unreachable)
 	second := b.Place(start, long(7)).(placement.Assign)
 	require.NotEqual(t, first.Server.ID, second.Server.ID)
 	require.Empty(t, second.CopyFrom)
@@ -166,7 +166,7 @@
 func TestAlikeServersShare(t *testing.T) {
 	chosen := map[string]int{}
 	for draw := range uint64(100) {
-		a := &placement.Ask{Service: "s", Hall: "h", Prompt: 500, Objective: time.Second, Draw: draw * 0x9e3779b97f4a7c15}
+		a := &placement.Request{Service: "s", Hall: "h", PromptTokens: 500, Objective: time.Second, TieBreak: draw * 0x9e3779b97f4a7c15}
 		chosen[engines(9).Place(start, a).(placement.Assign).Server.ID]++
 	}
 	require.Len(t, chosen, 9)
@@ -182,13 +182,13 @@
 	now := start
 	var positions []time.Duration
 	for range 40 {
-		positions = append(positions, b.Sent(start, placement.Load{Server: "i-00", Work: 50 * time.Millisecond}, false))
+		positions = append(positions, b.RecordSent(start, placement.Load{Server: "i-00", Work: 50 * time.Millisecond}, false))
 	}
 	for _, p := range positions {
 		now = now.Add(250 * time.Millisecond)
-		b.Started(now, "i-00", p)
+		b.RecordFirstEvent(now, "i-00", p)
 	}
-	ask := &placement.Ask{Service: "s", Hall: "h", Prompt: 17000}
+	ask := &placement.Request{Service: "s", Hall: "h", PromptTokens: 17000}
 	usual := engines(1).Place(now, ask).(placement.Assign).Predicted
 	require.Greater(t, b.Place(now, ask).(placement.Assign).Predicted, 3*usual)
 	later := b.Place(now.Add(20*time.Second), ask).(placement.Assign).Predicted
--- a/gateway/placement/cache.go
+++ b/gateway/placement/cache.go
@@ -45,7 +45,7 @@
 
 // prompt returns how many tokens of a request's prompt the cache holds or will hold when
 // the server comes to it, and how many tokens of shared parts it would have to read.
-func (c *cache) prompt(a *Ask) (held, missing int) {
+func (c *cache) prompt(a *Request) (held, missing int) {
 	broken := false
 	for i, p := range a.Parts {
 		known, found := c.parts[p.Hash]
@@ -58,11 +58,11 @@
 			missing += p.Tokens
 		}
 	}
-	return min(held, a.Prompt), missing
+	return min(held, a.PromptTokens), missing
 }
 
 // ready returns how many tokens of a request's prompt can be copied from the cache now.
-func (c *cache) ready(now time.Time, a *Ask) int {
+func (c *cache) ready(now time.Time, a *Request) int {
 	held := 0
 	for _, p := range a.Parts {
 		known, found := c.parts[p.Hash]
@@ -71,7 +71,7 @@
 		}
 		held += p.Tokens
 	}
-	return min(held, a.Prompt)
+	return min(held, a.PromptTokens)
 }
 
 // forget drops the parts that are held no more.
--- a/gateway/placement/cache_test.go
+++ b/gateway/placement/cache_test.go
@@ -12,7 +12,7 @@
 
 // smallCache is an engine whose memory holds two long prompts.
 func smallCache(string) *catalog.Engine {
-	return &catalog.Engine{Slots: 64, KVTokens: 40000, TokenBytes: 163840, LinkMbps: 550000}
+	return &catalog.Engine{Slots: 64, KVTokens: 40000, BytesPerToken: 163840, LinkMbps: 550000}
 }
 
 // TestLeastRecentlyUsedGivesWay: what a cache holds depends on what came after, not on
@@ -32,7 +32,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := placement.NewBoard(placement.DefaultPolicy())
+			b := placement.NewBalancer(placement.DefaultPolicy())
 			b.SetServers(start, servers(1), smallCache)
 			now := start
 			cold := put(b, now, long(7)).(placement.Assign).Load.Work
@@ -40,7 +40,7 @@
 				now = now.Add(time.Second)
 				put(b, now, long(key))
 			}
-			b.Forget()
+			b.PruneCaches()
 			work := b.Place(now.Add(test.wait), long(7)).(placement.Assign).Load.Work
 			require.Equal(t, test.held, work < cold/2)
 		})
@@ -49,15 +49,15 @@
 
 // TestUnreadPartsAreNoSource: a part can't be copied before it has been read.
 func TestUnreadPartsAreNoSource(t *testing.T) {
-	b := placement.NewBoard(placement.DefaultPolicy())
+	b := placement.NewBalancer(placement.DefaultPolicy())
 	b.SetServers(start, servers(9), copying)
 	first := put(b, start, long(7)).(placement.Assign)
-	patient := func() *placement.Ask {
+	patient := func() *placement.Request {
 		a := long(7)
 		a.Objective = 0
 		return a
 	}
-	b.Sent(start, placement.Load{Server: first.Server.ID, Work: 3 * time.Second}, false)
+	b.RecordSent(start, placement.Load{Server: first.Server.ID, Work: 3 * time.Second}, false)
 	soon := b.Place(start.Add(100*time.Millisecond), patient()).(placement.Assign)
 	require.Empty(t, soon.CopyFrom)
 	later := b.Place(start.Add(time.Second), patient()).(placement.Assign)
@@ -69,8 +69,8 @@
 	b := engines(1)
 	a := long(7)
 	cold := b.Place(start, a).(placement.Assign).Load.Work
-	b.Holds(start, "i-00", []uint64{a.Parts[0].Hash})
-	b.Holds(start, "i-99", []uint64{a.Parts[0].Hash}) // has gone meanwhile
+	b.RecordCached(start, "i-00", []uint64{a.Parts[0].Hash})
+	b.RecordCached(start, "i-99", []uint64{a.Parts[0].Hash}) // has gone meanwhile
 	require.Less(t, b.Place(start, a).(placement.Assign).Load.Work, cold/2)
 	for i := range uint64(40) {
 		put(b, start.Add(time.Duration(i)*time.Second), long(1000+i))
--- a/gateway/placement/engine.go
+++ b/gateway/placement/engine.go
@@ -65,7 +65,7 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // speedOf returns what is known of a service's engines.
-func (b *Board) speedOf(service string) *speed {
+func (b *Balancer) speedOf(service string) *speed {
 	v := b.speeds[service]
 	if v == nil {
 		v = &speed{reading: estimate{value: 1}, firstStep: estimate{value: b.policy.FirstStep.Seconds()}, usual: 1}
@@ -76,7 +76,7 @@
 
 // learnUsual takes the median of what the servers' paces are now. A server of which
 // nothing was seen lately counts as usual, so a few slow ones stay apart.
-func (b *Board) learnUsual(now time.Time, service string) {
+func (b *Balancer) learnUsual(now time.Time, service string) {
 	group := b.services[service]
 	v := b.speedOf(service)
 	if len(group) < leastServers || now.Sub(v.settled) < speedEvery {
@@ -91,9 +91,9 @@
 	v.usual = min(max(paces[len(paces)/2], leastPace), mostPace)
 }
 
-// Took tells how long an own request took to its first event, and what was predicted
+// RecordLatency tells how long an own request took to its first event, and what was predicted
 // when it was sent: for waiting and for its own reading.
-func (b *Board) Took(server string, took, waiting, reading time.Duration) {
+func (b *Balancer) RecordLatency(server string, took, waiting, reading time.Duration) {
 	s := b.servers[server]
 	if s == nil || s.engine == nil {
 		return
@@ -110,37 +110,37 @@
 	}
 }
 
-// Service returns the service of a server; empty: it is not known.
-func (b *Board) Service(server string) string {
+// ServiceOf returns the service of a server; empty: it is not known.
+func (b *Balancer) ServiceOf(server string) string {
 	if s := b.servers[server]; s != nil {
 		return s.Server.Service
 	}
 	return ""
 }
 
-// Servers returns how many servers a service has.
-func (b *Board) Servers(service string) int { return len(b.services[service]) }
+// ServerCount returns how many servers a service has.
+func (b *Balancer) ServerCount(service string) int { return len(b.services[service]) }
 
 // Speed is what is believed of a service's engines.
 type Speed struct {
-	Reading   float64       // how much longer reading takes than [Policy] says
-	FirstStep time.Duration // from the end of reading to the first event
-	Learned   bool          // from many first events, or from another gateway that saw them
+	PrefillSlowdown float64       // how much longer reading takes than [Policy] says
+	FirstEventDelay time.Duration // from the end of reading to the first event
+	Learned         bool          // from many first events, or from another gateway that saw them
 }
 
 // SetSpeed takes over what another gateway has learned of a service's engines, unless this
 // one has learned it itself.
-func (b *Board) SetSpeed(service string, s Speed) {
+func (b *Balancer) SetSpeed(service string, s Speed) {
 	v := b.speedOf(service)
 	if v.reading.seen >= learnedAfter {
 		return
 	}
-	v.reading = estimate{value: min(max(s.Reading, leastPace), mostPace), seen: learnedAfter}
-	v.firstStep = estimate{value: min(max(s.FirstStep, leastFirstStep), mostFirstStep).Seconds(), seen: learnedAfter}
+	v.reading = estimate{value: min(max(s.PrefillSlowdown, leastPace), mostPace), seen: learnedAfter}
+	v.firstStep = estimate{value: min(max(s.FirstEventDelay, leastFirstStep), mostFirstStep).Seconds(), seen: learnedAfter}
 }
 
 // Speed returns what is believed of a service's engines.
-func (b *Board) Speed(service string) Speed {
+func (b *Balancer) Speed(service string) Speed {
 	v := b.speedOf(service)
-	return Speed{Reading: v.reading.value, FirstStep: v.first(), Learned: v.reading.seen >= learnedAfter}
+	return Speed{PrefillSlowdown: v.reading.value, FirstEventDelay: v.first(), Learned: v.reading.seen >= learnedAfter}
 }
--- a/gateway/placement/engine_test.go
+++ b/gateway/placement/engine_test.go
@@ -14,7 +14,7 @@
 
 // fleet plays servers that read prompts in order of arrival, at speeds of their own.
 type fleet struct {
-	board     *placement.Board
+	board     *placement.Balancer
 	rate      float64       // tokens that a usual server reads in a millisecond
 	first     time.Duration // from the end of reading to the first event
 	slower    map[string]float64
@@ -39,7 +39,7 @@
 // prediction: how much later than predicted the first event comes.
 func (f *fleet) send(now time.Time, tokens int, draw uint64) (miss time.Duration) {
 	f.hear(now)
-	a, ok := f.board.Place(now, &placement.Ask{Service: "s", Hall: "h", Prompt: tokens, Draw: draw}).(placement.Assign)
+	a, ok := f.board.Place(now, &placement.Request{Service: "s", Hall: "h", PromptTokens: tokens, TieBreak: draw}).(placement.Assign)
 	if !ok {
 		return 0
 	}
@@ -51,7 +51,7 @@
 	}
 	f.busyUntil[id] = begins.Add(reading)
 	at := begins.Add(reading + f.first)
-	f.events = append(f.events, event{at: at, sent: now, server: id, position: f.board.Sent(now, a.Load, false), assign: a})
+	f.events = append(f.events, event{at: at, sent: now, server: id, position: f.board.RecordSent(now, a.Load, false), assign: a})
 	return at.Sub(now) - a.Predicted
 }
 
@@ -61,8 +61,8 @@
 	for len(f.events) > 0 && !f.events[0].at.After(now) {
 		e := f.events[0]
 		f.events = f.events[1:]
-		f.board.Took(e.server, e.at.Sub(e.sent), e.assign.Waiting, e.assign.Reading)
-		f.board.Started(e.at, e.server, e.position)
+		f.board.RecordLatency(e.server, e.at.Sub(e.sent), e.assign.QueueTime, e.assign.PrefillTime)
+		f.board.RecordFirstEvent(e.at, e.server, e.position)
 	}
 }
 
@@ -126,5 +126,5 @@
 	odd.slower["i-03"] = 10
 	usual.play(servers, seconds)
 	odd.play(servers, seconds)
-	require.InEpsilon(t, usual.board.Speed("s").Reading, odd.board.Speed("s").Reading, 0.2)
+	require.InEpsilon(t, usual.board.Speed("s").PrefillSlowdown, odd.board.Speed("s").PrefillSlowdown, 0.2)
 }
--- a/gateway/placement/observe.go
+++ b/gateway/placement/observe.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Sent tells that a gateway has sent a request; own tells whether it was this one. It
+// RecordSent tells that a gateway has sent a request; own tells whether it was this one. It
 // returns the request's position: all the work that was sent to the server so far.
 // Loads on servers that are not known are passed over.
-func (b *Board) Sent(now time.Time, l Load, own bool) (position time.Duration) {
+func (b *Balancer) RecordSent(now time.Time, l Load, own bool) (position time.Duration) {
 	s := b.servers[l.Server]
 	if s == nil {
 		return 0
@@ -22,13 +22,13 @@
 	}
 	s.sent += l.Work
 	s.busyUntil = s.busyUntil.Add(s.atPace(now, l.Work))
-	s.cache.use(l.Parts, l.Tokens, s.busyUntil)
+	s.cache.use(l.Parts, l.CacheTokens, s.busyUntil)
 	return s.sent
 }
 
-// Holds tells which parts of prompts a server has in its cache, beside those that were
+// RecordCached tells which parts of prompts a server has in its cache, beside those that were
 // sent there. When they were used last is not known, so they count as old by half.
-func (b *Board) Holds(now time.Time, server string, parts []uint64) {
+func (b *Balancer) RecordCached(now time.Time, server string, parts []uint64) {
 	s := b.servers[server]
 	if s == nil {
 		return
@@ -36,21 +36,21 @@
 	s.cache.hold(parts, now)
 }
 
-// Started tells that a server has made the first event of an own request. Servers read
+// RecordFirstEvent tells that a server has made the first event of an own request. Servers read
 // prompts in order of arrival, so what was sent after it is what they have still to
 // read. It returns that, and by how much the model was wrong.
-func (b *Board) Started(now time.Time, server string, position time.Duration) (left, miss time.Duration) {
+func (b *Balancer) RecordFirstEvent(now time.Time, server string, position time.Duration) (left, miss time.Duration) {
 	s := b.servers[server]
 	if s == nil {
 		return 0, 0
 	}
 	left = max(s.sent-position, 0)
-	return left, b.Backlog(now, server, left)
+	return left, b.RecordBacklog(now, server, left)
 }
 
-// Backlog tells how much work a server has still to do, as an event there has shown. It
+// RecordBacklog tells how much work a server has still to do, as an event there has shown. It
 // returns by how much the model was wrong.
-func (b *Board) Backlog(now time.Time, server string, left time.Duration) (miss time.Duration) {
+func (b *Balancer) RecordBacklog(now time.Time, server string, left time.Duration) (miss time.Duration) {
 	s := b.servers[server]
 	if s == nil {
 		return 0
@@ -64,9 +64,9 @@
 	return miss
 }
 
-// Overdue tells that an own request at a position should have had its first event and
-// did not, so the server is at least so far behind. It returns as [Board.Started] does.
-func (b *Board) Overdue(now time.Time, server string, position time.Duration) (left, miss time.Duration) {
+// RecordOverdue tells that an own request at a position should have had its first event and
+// did not, so the server is at least so far behind. It returns as [Balancer.RecordFirstEvent] does.
+func (b *Balancer) RecordOverdue(now time.Time, server string, position time.Duration) (left, miss time.Duration) {
 	s := b.servers[server]
 	if s == nil {
 		return 0, 0
@@ -141,21 +141,21 @@
 	sent time.Duration // at that moment
 }
 
-// End says how a request ended at its server.
-type End int
+// Outcome says how a request ended at its server.
+type Outcome int
 
 // The ends of requests.
 const (
-	Served      End = iota
-	Failed          // an error of the server's own, a broken or wrong answer
-	Unreachable     // no connection came up
-	Full            // the server turned it away
-	Abandoned       // the caller left or the gateway gave up; it tells nothing of the server
-	NotSent         // the gateway did not send it after all
+	Served      Outcome = iota
+	Failed              // an error of the server's own, a broken or wrong answer
+	Unreachable         // no connection came up
+	Rejected            // the server turned it away
+	Abandoned           // the caller left or the gateway gave up; it tells nothing of the server
+	NotSent             // the gateway did not send it after all
 )
 
-// Ended tells that an own request has left its server.
-func (b *Board) Ended(now time.Time, server string, sent bool, e End) {
+// RecordEnd tells that an own request has left its server.
+func (b *Balancer) RecordEnd(now time.Time, server string, sent bool, e Outcome) {
 	s := b.servers[server]
 	if s == nil {
 		return
@@ -172,14 +172,14 @@
 		s.failures++
 	case Unreachable:
 		s.letRest(now)
-	case Full:
+	case Rejected:
 		s.pause.refuse(now)
 	case Abandoned, NotSent:
 	}
 }
 
-// Silent tells that a server owes a first event for long and gives no sign of life.
-func (b *Board) Silent(now time.Time, server string) {
+// RecordSilence tells that a server owes a first event for long and gives no sign of life.
+func (b *Balancer) RecordSilence(now time.Time, server string) {
 	if s := b.servers[server]; s != nil && now.After(s.resting) {
 		s.fade(now)
 		s.letRest(now)
@@ -193,22 +193,22 @@
 	s.resting = now.Add(s.rest)
 }
 
-// SetOthers tells how many requests of other gateways are at a server.
-func (b *Board) SetOthers(server string, running int) {
+// SetRemoteRunning tells how many requests of other gateways are at a server.
+func (b *Balancer) SetRemoteRunning(server string, running int) {
 	if s := b.servers[server]; s != nil {
 		s.others = running
 	}
 }
 
-// AddOthers tells that other gateways have so many requests more at a server, or fewer.
-func (b *Board) AddOthers(server string, more int) {
+// AddRemoteRunning tells that other gateways have so many requests more at a server, or fewer.
+func (b *Balancer) AddRemoteRunning(server string, more int) {
 	if s := b.servers[server]; s != nil {
 		s.others = max(s.others+more, 0)
 	}
 }
 
-// Forget drops the parts that no server holds any more, to bound memory.
-func (b *Board) Forget() {
+// PruneCaches drops the parts that no server holds any more, to bound memory.
+func (b *Balancer) PruneCaches() {
 	for _, s := range b.servers {
 		s.cache.forget()
 	}
--- a/gateway/placement/option.go
+++ b/gateway/placement/option.go
@@ -20,16 +20,16 @@
 }
 
 // option weighs a server; from is the one that holds most of the prompt.
-func (b *Board) option(now time.Time, a *Ask, s *server, from holder) option {
+func (b *Balancer) option(now time.Time, a *Request, s *server, from holder) option {
 	held, missing := s.cache.prompt(a)
-	o := option{server: s, added: a.Prompt - held}
+	o := option{server: s, added: a.PromptTokens - held}
 	copied, copying := 0, time.Duration(0)
 	if from.server != nil && from.server != s && from.tokens-held >= b.policy.LeastCopy {
 		o.from = from.server
 		copied = from.tokens - held
 		copying = b.copying(copied, s, from.server)
 	}
-	o.work = b.policy.reading(o.added-copied, a.Prompt)
+	o.work = b.policy.reading(o.added-copied, a.PromptTokens)
 	crowd := b.crowding(s)
 	o.waiting = max(s.busyUntil.Sub(now), 0) + copying + crowd
 	o.reading = s.atPace(now, o.work)
@@ -43,9 +43,9 @@
 }
 
 // sideCosts weighs what has nothing to do with the time to the first event.
-func (b *Board) sideCosts(now time.Time, a *Ask, s *server) time.Duration {
+func (b *Balancer) sideCosts(now time.Time, a *Request, s *server) time.Duration {
 	cost := scale(b.policy.FailureCost, s.failureRate(now))
-	cost += time.Duration(rank(a.Draw, s.hash) % uint64(b.policy.Spread))
+	cost += time.Duration(rank(a.TieBreak, s.hash) % uint64(b.policy.Spread))
 	switch {
 	case b.regions[s.Hall] != b.regions[a.Hall]:
 		cost += b.policy.OtherRegion
@@ -56,14 +56,14 @@
 }
 
 // crowding is the delay expected of a server that runs nearly as many requests as it can.
-func (b *Board) crowding(s *server) time.Duration {
+func (b *Balancer) crowding(s *server) time.Duration {
 	over := s.running + s.others - s.engine.Slots + b.policy.SpareSlots
 	return time.Duration(max(over, 0)) * b.policy.SlotCost
 }
 
 // best returns the cheapest of the servers that may serve the request: those that may
 // read its shared part, or all once one of them holds most of it, since copies cost little.
-func (b *Board) best(now time.Time, a *Ask, open []*server) option {
+func (b *Balancer) best(now time.Time, a *Request, open []*server) option {
 	from := b.fullest(now, a)
 	candidates := b.homes(now, a, open)
 	if _, shared := sharedPart(a); from.server != nil && float64(from.tokens) >= b.policy.HeldShare*float64(shared) {
@@ -79,7 +79,7 @@
 // idle returns the cheapest server that has nothing to read and would have to read hardly
 // any shared part again for the request: one beyond its account's share then delays
 // nobody, and no cache is filled with what others hold. ok is false if there is none.
-func (b *Board) idle(now time.Time, a *Ask, open []*server) (best option, ok bool) {
+func (b *Balancer) idle(now time.Time, a *Request, open []*server) (best option, ok bool) {
 	for _, s := range open {
 		if s.busyUntil.After(now) || !b.places(a, s) {
 			continue
@@ -106,7 +106,7 @@
 
 // fullest returns the server that holds most of a prompt, if others can take it from
 // there. One that leaves may serve as well, and one that was tried may not.
-func (b *Board) fullest(now time.Time, a *Ask) holder {
+func (b *Balancer) fullest(now time.Time, a *Request) holder {
 	var best holder
 	for _, s := range b.services[a.Service] {
 		if !s.engine.Copies() || now.Before(s.resting) || now.Before(s.pause.until) || !b.allowed(a, s) || slices.Contains(a.Exclude, s.ID) {
@@ -121,8 +121,8 @@
 }
 
 // copying returns the time in which a server takes so many tokens from another one.
-func (b *Board) copying(tokens int, to, from *server) time.Duration {
-	bytes := float64(tokens) * float64(from.engine.TokenBytes)
+func (b *Balancer) copying(tokens int, to, from *server) time.Duration {
+	bytes := float64(tokens) * float64(from.engine.BytesPerToken)
 	bytesPerMS := from.engine.LinkMbps * 1e6 / 8 / 1e3
 	d := time.Duration(bytes / bytesPerMS * float64(time.Millisecond))
 	if to.Hall != from.Hall {
@@ -133,7 +133,7 @@
 
 // delayCost weighs the time to the first event: it matters the more the nearer it comes
 // to the objective, so that reuse goes first while there is time.
-func (b *Board) delayCost(a *Ask, predicted time.Duration) time.Duration {
+func (b *Balancer) delayCost(a *Request, predicted time.Duration) time.Duration {
 	limit := b.limit(a)
 	if limit <= 0 || predicted >= limit {
 		return predicted
@@ -145,7 +145,7 @@
 // homes returns the servers that may read the request's shared part: the first few
 // in an order that every gateway finds alike and that hardly changes when servers
 // come and go. A part that is small may go anywhere.
-func (b *Board) homes(now time.Time, a *Ask, open []*server) []*server {
+func (b *Balancer) homes(now time.Time, a *Request, open []*server) []*server {
 	key, tokens := sharedPart(a)
 	if tokens < b.policy.FreeTokens || len(open) <= b.policy.Homes {
 		return open
@@ -172,7 +172,7 @@
 
 // sharedPart returns the last part that other requests may have too, with the tokens
 // of the whole shared beginning.
-func sharedPart(a *Ask) (hash uint64, tokens int) {
+func sharedPart(a *Request) (hash uint64, tokens int) {
 	if len(a.Parts) < 2 {
 		return 0, 0
 	}
@@ -183,8 +183,8 @@
 	return hash, tokens
 }
 
-// Ranked returns servers in an order for a key that all find alike.
-func Ranked(key uint64, ids []string) []string {
+// RendezvousOrder returns servers in an order for a key that all find alike.
+func RendezvousOrder(key uint64, ids []string) []string {
 	ranked := slices.Clone(ids)
 	slices.SortFunc(ranked, func(x, y string) int { return cmp.Compare(rank(key, hashID(y)), rank(key, hashID(x))) })
 	return ranked
--- a/gateway/placement/placement.go
+++ b/gateway/placement/placement.go
@@ -13,7 +13,7 @@
 //	case placement.None:   // no server of the service is known
 //	}
 //
-// What other gateways send is told by [Board.Sent] too, so that all see the same
+// What other gateways send is told by [Balancer.RecordSent] too, so that all see the same
 // load a few milliseconds apart. A wrong model costs time, never a promise.
 //
 // The package takes no lock, does no input or output and reads no clock: every call
@@ -35,43 +35,43 @@
 	Tokens int
 }
 
-// Ask describes a request to place.
-type Ask struct {
-	Service   string
-	Account   string
-	Parts     []Part          // of the prompt, in order; the last one is the caller's own
-	Prompt    int             // tokens of the whole prompt
-	Output    int             // tokens the answer is expected to have
-	Objective time.Duration   // what is left, since the caller's first try, of the time in which the first event is in time; below 0: it is late; 0: none
-	Patience  time.Duration   // what is left of the time in which the caller waits for the first event
-	Remaining time.Duration   // what is left of the time in which an answer is of use at all
-	Held      Reason          // why it was held so far
-	Waited    time.Duration   // for how long
-	OverShare bool            // the account has got its share of the fleet
-	Stop      bool            // it got so much more than others that press that it gets no more
-	Ahead     float64         // what it got over an even share of all that was given; 0: unknown
-	Exclude   []string        // servers that have been tried
-	Withheld  map[string]bool // servers that get none of its kind now; shared, not changed
-	Regions   catalog.Regions // in which it may be served
-	Hall      string          // of the gateway
-	Draw      uint64          // random, to choose among servers that are as good
-}
-
-// Decision is what [Board.Place] decides.
+// Request describes a request to place.
+type Request struct {
+	Service       string
+	Account       string
+	Parts         []Part          // of the prompt, in order; the last one is the caller's own
+	PromptTokens  int             // tokens of the whole prompt
+	OutputTokens  int             // tokens the answer is expected to have
+	Objective     time.Duration   // what is left, since the caller's first try, of the time in which the first event is in time; below 0: it is late; 0: none
+	CallerTimeout time.Duration   // what is left of the time in which the caller waits for the first event
+	Remaining     time.Duration   // what is left of the time in which an answer is of use at all
+	HoldReason    Reason          // why it was held so far
+	Waited        time.Duration   // for how long
+	OverShare     bool            // the account has got its share of the fleet
+	Capped        bool            // it got so much more than others that press that it gets no more
+	ShareRatio    float64         // what it got over an even share of all that was given; 0: unknown
+	Exclude       []string        // servers that have been tried
+	Withheld      map[string]bool // servers that get none of its kind now; shared, not changed
+	Regions       catalog.Regions // in which it may be served
+	Hall          string          // of the gateway
+	TieBreak      uint64          // random, to choose among servers that are as good
+}
+
+// Decision is what [Balancer.Place] decides.
 type Decision interface{ decision() }
 
 // Assign gives the request to a server.
 type Assign struct {
-	Server    catalog.Server
-	Load      Load
-	Predicted time.Duration // until the first event
-	Waiting   time.Duration // of that, until the server comes to it
-	Reading   time.Duration // of that, to read what its cache does not hold
-	Usual     time.Duration // from when the server comes to it until the first event, at a server of the usual pace
-	Reread    int           // tokens of shared parts that its cache does not hold
-	CopyFrom  string        // address of a server whose cache holds more of the prompt; empty: none
-	Ticket    uint64        // names the request to whoever keeps the board
-	Before    time.Time     // the request must not leave later than this; zero: whenever it can
+	Server           catalog.Server
+	Load             Load
+	Predicted        time.Duration // until the first event
+	QueueTime        time.Duration // of that, until the server comes to it
+	PrefillTime      time.Duration // of that, to read what its cache does not hold
+	NominalLatency   time.Duration // from when the server comes to it until the first event, at a server of the usual pace
+	SharedMissTokens int           // tokens of shared parts that its cache does not hold
+	CopyFrom         string        // address of a server whose cache holds more of the prompt; empty: none
+	ID               uint64        // names the request to whoever keeps the board
+	SendBefore       time.Time     // the request must not leave later than this; zero: whenever it can
 }
 
 // Refuse means that no server can serve the request in time.
@@ -84,29 +84,29 @@
 // Hold means that the request is kept until servers have room for it, and others go
 // first: ask again soon.
 type Hold struct {
-	Predicted time.Duration // until the first event, at the best server now
-	Reading   time.Duration // of that, to read what its cache does not hold
-	Reason    Reason
+	Predicted   time.Duration // until the first event, at the best server now
+	PrefillTime time.Duration // of that, to read what its cache does not hold
+	Reason      Reason
 }
 
-// None means that no server of the service takes work.
-type None struct{}
+// NoServer means that no server of the service takes work.
+type NoServer struct{}
 
-func (Assign) decision() {}
-func (Refuse) decision() {}
-func (Hold) decision()   {}
-func (None) decision()   {}
+func (Assign) decision()   {}
+func (Refuse) decision()   {}
+func (Hold) decision()     {}
+func (NoServer) decision() {}
 
 // Load is what a request puts on a server.
 type Load struct {
-	Server string        // incarnation
-	Work   time.Duration // to read the part of the prompt that is not cached there
-	Parts  []uint64      // parts of the prompt, in order
-	Tokens int           // that its cache takes up for the request: what it does not hold yet, and the answer
+	Server      string        // incarnation
+	Work        time.Duration // to read the part of the prompt that is not cached there
+	Parts       []uint64      // parts of the prompt, in order
+	CacheTokens int           // that its cache takes up for the request: what it does not hold yet, and the answer
 }
 
-// Board is the model of all servers.
-type Board struct {
+// Balancer is the model of all servers.
+type Balancer struct {
 	policy   Policy
 	servers  map[string]*server
 	services map[string][]*server // sorted by ID
@@ -114,9 +114,9 @@
 	regions  map[string]string    // by hall
 }
 
-// NewBoard returns a board without servers.
-func NewBoard(p Policy) *Board {
-	return &Board{policy: p, servers: map[string]*server{}, services: map[string][]*server{}, speeds: map[string]*speed{}}
+// NewBalancer returns a board without servers.
+func NewBalancer(p Policy) *Balancer {
+	return &Balancer{policy: p, servers: map[string]*server{}, services: map[string][]*server{}, speeds: map[string]*speed{}}
 }
 
 // server is the model of one server.
@@ -145,7 +145,7 @@
 
 // SetServers replaces the servers that exist; engines tells a service's engine, nil
 // for a plain one. What is known of servers that stay is kept.
-func (b *Board) SetServers(now time.Time, list []catalog.Server, engine func(service string) *catalog.Engine) {
+func (b *Balancer) SetServers(now time.Time, list []catalog.Server, engine func(service string) *catalog.Engine) {
 	kept := map[string]*server{}
 	b.services = map[string][]*server{}
 	for _, s := range list {
@@ -164,9 +164,9 @@
 	}
 }
 
-// Place decides where a request goes. It changes nothing; tell [Board.Sent] when the
+// Place decides where a request goes. It changes nothing; tell [Balancer.RecordSent] when the
 // request goes out.
-func (b *Board) Place(now time.Time, a *Ask) Decision {
+func (b *Balancer) Place(now time.Time, a *Request) Decision {
 	open, next := b.open(now, a)
 	if len(open) == 0 {
 		return b.placeLater(now, a, next)
@@ -192,21 +192,21 @@
 }
 
 // placeLater decides on a request for which no server takes work now.
-func (b *Board) placeLater(now time.Time, a *Ask, next opening) Decision {
+func (b *Balancer) placeLater(now time.Time, a *Request, next opening) Decision {
 	if next.at.IsZero() {
-		return None{}
+		return NoServer{}
 	}
 	wait := next.at.Sub(now)
-	if next.reason == Resting && b.waitsFor(a, wait) {
-		return Hold{Predicted: wait, Reason: Resting}
+	if next.reason == BackingOff && b.waitsFor(a, wait) {
+		return Hold{Predicted: wait, Reason: BackingOff}
 	}
-	return Refuse{RetryAfter: max(wait, b.policy.LeastRetryAfter), Reason: next.reason}
+	return Refuse{RetryAfter: max(wait, b.policy.MinRetryAfter), Reason: next.reason}
 }
 
 // open returns the servers of the service that take work; those that could not be reached
 // are left out unless all could not. Cold ones and those that asked for rest are left out
 // always; next tells when the first of them takes work.
-func (b *Board) open(now time.Time, a *Ask) (open []*server, next opening) {
+func (b *Balancer) open(now time.Time, a *Request) (open []*server, next opening) {
 	var awake, resting []*server
 	for _, s := range b.services[a.Service] {
 		if !b.may(a, s) {
@@ -218,7 +218,7 @@
 		}
 		if s.pause.allowed != 0 {
 			if opens := s.pause.opens(now, s.places()); now.Before(opens) {
-				next.sooner(opens, Resting)
+				next.sooner(opens, BackingOff)
 				continue
 			}
 		}
@@ -234,37 +234,37 @@
 	return resting, next
 }
 
-// Leave tells that a server has said that it leaves. It holds until the server's entry has
+// MarkLeaving tells that a server has said that it leaves. It holds until the server's entry has
 // gone; who replaces the servers knows of it by then.
-func (b *Board) Leave(server string) {
+func (b *Balancer) MarkLeaving(server string) {
 	if s := b.servers[server]; s != nil {
 		s.left = true
 	}
 }
 
 // may tells whether a request may go to a server, now or later.
-func (b *Board) may(a *Ask, s *server) bool {
+func (b *Balancer) may(a *Request, s *server) bool {
 	return !s.Leaving && !s.left && !s.Evacuated && !a.Withheld[s.ID] && b.allowed(a, s) && !slices.Contains(a.Exclude, s.ID)
 }
 
 // allowed tells whether a request may be served where a server is.
-func (b *Board) allowed(a *Ask, s *server) bool {
+func (b *Balancer) allowed(a *Request, s *server) bool {
 	return a.Regions == nil || a.Regions.Allow(b.regions[s.Hall])
 }
 
 // SetRegions tells in which region each hall is.
-func (b *Board) SetRegions(byHall map[string]string) { b.regions = byHall }
+func (b *Balancer) SetRegions(byHall map[string]string) { b.regions = byHall }
 
-// Close keeps work from a server until a time. It replaces what was said before; a time
+// CloseUntil keeps work from a server until a time. It replaces what was said before; a time
 // that has passed opens it.
-func (b *Board) Close(server string, until time.Time) {
+func (b *Balancer) CloseUntil(server string, until time.Time) {
 	if s := b.servers[server]; s != nil {
 		s.closed = until
 	}
 }
 
 // placePlain takes the server with the most room, the own hall first.
-func (b *Board) placePlain(now time.Time, a *Ask, open []*server) Decision {
+func (b *Balancer) placePlain(now time.Time, a *Request, open []*server) Decision {
 	cost := func(s *server) float64 {
 		c := float64(s.running+s.others) / float64(max(s.Capacity, 1))
 		c += b.policy.PlainFailureCost * s.failureRate(now)
@@ -277,31 +277,31 @@
 	return Assign{Server: best.Server, Load: Load{Server: best.ID}}
 }
 
-func (b *Board) placeEngine(now time.Time, a *Ask, open []*server) Decision {
+func (b *Balancer) placeEngine(now time.Time, a *Request, open []*server) Decision {
 	best := b.best(now, a, open)
 	r := b.reason(now, a, best)
-	if r == OverShare && a.Ahead <= b.policy.IdleAhead {
+	if r == OverShare && a.ShareRatio <= b.policy.IdleAhead {
 		if o, ok := b.idle(now, a, open); ok {
 			best, r = o, InTime
 		}
 	}
 	if r != InTime {
 		if b.holds(a, best, r) {
-			return Hold{Predicted: best.predicted, Reading: best.reading, Reason: r}
+			return Hold{Predicted: best.predicted, PrefillTime: best.reading, Reason: r}
 		}
 		return Refuse{RetryAfter: b.comeBack(a, best, r), Predicted: best.predicted, Reason: r}
 	}
-	load := Load{Server: best.server.ID, Work: best.work, Parts: hashes(a.Parts), Tokens: best.added + a.Output}
-	assign := Assign{Server: best.server.Server, Load: load, Predicted: best.predicted, Waiting: best.waiting, Reading: best.reading, Reread: best.reread}
-	assign.Usual = best.work + best.server.speed.first()
+	load := Load{Server: best.server.ID, Work: best.work, Parts: hashes(a.Parts), CacheTokens: best.added + a.OutputTokens}
+	assign := Assign{Server: best.server.Server, Load: load, Predicted: best.predicted, QueueTime: best.waiting, PrefillTime: best.reading, SharedMissTokens: best.reread}
+	assign.NominalLatency = best.work + best.server.speed.first()
 	if best.from != nil {
 		assign.CopyFrom = best.from.Address
 	}
 	return assign
 }
 
-// InHand returns how many requests of all gateways a server has.
-func (b *Board) InHand(server string) int {
+// InFlight returns how many requests of all gateways a server has.
+func (b *Balancer) InFlight(server string) int {
 	s := b.servers[server]
 	if s == nil {
 		return 0
@@ -314,25 +314,25 @@
 
 // The reasons.
 const (
-	InTime    Reason = "" // it should be sent
-	OverShare Reason = "account over its share"
-	TooLate   Reason = "no server in time"
-	Cold      Reason = "all servers are cold"
-	Resting   Reason = "all servers have asked for rest"
+	InTime     Reason = "" // it should be sent
+	OverShare  Reason = "account over its share"
+	TooLate    Reason = "no server in time"
+	Cold       Reason = "all servers are cold"
+	BackingOff Reason = "all servers have asked for rest"
 )
 
 // reason tells whether and why a request should not be sent to its best server.
-func (b *Board) reason(now time.Time, a *Ask, best option) Reason {
+func (b *Balancer) reason(now time.Time, a *Request, best option) Reason {
 	if a.Objective == 0 {
 		return InTime
 	}
-	if a.OverShare && a.Held != TooLate && (a.Stop || !b.spare(now, a, best)) {
+	if a.OverShare && a.HoldReason != TooLate && (a.Capped || !b.spare(now, a, best)) {
 		return OverShare
 	}
 	switch {
 	case best.predicted <= b.limit(a), best.waiting <= b.policy.LateWait:
 		return InTime // one that is late delays others by little
-	case a.Held == TooLate && best.predicted > a.Patience-b.policy.LastMoment:
+	case a.HoldReason == TooLate && best.predicted > a.CallerTimeout-b.policy.LastMoment:
 		return InTime // having waited, it is served at the last moment rather than never
 	}
 	return TooLate
@@ -340,35 +340,35 @@
 
 // holds tells whether a request is held. One beyond its account's share waits a moment
 // for a server to run dry; one that is late waits as long as its caller does.
-func (b *Board) holds(a *Ask, best option, r Reason) bool {
-	if a.Stop {
+func (b *Balancer) holds(a *Request, best option, r Reason) bool {
+	if a.Capped {
 		return false // no server that runs dry is for it
 	}
-	if a.OverShare && a.Held != TooLate {
-		return r == OverShare && a.Waited < b.policy.SpareMoment(a) && best.predicted <= b.limit(a)
+	if a.OverShare && a.HoldReason != TooLate {
+		return r == OverShare && a.Waited < b.policy.SurplusHold(a) && best.predicted <= b.limit(a)
 	}
-	return best.predicted < a.Patience
+	return best.predicted < a.CallerTimeout
 }
 
 // spare tells whether a server has room for a request beyond its account's share: it
 // hardly waits, and has places to spare unless the account is far behind the others.
-func (b *Board) spare(now time.Time, a *Ask, best option) bool {
+func (b *Balancer) spare(now time.Time, a *Request, best option) bool {
 	return b.places(a, best.server) && best.waiting <= b.spareWait(now, a)
 }
 
 // places tells whether a server has places to spare for a request beyond its account's
 // share.
-func (b *Board) places(a *Ask, s *server) bool {
+func (b *Balancer) places(a *Request, s *server) bool {
 	taken := float64(s.running+s.others) / float64(max(s.engine.Slots, 1))
-	return a.Ahead <= b.policy.FarBehind || taken <= b.policy.SparePlaces
+	return a.ShareRatio <= b.policy.FarBehind || taken <= b.policy.SparePlaces
 }
 
 // spareWait is the longest wait at which an account that has got its share is served
 // with what others leave. One that got less than an even part of that is served nearly
 // as if it were within its share; the others get idle servers, or while many are idle such
 // as hardly wait.
-func (b *Board) spareWait(now time.Time, a *Ask) time.Duration {
-	wait := scale(b.policy.BehindWait, max(1-a.Ahead, 0))
+func (b *Balancer) spareWait(now time.Time, a *Request) time.Duration {
+	wait := scale(b.policy.BehindWait, max(1-a.ShareRatio, 0))
 	if wait < b.policy.IdleWait && b.idleShare(now, a.Service) >= b.policy.IdleShare {
 		return b.policy.IdleWait
 	}
@@ -376,7 +376,7 @@
 }
 
 // idleShare returns the share of a service's servers that have nothing to read.
-func (b *Board) idleShare(now time.Time, service string) float64 {
+func (b *Balancer) idleShare(now time.Time, service string) float64 {
 	idle := 0
 	for _, s := range b.services[service] {
 		if !s.busyUntil.After(now) {
@@ -387,7 +387,7 @@
 }
 
 // limit is the longest predicted time to the first event at which a request is sent.
-func (b *Board) limit(a *Ask) time.Duration {
+func (b *Balancer) limit(a *Request) time.Duration {
 	return scale(a.Objective, b.policy.LimitShare)
 }
 
@@ -396,8 +396,8 @@
 // comeBack returns when a caller should ask again: when the wait will have gone down,
 // or when the account's window will have moved on. Callers wait up to a third of the
 // time they have left.
-func (b *Board) comeBack(a *Ask, best option, r Reason) time.Duration {
-	after := max(best.predicted-b.limit(a), b.policy.LeastRetryAfter)
+func (b *Balancer) comeBack(a *Request, best option, r Reason) time.Duration {
+	after := max(best.predicted-b.limit(a), b.policy.MinRetryAfter)
 	if r == OverShare {
 		after = max(after, b.policy.ShareRetryAfter)
 	}
--- a/gateway/placement/placement_test.go
+++ b/gateway/placement/placement_test.go
@@ -25,25 +25,25 @@
 	return list
 }
 
-func engines(n int) *placement.Board {
-	b := placement.NewBoard(placement.DefaultPolicy())
+func engines(n int) *placement.Balancer {
+	b := placement.NewBalancer(placement.DefaultPolicy())
 	b.SetServers(start, servers(n), engine)
 	return b
 }
 
 // long is a request with a large shared part.
-func long(key uint64) *placement.Ask {
-	return &placement.Ask{
-		Service: "s", Hall: "h", Prompt: 17000, Output: 100, Objective: 800 * time.Millisecond, Remaining: 12 * time.Second, Patience: 3200 * time.Millisecond,
+func long(key uint64) *placement.Request {
+	return &placement.Request{
+		Service: "s", Hall: "h", PromptTokens: 17000, OutputTokens: 100, Objective: 800 * time.Millisecond, Remaining: 12 * time.Second, CallerTimeout: 3200 * time.Millisecond,
 		Parts: []placement.Part{{Hash: key, Tokens: 13300}, {Hash: key ^ 0xffff, Tokens: 3700}},
 	}
 }
 
 // put places a request and books it.
-func put(b *placement.Board, now time.Time, a *placement.Ask) placement.Decision {
+func put(b *placement.Balancer, now time.Time, a *placement.Request) placement.Decision {
 	d := b.Place(now, a)
 	if assign, ok := d.(placement.Assign); ok {
-		b.Sent(now, assign.Load, false) // it takes no place: these tests are about reading
+		b.RecordSent(now, assign.Load, false) // it takes no place: these tests are about reading
 	}
 	return d
 }
@@ -72,7 +72,7 @@
 
 func TestHomesHardlyMove(t *testing.T) {
 	const keys = 200
-	before, after := engines(9), placement.NewBoard(placement.DefaultPolicy())
+	before, after := engines(9), placement.NewBalancer(placement.DefaultPolicy())
 	after.SetServers(start, servers(9)[:8], engine)
 	moved := 0
 	for k := range uint64(keys) {
@@ -92,7 +92,7 @@
 		put(b, start, long(7))
 	}
 	busy := b.Place(start, long(7))
-	short := &placement.Ask{Service: "s", Hall: "h", Prompt: 1000, Objective: 600 * time.Millisecond,
+	short := &placement.Request{Service: "s", Hall: "h", PromptTokens: 1000, Objective: 600 * time.Millisecond,
 		Parts: []placement.Part{{Hash: 1, Tokens: 200}, {Hash: 2, Tokens: 800}}}
 	a := b.Place(start, short).(placement.Assign)
 	if assign, ok := busy.(placement.Assign); ok {
@@ -102,40 +102,40 @@
 }
 
 func TestRefusals(t *testing.T) {
-	fill := func(b *placement.Board, n int) {
+	fill := func(b *placement.Balancer, n int) {
 		for range n {
 			for _, s := range servers(9) {
-				b.Sent(start, placement.Load{Server: s.ID, Work: 100 * time.Millisecond}, false)
+				b.RecordSent(start, placement.Load{Server: s.ID, Work: 100 * time.Millisecond}, false)
 			}
 		}
 	}
 	tests := []struct {
 		name   string
 		load   int // units of 100 ms on every server
-		change func(a *placement.Ask)
+		change func(a *placement.Request)
 		reason placement.Reason // "": it is assigned
 		held   bool             // it is not refused at once
 	}{
-		{"idle", 0, func(*placement.Ask) {}, "", false},
-		{"late everywhere", 8, func(*placement.Ask) {}, placement.TooLate, true},
-		{"later than its caller waits", 30, func(*placement.Ask) {}, placement.TooLate, false},
-		{"late already, idle", 0, func(a *placement.Ask) { a.Objective = -time.Second }, "", false},
-		{"late already, busy", 2, func(a *placement.Ask) { a.Objective = -time.Second }, placement.TooLate, true},
-		{"held since it is late, at the last moment", 8, func(a *placement.Ask) {
-			a.Objective, a.Held, a.Waited, a.Patience = -time.Second, placement.TooLate, 2*time.Second, 1100*time.Millisecond
+		{"idle", 0, func(*placement.Request) {}, "", false},
+		{"late everywhere", 8, func(*placement.Request) {}, placement.TooLate, true},
+		{"later than its caller waits", 30, func(*placement.Request) {}, placement.TooLate, false},
+		{"late already, idle", 0, func(a *placement.Request) { a.Objective = -time.Second }, "", false},
+		{"late already, busy", 2, func(a *placement.Request) { a.Objective = -time.Second }, placement.TooLate, true},
+		{"held since it is late, at the last moment", 8, func(a *placement.Request) {
+			a.Objective, a.HoldReason, a.Waited, a.CallerTimeout = -time.Second, placement.TooLate, 2*time.Second, 1100*time.Millisecond
 		}, "", false},
-		{"no objective", 30, func(a *placement.Ask) { a.Objective = 0 }, "", false},
-		{"over its share, idle", 0, func(a *placement.Ask) { a.OverShare, a.Ahead = true, 3 }, "", false},
-		{"over its share, servers busy", 1, func(a *placement.Ask) { a.OverShare, a.Ahead = true, 1 }, placement.OverShare, true},
-		{"over its share, held a moment", 1, func(a *placement.Ask) {
-			a.OverShare, a.Ahead, a.Held, a.Waited = true, 1, placement.OverShare, 200*time.Millisecond
+		{"no objective", 30, func(a *placement.Request) { a.Objective = 0 }, "", false},
+		{"over its share, idle", 0, func(a *placement.Request) { a.OverShare, a.ShareRatio = true, 3 }, "", false},
+		{"over its share, servers busy", 1, func(a *placement.Request) { a.OverShare, a.ShareRatio = true, 1 }, placement.OverShare, true},
+		{"over its share, held a moment", 1, func(a *placement.Request) {
+			a.OverShare, a.ShareRatio, a.HoldReason, a.Waited = true, 1, placement.OverShare, 200*time.Millisecond
 		}, placement.OverShare, false},
-		{"over its share, late everywhere", 8, func(a *placement.Ask) { a.OverShare, a.Ahead = true, 1 }, placement.OverShare, false},
-		{"over its share, behind the others, servers busy", 2, func(a *placement.Ask) { a.OverShare, a.Ahead = true, 0.4 }, "", false},
-		{"over its share, ahead of the others, servers busy", 2, func(a *placement.Ask) { a.OverShare, a.Ahead = true, 1.6 }, placement.OverShare, true},
-		{"within its share, servers busy", 2, func(*placement.Ask) {}, "", false},
-		{"too long to be in time, idle", 0, func(a *placement.Ask) { a.Prompt = 90000 }, "", false},
-		{"too long to be in time, busy", 8, func(a *placement.Ask) { a.Prompt = 60000 }, placement.TooLate, true},
+		{"over its share, late everywhere", 8, func(a *placement.Request) { a.OverShare, a.ShareRatio = true, 1 }, placement.OverShare, false},
+		{"over its share, behind the others, servers busy", 2, func(a *placement.Request) { a.OverShare, a.ShareRatio = true, 0.4 }, "", false},
+		{"over its share, ahead of the others, servers busy", 2, func(a *placement.Request) { a.OverShare, a.ShareRatio = true, 1.6 }, placement.OverShare, true},
+		{"within its share, servers busy", 2, func(*placement.Request) {}, "", false},
+		{"too long to be in time, idle", 0, func(a *placement.Request) { a.PromptTokens = 90000 }, "", false},
+		{"too long to be in time, busy", 8, func(a *placement.Request) { a.PromptTokens = 60000 }, placement.TooLate, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -180,10 +180,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := engines(3)
 			for _, s := range servers(3) {
-				b.SetOthers(s.ID, test.running)
+				b.SetRemoteRunning(s.ID, test.running)
 			}
 			a := long(7)
-			a.OverShare, a.Ahead = test.over, test.ahead
+			a.OverShare, a.ShareRatio = test.over, test.ahead
 			require.IsType(t, test.want, b.Place(start, a))
 		})
 	}
@@ -207,10 +207,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := engines(2)
 			a := long(7)
-			b.Holds(start, "i-00", []uint64{a.Parts[0].Hash})
-			b.Sent(start, placement.Load{Server: "i-00", Work: test.holder}, false)
-			b.Sent(start, placement.Load{Server: "i-01", Work: test.other}, false)
-			a.OverShare, a.Ahead = true, 1.5
+			b.RecordCached(start, "i-00", []uint64{a.Parts[0].Hash})
+			b.RecordSent(start, placement.Load{Server: "i-00", Work: test.holder}, false)
+			b.RecordSent(start, placement.Load{Server: "i-01", Work: test.other}, false)
+			a.OverShare, a.ShareRatio = true, 1.5
 			d := b.Place(start, a)
 			require.IsType(t, test.want, d)
 			if assign, ok := d.(placement.Assign); ok {
@@ -225,7 +225,7 @@
 	for _, over := range []bool{false, true} {
 		for _, prompt := range []int{10, 1000, 17000, 60000, 400000} {
 			a := long(uint64(prompt))
-			a.Prompt, a.OverShare, a.Ahead = prompt, over, 1.5
+			a.PromptTokens, a.OverShare, a.ShareRatio = prompt, over, 1.5
 			require.IsType(t, placement.Assign{}, engines(9).Place(start, a))
 		}
 	}
@@ -235,28 +235,28 @@
 // server where its own is busy, if that has hardly any shared part to read again and the
 // account got no more than an even part of what was given.
 func TestIdleServersBeyondTheShare(t *testing.T) {
-	short := func() *placement.Ask {
-		return &placement.Ask{
-			Service: "s", Hall: "h", Prompt: 1460, Output: 100, Objective: 600 * time.Millisecond, Remaining: 15 * time.Second, Patience: 5 * time.Second,
-			Parts: []placement.Part{{Hash: 1, Tokens: 210}, {Hash: 2, Tokens: 140}, {Hash: 3, Tokens: 1110}}, OverShare: true, Ahead: 0.9,
+	short := func() *placement.Request {
+		return &placement.Request{
+			Service: "s", Hall: "h", PromptTokens: 1460, OutputTokens: 100, Objective: 600 * time.Millisecond, Remaining: 15 * time.Second, CallerTimeout: 5 * time.Second,
+			Parts: []placement.Part{{Hash: 1, Tokens: 210}, {Hash: 2, Tokens: 140}, {Hash: 3, Tokens: 1110}}, OverShare: true, ShareRatio: 0.9,
 		}
 	}
 	tests := []struct {
 		name string
-		ask  func() *placement.Ask
+		ask  func() *placement.Request
 		busy int // servers that have something to read, the request's own one first
 		sent bool
 	}{
 		{"a short one, its server busy", short, 1, true},
 		{"a short one, all busy", short, 9, false},
-		{"a short one of an account that got more than others", func() *placement.Ask {
+		{"a short one of an account that got more than others", func() *placement.Request {
 			a := short()
-			a.Ahead = 1.2
+			a.ShareRatio = 1.2
 			return a
 		}, 1, false},
-		{"a long one, its server busy", func() *placement.Ask {
+		{"a long one, its server busy", func() *placement.Request {
 			a := long(7)
-			a.OverShare, a.Ahead = true, 0.9
+			a.OverShare, a.ShareRatio = true, 0.9
 			return a
 		}, 1, false},
 	}
@@ -266,29 +266,29 @@
 			own := put(b, start, test.ask()).(placement.Assign).Server.ID
 			now := start.Add(2 * time.Second)
 			// So little that the request's own server is still the cheapest for it.
-			b.Sent(now, placement.Load{Server: own, Work: 40 * time.Millisecond}, false)
+			b.RecordSent(now, placement.Load{Server: own, Work: 40 * time.Millisecond}, false)
 			for _, s := range servers(9)[:test.busy] {
 				if s.ID != own && test.busy > 1 {
-					b.Sent(now, placement.Load{Server: s.ID, Work: 200 * time.Millisecond}, false)
+					b.RecordSent(now, placement.Load{Server: s.ID, Work: 200 * time.Millisecond}, false)
 				}
 			}
 			assign, ok := b.Place(now, test.ask()).(placement.Assign)
 			require.Equal(t, test.sent, ok)
 			if ok {
 				require.NotEqual(t, own, assign.Server.ID)
-				require.Zero(t, assign.Waiting)
+				require.Zero(t, assign.QueueTime)
 			}
 		})
 	}
 }
 
 func TestFailingServersGetLess(t *testing.T) {
-	b := placement.NewBoard(placement.DefaultPolicy())
+	b := placement.NewBalancer(placement.DefaultPolicy())
 	b.SetServers(start, servers(3), plain)
-	ask := &placement.Ask{Service: "s", Hall: "h"}
+	ask := &placement.Request{Service: "s", Hall: "h"}
 	bad := b.Place(start, ask).(placement.Assign).Server.ID
 	for range 5 {
-		b.Ended(start, bad, false, placement.Failed)
+		b.RecordEnd(start, bad, false, placement.Failed)
 	}
 	require.NotEqual(t, bad, b.Place(start, ask).(placement.Assign).Server.ID)
 	later := start.Add(time.Minute)
@@ -296,27 +296,27 @@
 }
 
 func TestUnreachableServersRest(t *testing.T) {
-	b := placement.NewBoard(placement.DefaultPolicy())
+	b := placement.NewBalancer(placement.DefaultPolicy())
 	b.SetServers(start, servers(2), plain)
-	ask := &placement.Ask{Service: "s", Hall: "h"}
-	b.Ended(start, "i-00", false, placement.Unreachable)
+	ask := &placement.Request{Service: "s", Hall: "h"}
+	b.RecordEnd(start, "i-00", false, placement.Unreachable)
 	require.Equal(t, "i-01", b.Place(start, ask).(placement.Assign).Server.ID)
-	b.Ended(start, "i-01", false, placement.Unreachable)
+	b.RecordEnd(start, "i-01", false, placement.Unreachable)
 	require.IsType(t, placement.Assign{}, b.Place(start, ask), "if all rest, one is tried")
 }
 
 func TestWhoIsLeftOut(t *testing.T) {
-	b := placement.NewBoard(placement.DefaultPolicy())
+	b := placement.NewBalancer(placement.DefaultPolicy())
 	list := servers(3)
 	list[0].Leaving = true
 	b.SetServers(start, list, plain)
 	for range 10 {
-		a := b.Place(start, &placement.Ask{Service: "s", Exclude: []string{"i-01"}}).(placement.Assign)
+		a := b.Place(start, &placement.Request{Service: "s", Exclude: []string{"i-01"}}).(placement.Assign)
 		require.Equal(t, "i-02", a.Server.ID)
-		b.Sent(start, a.Load, true)
+		b.RecordSent(start, a.Load, true)
 	}
-	require.Equal(t, placement.None{}, b.Place(start, &placement.Ask{Service: "s", Exclude: []string{"i-01", "i-02"}}))
-	require.Equal(t, placement.None{}, b.Place(start, &placement.Ask{Service: "other"}))
+	require.Equal(t, placement.NoServer{}, b.Place(start, &placement.Request{Service: "s", Exclude: []string{"i-01", "i-02"}}))
+	require.Equal(t, placement.NoServer{}, b.Place(start, &placement.Request{Service: "other"}))
 }
 
 // TestEvacuatedAndColdServers get nothing, and who meets only such ones is told so.
@@ -339,21 +339,21 @@
 	for _, test := range tests {
 		for name, engine := range map[string]func(string) *catalog.Engine{"plain": plain, "engines": engine} {
 			t.Run(test.name+", "+name, func(t *testing.T) {
-				b := placement.NewBoard(placement.DefaultPolicy())
+				b := placement.NewBalancer(placement.DefaultPolicy())
 				list := servers(3)
 				if test.change != nil {
 					test.change(list)
 				}
 				b.SetServers(start, list, engine)
 				for id, until := range test.closed {
-					b.Close(id, until)
+					b.CloseUntil(id, until)
 				}
 				got := map[string]bool{}
 				for range 30 {
-					switch d := b.Place(start, &placement.Ask{Service: "s", Prompt: 100, Draw: uint64(len(got))}).(type) {
+					switch d := b.Place(start, &placement.Request{Service: "s", PromptTokens: 100, TieBreak: uint64(len(got))}).(type) {
 					case placement.Assign:
 						got[d.Server.ID] = true
-						b.Sent(start, d.Load, true)
+						b.RecordSent(start, d.Load, true)
 					case placement.Refuse:
 						require.Equal(t, placement.Cold, d.Reason)
 						require.Equal(t, test.refuse, d.RetryAfter)
@@ -382,25 +382,25 @@
 		{"nowhere", catalog.Regions{}, nil},
 	}
 	copying := func(string) *catalog.Engine {
-		return &catalog.Engine{Slots: 64, KVTokens: 500000, TokenBytes: 160000, LinkMbps: 500000}
+		return &catalog.Engine{Slots: 64, KVTokens: 500000, BytesPerToken: 160000, LinkMbps: 500000}
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := placement.NewBoard(placement.DefaultPolicy())
+			b := placement.NewBalancer(placement.DefaultPolicy())
 			b.SetRegions(map[string]string{"n": "north", "s": "south"})
 			list := servers(3)
 			list[0].Hall, list[1].Hall, list[2].Hall = "n", "s", "unknown"
 			b.SetServers(start, list, copying)
-			b.Holds(start, "i-02", []uint64{1})
+			b.RecordCached(start, "i-02", []uint64{1})
 			got := map[string]bool{}
 			for n := range 30 {
-				a := &placement.Ask{Service: "s", Prompt: 5100, Parts: []placement.Part{{Hash: 1, Tokens: 5000}, {Hash: uint64(n + 2), Tokens: 100}}, Regions: test.regions, Draw: uint64(n)}
+				a := &placement.Request{Service: "s", PromptTokens: 5100, Parts: []placement.Part{{Hash: 1, Tokens: 5000}, {Hash: uint64(n + 2), Tokens: 100}}, Regions: test.regions, TieBreak: uint64(n)}
 				d, ok := b.Place(start, a).(placement.Assign)
 				if !ok {
 					continue
 				}
 				got[d.Server.ID] = true
-				b.Sent(start, d.Load, true)
+				b.RecordSent(start, d.Load, true)
 				if test.regions != nil {
 					require.Empty(t, d.CopyFrom)
 				}
@@ -450,7 +450,7 @@
 			for i := range n * parts {
 				d := board.Place(start, long(uint64(i)<<20))
 				if assign, ok := d.(placement.Assign); ok {
-					board.Sent(start, assign.Load, false)
+					board.RecordSent(start, assign.Load, false)
 				}
 			}
 			now := start.Add(500 * time.Millisecond)
--- a/gateway/placement/policy.go
+++ b/gateway/placement/policy.go
@@ -31,7 +31,7 @@
 	LastMoment      time.Duration // what waited is sent when so much of its caller's patience is left after the first event
 	LateWait        time.Duration // what can't be in time is served while the wait is shorter
 	ShareRetryAfter time.Duration // a caller whose account is over its share is told to wait at least so long
-	LeastRetryAfter time.Duration // shortest time a refused caller is told to wait
+	MinRetryAfter   time.Duration // shortest time a refused caller is told to wait
 	SpareSlots      int           // a server within so many slots of its batch counts as full
 	SlotCost        time.Duration // delay expected for each request beyond that
 	FailureCost     time.Duration // cost of a server that fails every request: about an objective, which is what a caller loses
@@ -70,7 +70,7 @@
 		LastMoment:      200 * time.Millisecond,
 		LateWait:        30 * time.Millisecond,
 		ShareRetryAfter: 200 * time.Millisecond,
-		LeastRetryAfter: 200 * time.Millisecond,
+		MinRetryAfter:   200 * time.Millisecond,
 		SpareSlots:      2,
 		SlotCost:        50 * time.Millisecond,
 		FailureCost:     500 * time.Millisecond,
@@ -98,8 +98,8 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// SpareMoment is how long a request beyond its account's share is held.
-func (p Policy) SpareMoment(a *Ask) time.Duration {
+// SurplusHold is how long a request beyond its account's share is held.
+func (p Policy) SurplusHold(a *Request) time.Duration {
 	return scale(a.Objective+a.Waited, p.SpareHold)
 }
 
--- a/gateway/placement/rest.go
+++ b/gateway/placement/rest.go
@@ -9,10 +9,10 @@
 // first (platform: TestServersAskForRest).
 
 const (
-	// MostRest is the longest rest that a server is given, whatever it asked for. Who wants
+	// MaxBackoff is the longest rest that a server is given, whatever it asked for. Who wants
 	// more leaves, or is taken out by operators; a figure that was meant otherwise costs one
 	// try an hour.
-	MostRest = time.Hour
+	MaxBackoff = time.Hour
 	// So many requests are sent when a rest has ended, until the server is known to take work
 	// again: the fleet's gateways do so at the same time.
 	firstAfterRest = 2
@@ -31,14 +31,14 @@
 	step    time.Time // when its first request was sent
 }
 
-// Rest keeps work from a server that has asked for rest, until a time or the longest rest is
+// BackoffUntil keeps work from a server that has asked for rest, until a time or the longest rest is
 // over. Of several rests the latest end holds.
-func (b *Board) Rest(now time.Time, server string, until time.Time) {
+func (b *Balancer) BackoffUntil(now time.Time, server string, until time.Time) {
 	s := b.servers[server]
 	if s == nil || !now.Before(until) {
 		return
 	}
-	if most := now.Add(MostRest); until.After(most) {
+	if most := now.Add(MaxBackoff); until.After(most) {
 		until = most
 	}
 	s.pause = pause{until: latest(s.pause.until, until), allowed: firstAfterRest}
@@ -91,8 +91,8 @@
 	return max(s.Capacity, 1)
 }
 
-// Works tells that a server has begun to answer a request of this gateway: it takes work.
-func (b *Board) Works(now time.Time, server string) {
+// RecordAccepting tells that a server has begun to answer a request of this gateway: it takes work.
+func (b *Balancer) RecordAccepting(now time.Time, server string) {
 	s := b.servers[server]
 	if s == nil || s.pause.allowed == 0 || now.Before(s.pause.until) || s.pause.sent == 0 {
 		return
@@ -103,7 +103,7 @@
 // waitsFor tells whether a request waits so long for servers that rest: that is well within
 // what its caller has, so that a server can still answer it after that. Who would get its
 // answer later is told at once when to come back.
-func (b *Board) waitsFor(a *Ask, wait time.Duration) bool {
+func (b *Balancer) waitsFor(a *Request, wait time.Duration) bool {
 	if a.Objective > 0 {
 		return wait <= b.limit(a)/2
 	}
--- a/gateway/placement/spread_test.go
+++ b/gateway/placement/spread_test.go
@@ -17,7 +17,7 @@
 type spread struct {
 	perSecond int
 	hall      func(draw *rand.Rand) string
-	ask       func(draw *rand.Rand, a *placement.Ask)
+	ask       func(draw *rand.Rand, a *placement.Request)
 }
 
 var spreadHalls = []string{"a", "b", "c"}
@@ -26,7 +26,7 @@
 
 func (s spread) play(regions map[string]string) (work []time.Duration, refused int) {
 	draw := rand.New(rand.NewPCG(3, 4))
-	b := placement.NewBoard(placement.DefaultPolicy())
+	b := placement.NewBalancer(placement.DefaultPolicy())
 	b.SetRegions(regions)
 	var list []catalog.Server
 	index := map[string]int{}
@@ -35,27 +35,27 @@
 		index[id] = i
 		list = append(list, catalog.Server{ID: id, Service: "m", Hall: spreadHalls[i*len(spreadHalls)/spreadServers], Address: "10.0.0.1:80", Capacity: 64})
 	}
-	engine := &catalog.Engine{Slots: 64, KVTokens: 640_000, TokenBytes: 1000, LinkMbps: 10_000}
+	engine := &catalog.Engine{Slots: 64, KVTokens: 640_000, BytesPerToken: 1000, LinkMbps: 10_000}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	b.SetServers(now, list, func(string) *catalog.Engine { return engine })
 	work = make([]time.Duration, spreadServers)
 	for range 10 * s.perSecond {
 		now = now.Add(time.Second / time.Duration(s.perSecond))
-		a := placement.Ask{
-			Service: "m", Output: 100, Objective: 800 * time.Millisecond, Patience: 3 * time.Second, Remaining: 15 * time.Second,
-			Hall: s.hall(draw), Draw: draw.Uint64(),
+		a := placement.Request{
+			Service: "m", OutputTokens: 100, Objective: 800 * time.Millisecond, CallerTimeout: 3 * time.Second, Remaining: 15 * time.Second,
+			Hall: s.hall(draw), TieBreak: draw.Uint64(),
 		}
 		s.ask(draw, &a)
 		for _, p := range a.Parts {
-			a.Prompt += p.Tokens
+			a.PromptTokens += p.Tokens
 		}
 		d, ok := b.Place(now, &a).(placement.Assign)
 		if !ok {
 			refused++
 			continue
 		}
-		b.Sent(now, d.Load, true)
-		b.Ended(now, d.Server.ID, true, placement.Served)
+		b.RecordSent(now, d.Load, true)
+		b.RecordEnd(now, d.Server.ID, true, placement.Served)
 		work[index[d.Server.ID]] += d.Load.Work
 	}
 	return work, refused
@@ -78,7 +78,7 @@
 	s := spread{
 		perSecond: 60,
 		hall:      func(draw *rand.Rand) string { return spreadHalls[draw.IntN(3)] },
-		ask: func(draw *rand.Rand, a *placement.Ask) {
+		ask: func(draw *rand.Rand, a *placement.Request) {
 			session := uint64(100 + draw.IntN(380))
 			a.Parts = []placement.Part{{Hash: 1 + session%3, Tokens: 512}, {Hash: session, Tokens: 4870}, {Hash: draw.Uint64(), Tokens: 6600}}
 		},
@@ -104,7 +104,7 @@
 			}
 			return spreadHalls[1+draw.IntN(2)]
 		},
-		ask: func(draw *rand.Rand, a *placement.Ask) {
+		ask: func(draw *rand.Rand, a *placement.Request) {
 			a.Parts = []placement.Part{{Hash: 1 + draw.Uint64N(20), Tokens: 200}, {Hash: draw.Uint64(), Tokens: 1500}}
 		},
 	}
--- a/gateway/quarantine/answers.go
+++ b/gateway/quarantine/answers.go
@@ -14,15 +14,15 @@
 	mostAnswers = 8192
 )
 
-// Answers remembers which requests were answered whole lately. Its zero value is empty.
-type Answers struct {
+// RecentAnswers remembers which requests were answered whole lately. Its zero value is empty.
+type RecentAnswers struct {
 	at   map[Key]time.Time
 	ring []Key // in the order in which they came in
 	next int   // place in ring of the oldest
 }
 
 // Add notes an answer.
-func (a *Answers) Add(now time.Time, k Key) {
+func (a *RecentAnswers) Add(now time.Time, k Key) {
 	if a.at == nil {
 		a.at = map[Key]time.Time{}
 	}
@@ -40,8 +40,8 @@
 	a.at[k] = now
 }
 
-// Lately tells whether a request was answered lately.
-func (a *Answers) Lately(now time.Time, k Key) bool {
+// Contains tells whether a request was answered lately.
+func (a *RecentAnswers) Contains(now time.Time, k Key) bool {
 	at, known := a.at[k]
 	return known && now.Sub(at) < answeredFor
 }
--- a/gateway/quarantine/quarantine.go
+++ b/gateway/quarantine/quarantine.go
@@ -4,9 +4,9 @@
 // One that ends takes all its requests with it, and nobody can see which of them was the
 // cause. But a cause comes again: the same question of the same account is there when the
 // next server ends, and it is never answered. So the package counts, for each request that
-// was at a server when that server ended, how many have. With [MostEnds] it is barred. What
+// was at a server when that server ended, how many have. With [CrashThreshold] it is barred. What
 // is answered whole was not the cause, and starts anew; and what was answered lately
-// ([Answers]) is not blamed at all, since many copies of a question that is asked often are
+// ([RecentAnswers]) is not blamed at all, since many copies of a question that is asked often are
 // under way when several servers end at once.
 //
 // All that a [Registry] holds are sets that only grow: pairs of a request and a server that has
@@ -30,9 +30,9 @@
 )
 
 const (
-	// MostEnds is how many servers may end under a request before it is barred. One fewer would
+	// CrashThreshold is how many servers may end under a request before it is barred. One fewer would
 	// spare servers and bar innocent requests (TestThresholds).
-	MostEnds = 3
+	CrashThreshold = 3
 	// Suspects are worth a record from this count on: what was at one end only is one of
 	// some fifty that were there.
 	repeated = 2
@@ -82,29 +82,29 @@
 
 // Record is what is known of a request that was at two ends or more.
 type Record struct {
-	Servers []string  // that have ended, in the order of the news
-	Barred  time.Time // since when; zero: it is not barred
-	AtOnce  bool      // the ends came at one moment, but for one at most
+	Servers       []string  // that have ended, in the order of the news
+	QuarantinedAt time.Time // since when; zero: it is not barred
+	Simultaneous  bool      // the ends came at one moment, but for one at most
 }
 
-// Kept is what is kept of such a request where all gateways find it.
-type Kept struct {
-	Servers []string `json:"servers"`           // that have ended
-	AtOnce  bool     `json:"at_once,omitempty"` // they did so at one moment, but for one at most
-	Tries   int      `json:"tries,omitempty"`   // how often it was sent although it is barred
+// StoredRecord is what is kept of such a request where all gateways find it.
+type StoredRecord struct {
+	Servers      []string `json:"servers"`           // that have ended
+	Simultaneous bool     `json:"at_once,omitempty"` // they did so at one moment, but for one at most
+	Probes       int      `json:"tries,omitempty"`   // how often it was sent although it is barred
 }
 
 // Equal tells whether both say the same.
-func (k Kept) Equal(other Kept) bool {
-	return k.AtOnce == other.AtOnce && k.Tries == other.Tries && slices.Equal(k.Servers, other.Servers)
+func (k StoredRecord) Equal(other StoredRecord) bool {
+	return k.Simultaneous == other.Simultaneous && k.Probes == other.Probes && slices.Equal(k.Servers, other.Servers)
 }
 
-// And returns what both say together. Only if both say so did the ends come at one moment.
-func (k Kept) And(other Kept) Kept {
+// Merge returns what both say together. Only if both say so did the ends come at one moment.
+func (k StoredRecord) Merge(other StoredRecord) StoredRecord {
 	if len(other.Servers) == 0 {
 		return k
 	}
-	both := Kept{Servers: slices.Clone(k.Servers), AtOnce: k.AtOnce && other.AtOnce, Tries: max(k.Tries, other.Tries)}
+	both := StoredRecord{Servers: slices.Clone(k.Servers), Simultaneous: k.Simultaneous && other.Simultaneous, Probes: max(k.Probes, other.Probes)}
 	for _, server := range other.Servers {
 		if !slices.Contains(both.Servers, server) {
 			both.Servers = append(both.Servers, server)
@@ -115,12 +115,12 @@
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
-	return &Registry{limit: MostEnds, suspects: map[Key]*suspect{}, repeats: map[Key]bool{}}
+	return &Registry{limit: CrashThreshold, suspects: map[Key]*suspect{}, repeats: map[Key]bool{}}
 }
 
-// Ended notes that a server has ended while it had these requests. It returns those of which
+// AddCrash notes that a server has ended while it had these requests. It returns those of which
 // [Registry.Record] tells something else than before.
-func (r *Registry) Ended(now time.Time, server string, keys []Key) (changed []Key) {
+func (r *Registry) AddCrash(now time.Time, server string, keys []Key) (changed []Key) {
 	var news []Key
 	for _, k := range keys {
 		if !r.add(now, server, k) {
@@ -136,7 +136,7 @@
 }
 
 // Merge takes over what is kept of a request. It returns whether that was news.
-func (r *Registry) Merge(now time.Time, k Key, kept Kept) (news bool) {
+func (r *Registry) Merge(now time.Time, k Key, kept StoredRecord) (news bool) {
 	for _, server := range kept.Servers {
 		late := 0
 		if s := r.suspects[k]; s != nil {
@@ -147,7 +147,7 @@
 		}
 		s := r.suspects[k]
 		s.late = late // when it came is not known
-		s.merged = s.merged || !kept.AtOnce
+		s.merged = s.merged || !kept.Simultaneous
 		r.remember(ending{server, []Key{k}})
 		news = true
 	}
@@ -184,9 +184,9 @@
 	return true
 }
 
-// Answered notes that a request was answered whole: it was the cause of no end so far. It
+// MarkAnswered notes that a request was answered whole: it was the cause of no end so far. It
 // returns the servers whose ends it has seen.
-func (r *Registry) Answered(k Key) (cleared []string) {
+func (r *Registry) MarkAnswered(k Key) (cleared []string) {
 	s := r.suspects[k]
 	if s == nil || len(s.ended) == 0 {
 		return nil
@@ -196,8 +196,8 @@
 	return cleared
 }
 
-// Lift lets nothing count any more that a request has seen.
-func (r *Registry) Lift(k Key) {
+// Release lets nothing count any more that a request has seen.
+func (r *Registry) Release(k Key) {
 	if s := r.suspects[k]; s != nil {
 		r.Clear(k, slices.Clone(s.ended))
 	}
@@ -230,29 +230,29 @@
 	}
 }
 
-// Cleared tells whether none of these servers' ends counts for a request any more.
-func (r *Registry) Cleared(k Key, servers []string) bool {
+// IsCleared tells whether none of these servers' ends counts for a request any more.
+func (r *Registry) IsCleared(k Key, servers []string) bool {
 	s := r.suspects[k]
 	return s != nil && !slices.ContainsFunc(servers, func(server string) bool { return !slices.Contains(s.cleared, server) })
 }
 
-// Ends returns how many servers have ended under a request, as far as they count.
-func (r *Registry) Ends(k Key) int {
+// CrashCount returns how many servers have ended under a request, as far as they count.
+func (r *Registry) CrashCount(k Key) int {
 	if s := r.suspects[k]; s != nil {
 		return len(s.ended)
 	}
 	return 0
 }
 
-// Barred tells whether a request is kept from servers.
-func (r *Registry) Barred(k Key) bool {
+// IsQuarantined tells whether a request is kept from servers.
+func (r *Registry) IsQuarantined(k Key) bool {
 	s := r.suspects[k]
 	return s != nil && !s.barred.IsZero()
 }
 
-// Doubtful tells whether a request is barred by ends that all came at once, but for one at
+// Ambiguous tells whether a request is barred by ends that all came at once, but for one at
 // most, and if so for how long no other has come.
-func (r *Registry) Doubtful(now time.Time, k Key) (quiet time.Duration, ok bool) {
+func (r *Registry) Ambiguous(now time.Time, k Key) (quiet time.Duration, ok bool) {
 	s := r.suspects[k]
 	if s == nil || s.merged || len(s.ended)-s.late < r.limit || s.late >= certain {
 		return 0, false
@@ -266,14 +266,14 @@
 		return Record{}, false
 	}
 	s := r.suspects[k]
-	return Record{Servers: slices.Clone(s.ended), Barred: s.barred, AtOnce: !s.merged && s.late < certain}, true
+	return Record{Servers: slices.Clone(s.ended), QuarantinedAt: s.barred, Simultaneous: !s.merged && s.late < certain}, true
 }
 
-// CountBarred returns how many requests are barred.
-func (r *Registry) CountBarred() int {
+// CountQuarantined returns how many requests are barred.
+func (r *Registry) CountQuarantined() int {
 	n := 0
 	for k := range r.repeats {
-		if r.Barred(k) {
+		if r.IsQuarantined(k) {
 			n++
 		}
 	}
--- a/gateway/quarantine/quarantine_test.go
+++ b/gateway/quarantine/quarantine_test.go
@@ -53,18 +53,18 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := NewRegistry()
 			for i, e := range test.ends {
-				b.Ended(time.Unix(int64(i+1), 0), e.server, keys(e.there...))
+				b.AddCrash(time.Unix(int64(i+1), 0), e.server, keys(e.there...))
 				if i == 1 {
 					for _, n := range test.answer {
-						b.Answered(key(n))
+						b.MarkAnswered(key(n))
 					}
 				}
 			}
 			for _, n := range test.barred {
-				require.True(t, b.Barred(key(n)), "request %d", n)
+				require.True(t, b.IsQuarantined(key(n)), "request %d", n)
 			}
 			for _, n := range test.free {
-				require.False(t, b.Barred(key(n)), "request %d", n)
+				require.False(t, b.IsQuarantined(key(n)), "request %d", n)
 			}
 			b.check(t)
 		})
@@ -80,7 +80,7 @@
 	}
 	for k, s := range r.suspects {
 		require.Equal(t, len(s.ended) >= repeated, r.repeats[k])
-		require.Equal(t, len(s.ended) >= r.limit, r.Barred(k))
+		require.Equal(t, len(s.ended) >= r.limit, r.IsQuarantined(k))
 	}
 	require.Equal(t, pairs, r.pairs)
 	require.LessOrEqual(t, pairs, mostPairs)
@@ -109,15 +109,15 @@
 		for range 3 {
 			b := NewRegistry()
 			for _, i := range append(random.Perm(len(news)), random.Perm(len(news))...) {
-				b.Ended(time.Unix(1, 0), news[i].server, keys(news[i].there...))
+				b.AddCrash(time.Unix(1, 0), news[i].server, keys(news[i].there...))
 			}
-			require.True(t, b.Barred(key(100)))
+			require.True(t, b.IsQuarantined(key(100)))
 			b.check(t)
 			if first == nil {
 				first = b
 			}
 			for n := range 8 {
-				require.Equal(t, first.Barred(key(n)), b.Barred(key(n)))
+				require.Equal(t, first.IsQuarantined(key(n)), b.IsQuarantined(key(n)))
 			}
 		}
 	}
@@ -126,23 +126,23 @@
 // TestRecords: a record that was written is taken over by a gateway that knows nothing.
 func TestRecords(t *testing.T) {
 	b, later := NewRegistry(), NewRegistry()
-	require.Empty(t, b.Ended(time.Unix(1, 0), "1", keys(1, 2)), "one end is worth no record")
-	require.Equal(t, keys(1), b.Ended(time.Unix(2, 0), "2", keys(1)))
+	require.Empty(t, b.AddCrash(time.Unix(1, 0), "1", keys(1, 2)), "one end is worth no record")
+	require.Equal(t, keys(1), b.AddCrash(time.Unix(2, 0), "2", keys(1)))
 	r, ok := b.Record(key(1))
 	require.True(t, ok)
-	later.Merge(time.Unix(3, 0), key(1), Kept{Servers: r.Servers})
-	require.False(t, later.Barred(key(1)))
-	require.Equal(t, keys(1), later.Ended(time.Unix(4, 0), "3", keys(1, 5)))
-	require.True(t, later.Barred(key(1)))
+	later.Merge(time.Unix(3, 0), key(1), StoredRecord{Servers: r.Servers})
+	require.False(t, later.IsQuarantined(key(1)))
+	require.Equal(t, keys(1), later.AddCrash(time.Unix(4, 0), "3", keys(1, 5)))
+	require.True(t, later.IsQuarantined(key(1)))
 	r, ok = later.Record(key(1))
 	require.True(t, ok)
-	require.Equal(t, Record{Servers: []string{"1", "2", "3"}, Barred: time.Unix(4, 0)}, r)
-	require.False(t, later.Cleared(key(1), r.Servers))
-	later.Lift(key(1))
-	require.True(t, later.Cleared(key(1), r.Servers))
-	require.False(t, later.Barred(key(1)))
-	later.Merge(time.Unix(5, 0), key(1), Kept{Servers: r.Servers})
-	require.False(t, later.Barred(key(1)), "what was lifted does not come back with late news")
+	require.Equal(t, Record{Servers: []string{"1", "2", "3"}, QuarantinedAt: time.Unix(4, 0)}, r)
+	require.False(t, later.IsCleared(key(1), r.Servers))
+	later.Release(key(1))
+	require.True(t, later.IsCleared(key(1), r.Servers))
+	require.False(t, later.IsQuarantined(key(1)))
+	later.Merge(time.Unix(5, 0), key(1), StoredRecord{Servers: r.Servers})
+	require.False(t, later.IsQuarantined(key(1)), "what was lifted does not come back with late news")
 	_, ok = later.Record(key(1))
 	require.False(t, ok)
 }
@@ -151,31 +151,31 @@
 func TestMemoryIsBounded(t *testing.T) {
 	b := NewRegistry()
 	for s := range 3 {
-		b.Ended(time.Unix(1, 0), fmt.Sprint("first", s), keys(-1))
+		b.AddCrash(time.Unix(1, 0), fmt.Sprint("first", s), keys(-1))
 	}
 	for s := range 2000 {
 		var there []Key
 		for n := range 64 {
 			there = append(there, key(s*64+n))
 		}
-		b.Ended(time.Unix(2, 0), fmt.Sprint(s), there)
+		b.AddCrash(time.Unix(2, 0), fmt.Sprint(s), there)
 	}
 	b.check(t)
 	require.LessOrEqual(t, b.Len(), mostPairs+1)
-	require.True(t, b.Barred(key(-1)))
+	require.True(t, b.IsQuarantined(key(-1)))
 	for n := range mostRepeated + 10 {
-		b.Ended(time.Unix(3, 0), fmt.Sprint("x", n), keys(-1000-n))
-		b.Ended(time.Unix(3, 0), fmt.Sprint("y", n), keys(-1000-n))
+		b.AddCrash(time.Unix(3, 0), fmt.Sprint("x", n), keys(-1000-n))
+		b.AddCrash(time.Unix(3, 0), fmt.Sprint("y", n), keys(-1000-n))
 	}
 	b.check(t)
-	require.True(t, b.Barred(key(-1)), "those that are not barred go first")
+	require.True(t, b.IsQuarantined(key(-1)), "those that are not barred go first")
 }
 
 // TestDoubtful: who is barred by ends at the same moment may be tried, and once more if one
 // server has ended since; others not.
 func TestDoubtful(t *testing.T) {
 	start := time.Unix(100, 0)
-	at := func(b *Registry, after time.Duration, server string) { b.Ended(start.Add(after), server, keys(1)) }
+	at := func(b *Registry, after time.Duration, server string) { b.AddCrash(start.Add(after), server, keys(1)) }
 	tests := []struct {
 		name string
 		play func(b *Registry)
@@ -200,26 +200,28 @@
 			at(b, 4*time.Second, "x")
 			at(b, 5*time.Second, "y")
 		}, false},
-		{"known by a record only", func(b *Registry) { b.Merge(start, key(1), Kept{Servers: []string{"1", "2", "3"}}) }, false},
-		{"that says at once", func(b *Registry) { b.Merge(start, key(1), Kept{Servers: []string{"1", "2", "3"}, AtOnce: true}) }, true},
+		{"known by a record only", func(b *Registry) { b.Merge(start, key(1), StoredRecord{Servers: []string{"1", "2", "3"}}) }, false},
+		{"that says at once", func(b *Registry) {
+			b.Merge(start, key(1), StoredRecord{Servers: []string{"1", "2", "3"}, Simultaneous: true})
+		}, true},
 		{"and two later ends", func(b *Registry) {
-			b.Merge(start, key(1), Kept{Servers: []string{"1", "2", "3"}, AtOnce: true})
+			b.Merge(start, key(1), StoredRecord{Servers: []string{"1", "2", "3"}, Simultaneous: true})
 			at(b, 4*time.Second, "4")
 			at(b, 7*time.Second, "5")
 		}, false},
 		{"at once, and more by a record", func(b *Registry) {
 			at(b, 0, "1")
-			b.Merge(start.Add(5*time.Second), key(1), Kept{Servers: []string{"1", "2", "3"}, AtOnce: true})
+			b.Merge(start.Add(5*time.Second), key(1), StoredRecord{Servers: []string{"1", "2", "3"}, Simultaneous: true})
 		}, true},
 		{"at once, and one by a record that does not say so", func(b *Registry) {
 			at(b, 0, "1")
 			at(b, 1, "2")
 			at(b, 2, "3")
-			b.Merge(start, key(1), Kept{Servers: []string{"1", "4"}})
+			b.Merge(start, key(1), StoredRecord{Servers: []string{"1", "4"}})
 		}, false},
 		{"answered between", func(b *Registry) {
 			at(b, 0, "1")
-			b.Answered(key(1))
+			b.MarkAnswered(key(1))
 			at(b, 2*time.Second, "2")
 			at(b, 2*time.Second, "3")
 			at(b, 2*time.Second, "4")
@@ -229,7 +231,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := NewRegistry()
 			test.play(b)
-			_, doubtful := b.Doubtful(start.Add(10*time.Second), key(1))
+			_, doubtful := b.Ambiguous(start.Add(10*time.Second), key(1))
 			require.Equal(t, test.want, doubtful)
 		})
 	}
@@ -237,23 +239,23 @@
 
 // TestAnswers: what was answered lately is known, in bounded memory.
 func TestAnswers(t *testing.T) {
-	var a Answers
+	var a RecentAnswers
 	now := time.Unix(100, 0)
-	require.False(t, a.Lately(now, key(1)))
+	require.False(t, a.Contains(now, key(1)))
 	a.Add(now, key(1))
 	a.Add(now, key(2))
-	require.True(t, a.Lately(now.Add(answeredFor-1), key(1)))
-	require.False(t, a.Lately(now.Add(answeredFor), key(1)))
+	require.True(t, a.Contains(now.Add(answeredFor-1), key(1)))
+	require.False(t, a.Contains(now.Add(answeredFor), key(1)))
 	a.Add(now.Add(answeredFor), key(1))
-	require.True(t, a.Lately(now.Add(answeredFor), key(1)))
-	require.False(t, a.Lately(now.Add(answeredFor), key(2)))
+	require.True(t, a.Contains(now.Add(answeredFor), key(1)))
+	require.False(t, a.Contains(now.Add(answeredFor), key(2)))
 	for n := range 2 * mostAnswers {
 		a.Add(now, key(1000+n))
 	}
 	require.Len(t, a.at, mostAnswers)
 	require.Len(t, a.ring, mostAnswers)
-	require.False(t, a.Lately(now, key(1)))
-	require.True(t, a.Lately(now, key(1000+mostAnswers)))
+	require.False(t, a.Contains(now, key(1)))
+	require.True(t, a.Contains(now, key(1000+mostAnswers)))
 }
 
 // TestKeys: tries of the same question have the same key, others have another one.
@@ -312,7 +314,7 @@
 	if !s.apart {
 		return false
 	}
-	suspect := func(id int) bool { return b.Ends(key(id)) >= 2 }
+	suspect := func(id int) bool { return b.CrashCount(key(id)) >= 2 }
 	return suspect(id) && len(there) > 0 || slices.ContainsFunc(there, suspect)
 }
 
@@ -350,7 +352,7 @@
 			}
 		}
 		for _, r := range came {
-			if b.Barred(key(r.id)) {
+			if b.IsQuarantined(key(r.id)) {
 				if r.id > 0 {
 					everBarred[r.id] = true
 				}
@@ -377,7 +379,7 @@
 			for _, r := range at[i] {
 				cause = cause || r.id < 0
 				if r.id > 0 && r.until <= now {
-					b.Answered(key(r.id))
+					b.MarkAnswered(key(r.id))
 					continue
 				}
 				kept = append(kept, r)
@@ -401,7 +403,7 @@
 				}
 			}
 			lifetime[i]++
-			b.Ended(clock, fmt.Sprintf("%d@%d", i, lifetime[i]), there)
+			b.AddCrash(clock, fmt.Sprintf("%d@%d", i, lifetime[i]), there)
 			at[i], down[i] = nil, now+back
 		}
 	}
@@ -446,9 +448,9 @@
 			if test.causes > 0 {
 				t.Logf("figure quarantine-%s-%s-ends %.2f servers a cause", test.name, way.name, float64(sum.ends)/float64(seeds*test.causes))
 			}
-			if way.limit == MostEnds && test.causes > 0 {
+			if way.limit == CrashThreshold && test.causes > 0 {
 				require.Zero(t, sum.barred, "no innocent request is barred for the causes' ends")
-				require.LessOrEqual(t, sum.ends, seeds*test.causes*MostEnds)
+				require.LessOrEqual(t, sum.ends, seeds*test.causes*CrashThreshold)
 			}
 		}
 	}
@@ -467,9 +469,9 @@
 func BenchmarkBarred(b *testing.B) {
 	registry := NewRegistry()
 	for n := range mostPairs {
-		registry.Ended(time.Unix(1, 0), fmt.Sprint(n/64), []Key{key(n)})
+		registry.AddCrash(time.Unix(1, 0), fmt.Sprint(n/64), []Key{key(n)})
 	}
 	for b.Loop() {
-		registry.Barred(key(5))
+		registry.IsQuarantined(key(5))
 	}
 }
--- a/gateway/turn.go
+++ b/gateway/reject.go
@@ -158,7 +158,7 @@
 	// A caller that has gone has nobody to be told.
 	_, _ = c.Write(turnedAnswer)
 	t.ids = append(t.ids, string(headerValue(c.head, t.id)))
-	t.metrics.Ended(Outcome{Result: "denied"})
+	t.metrics.RequestEnded(Outcome{Result: "denied"})
 }
 
 // tell writes a line of those that were turned away.
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -29,7 +29,7 @@
 )
 
 // pass passes an answer on to the caller.
-func (c *call) pass(ctx context.Context, d placement.Assign, sent time.Time, a *upstream.Answer) (placement.End, step) {
+func (c *call) pass(ctx context.Context, d placement.Assign, sent time.Time, a *upstream.Response) (placement.Outcome, step) {
 	if a.Status >= http.StatusInternalServerError && c.mayTryAgain() {
 		return placement.Failed, again{errors.Newf("gateway: server %s answered %d", d.Server.ID, a.Status)}
 	}
@@ -47,21 +47,21 @@
 	if !c.route.MayRepeat() || c.attempts >= c.route.MaxAttempts {
 		return false
 	}
-	n, _ := c.endsSeen()
-	return n < cautious
+	n, _ := c.crashesSeen()
+	return n < maxCrashesToRetry
 }
 
 // passWhole passes on an answer that is no stream.
-func (c *call) passWhole(ctx context.Context, d placement.Assign, sent time.Time, a *upstream.Answer) (placement.End, step) {
+func (c *call) passWhole(ctx context.Context, d placement.Assign, sent time.Time, a *upstream.Response) (placement.Outcome, step) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, wholeAnswer))
 	if err != nil {
 		if ctx.Err() != nil {
-			return placement.Abandoned, c.abandon(ctx, d, sent)
+			return placement.Abandoned, c.abandonAttempt(ctx, d, sent)
 		}
-		c.lost(d, sent, lostByBreak)
+		c.reportLost(d, sent, lossConnectionBroke)
 		return placement.Failed, c.afterFailure(errors.Wrapf(err, "gateway: answer of server %s", d.Server.ID))
 	}
-	c.gateway.desk.tell(startedMessage{ticket: d.Ticket, server: d.Server.ID})
+	c.gateway.dispatcher.send(firstEventReceived{ticket: d.ID, server: d.Server.ID})
 	c.copyHead(a)
 	if a.Length < 0 && len(body) < wholeAnswer && c.request.Method != http.MethodHead {
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -83,12 +83,12 @@
 	if a.Status >= http.StatusInternalServerError {
 		return placement.Failed, done{}
 	}
-	c.answered()
+	c.reportAnswered()
 	return placement.Served, done{}
 }
 
 // copyHead takes the head of a server's answer over, once.
-func (c *call) copyHead(a *upstream.Answer) {
+func (c *call) copyHead(a *upstream.Response) {
 	h := c.w.Header()
 	for name, values := range a.Header {
 		h[name] = values
@@ -103,26 +103,26 @@
 
 // passStream passes events on as they come. Only whole events go on, so that a broken
 // stream can go on at another server where its route allows that.
-func (c *call) passStream(ctx context.Context, d placement.Assign, sent time.Time, a *upstream.Answer) (placement.End, step) {
+func (c *call) passStream(ctx context.Context, d placement.Assign, sent time.Time, a *upstream.Response) (placement.Outcome, step) {
 	events := bufio.NewReaderSize(a.Body, eventBuffer)
 	control := http.NewResponseController(c.w)
 	started := false
 	for {
 		event, err := readEvent(events)
 		if err != nil && ctx.Err() != nil {
-			return placement.Abandoned, c.abandon(ctx, d, sent)
+			return placement.Abandoned, c.abandonAttempt(ctx, d, sent)
 		}
 		if err != nil && err != io.EOF {
-			c.lost(d, sent, lostByBreak)
+			c.reportLost(d, sent, lossConnectionBroke)
 			return placement.Failed, c.afterFailure(errors.Wrapf(err, "gateway: stream of server %s", d.Server.ID))
 		}
 		if err == io.EOF && len(event) > 0 && a.Length < 0 {
-			c.lost(d, sent, lostByBreak)
+			c.reportLost(d, sent, lossConnectionBroke)
 			return placement.Failed, c.afterFailure(errors.Newf("gateway: stream of server %s ends within an event", d.Server.ID))
 		}
 		if !started {
 			started = true
-			c.gateway.desk.tell(startedMessage{ticket: d.Ticket, server: d.Server.ID})
+			c.gateway.dispatcher.send(firstEventReceived{ticket: d.ID, server: d.Server.ID})
 		}
 		if len(event) > 0 && !c.repeated(event) {
 			if werr := c.passEvent(a, control, event, events.Buffered() > 0); werr != nil {
@@ -133,14 +133,14 @@
 		if err == io.EOF {
 			c.sendHead(a)
 			c.result = "served"
-			c.answered()
+			c.reportAnswered()
 			return placement.Served, done{}
 		}
 	}
 }
 
 // sendHead sends the head of the answer if that has not been done.
-func (c *call) sendHead(a *upstream.Answer) {
+func (c *call) sendHead(a *upstream.Response) {
 	if c.headSent {
 		return
 	}
@@ -152,24 +152,24 @@
 }
 
 // begin sends the head of an answer.
-func (c *call) begin(a *upstream.Answer) {
+func (c *call) begin(a *upstream.Response) {
 	c.w.WriteHeader(a.Status)
 	c.headSent, c.first = true, time.Now()
-	c.begun.Store(true)
+	c.responseStarted.Store(true)
 }
 
 // passEvent writes an event; more tells that another one is at hand, so that they can
 // go out together.
-func (c *call) passEvent(a *upstream.Answer, control *http.ResponseController, event []byte, more bool) error {
+func (c *call) passEvent(a *upstream.Response, control *http.ResponseController, event []byte, more bool) error {
 	c.sendHead(a)
 	if _, err := c.w.Write(event); err != nil {
 		return err
 	}
 	now := time.Now()
-	if !c.latest.IsZero() {
-		c.pause = max(c.pause, now.Sub(c.latest))
+	if !c.lastEventAt.IsZero() {
+		c.pause = max(c.pause, now.Sub(c.lastEventAt))
 	}
-	c.latest = now
+	c.lastEventAt = now
 	if c.events++; c.events == 1 {
 		c.began = now
 	}
@@ -188,7 +188,7 @@
 	if c.events < least {
 		return 0
 	}
-	return c.latest.Sub(c.began) / time.Duration(c.events-1)
+	return c.lastEventAt.Sub(c.began) / time.Duration(c.events-1)
 }
 
 // repeated tells whether an event has been passed on before the stream was resumed.
--- a/gateway/returned.go
+++ b/gateway/retries.go
@@ -13,14 +13,14 @@
 // back are known. It is safe for use by several goroutines. Its zero value is ready.
 type returned struct {
 	mutex  sync.Mutex
-	memory *retry.Memory
+	memory *retry.History
 }
 
-func (r *returned) locked(use func(m *retry.Memory)) {
+func (r *returned) locked(use func(m *retry.History)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.memory == nil {
-		r.memory = retry.NewMemory()
+		r.memory = retry.NewHistory()
 	}
 	use(r.memory)
 }
@@ -33,7 +33,7 @@
 		return 0
 	}
 	spent := time.Duration(0)
-	r.locked(func(m *retry.Memory) {
+	r.locked(func(m *retry.History) {
 		if first, back := m.First(c.arrived, key, c.arrived.Add(c.told.Deadline)); back {
 			spent = max(c.arrived.Sub(first), time.Millisecond)
 		}
@@ -47,9 +47,9 @@
 	if !ok {
 		return
 	}
-	f := retry.Refusal{Key: key, Ends: c.arrived.Add(c.told.Deadline), First: c.arrived.Add(-c.spent)}
-	r.locked(func(m *retry.Memory) { m.Add(time.Now(), f) })
-	c.gateway.peers.TellRefusal(peer.Refusal{Key: uint64(key), Ends: f.Ends, First: f.First})
+	f := retry.Refusal{Key: key, Deadline: c.arrived.Add(c.told.Deadline), FirstAttempt: c.arrived.Add(-c.spent)}
+	r.locked(func(m *retry.History) { m.Add(time.Now(), f) })
+	c.gateway.peers.PublishRefusal(peer.Refusal{Key: uint64(key), Deadline: f.Deadline, FirstAttempt: f.FirstAttempt})
 }
 
 // told takes over whom another gateway has turned away.
@@ -57,9 +57,9 @@
 	if len(list) == 0 {
 		return
 	}
-	r.locked(func(m *retry.Memory) {
+	r.locked(func(m *retry.History) {
 		for _, f := range list {
-			m.Add(now, retry.Refusal{Key: retry.Key(f.Key), Ends: f.Ends, First: f.First})
+			m.Add(now, retry.Refusal{Key: retry.Key(f.Key), Deadline: f.Deadline, FirstAttempt: f.FirstAttempt})
 		}
 	})
 }
@@ -70,9 +70,9 @@
 	if !c.told.HasDeadline || len(c.told.Parts) == 0 {
 		return 0, false
 	}
-	text := c.account + " " + c.route.Name + " " + target(c.request) + " " + c.told.Model + " " + strconv.Itoa(c.told.PromptTokens) + "," + strconv.Itoa(c.told.MostOutput)
+	text := c.account + " " + c.route.Name + " " + requestTarget(c.request) + " " + c.told.Model + " " + strconv.Itoa(c.told.PromptTokens) + "," + strconv.Itoa(c.told.MaxOutputTokens)
 	for _, p := range c.told.Parts {
 		text += " " + p.ID
 	}
-	return retry.Key(hash(text)), true
+	return retry.Key(hashString(text)), true
 }
--- a/gateway/returned_test.go
+++ b/gateway/retries_test.go
@@ -28,11 +28,11 @@
 // however patience differs among callers.
 func TestWhoComesBackIsKnown(t *testing.T) {
 	now := time.Now()
-	here, there := quiet(t), quiet(t)
+	here, there := newIdleGateway(t), newIdleGateway(t)
 	refused := asks(here, now, 10*time.Second, "shared", "own")
 	require.Zero(t, here.returned.spent(refused))
 	refused.write(denial{status: 503, reason: "later"})
-	told := peer.Refusal{Key: 0, Ends: now.Add(10 * time.Second), First: now}
+	told := peer.Refusal{Key: 0, Deadline: now.Add(10 * time.Second), FirstAttempt: now}
 	key, ok := refused.retryKey()
 	require.True(t, ok)
 	told.Key = uint64(key)
--- a/gateway/retry/retry.go
+++ b/gateway/retry/retry.go
@@ -38,28 +38,28 @@
 
 // Refusal is a request that was turned away.
 type Refusal struct {
-	Key   Key
-	Ends  time.Time // when its caller gives up
-	First time.Time // when its caller tried first
+	Key          Key
+	Deadline     time.Time // when its caller gives up
+	FirstAttempt time.Time // when its caller tried first
 }
 
-// Memory remembers refusals.
-type Memory struct {
+// History remembers refusals.
+type History struct {
 	refusals  map[Key][]Refusal
 	count     int
 	forgotten time.Time // when callers that have given up were last looked for
 }
 
-// NewMemory returns an empty memory.
-func NewMemory() *Memory { return &Memory{refusals: map[Key][]Refusal{}} }
+// NewHistory returns an empty memory.
+func NewHistory() *History { return &History{refusals: map[Key][]Refusal{}} }
 
 // Add remembers a refusal.
-func (m *Memory) Add(now time.Time, r Refusal) {
-	if !now.Before(r.Ends) {
+func (m *History) Add(now time.Time, r Refusal) {
+	if !now.Before(r.Deadline) {
 		return
 	}
 	for _, known := range m.refusals[r.Key] {
-		if known.Ends.Sub(r.Ends).Abs() <= sameRefusal {
+		if known.Deadline.Sub(r.Deadline).Abs() <= sameRefusal {
 			return // it was told twice
 		}
 	}
@@ -75,23 +75,23 @@
 
 // First returns when the caller of a request tried first, if it was turned away before.
 // That refusal is forgotten: a caller comes back once for each.
-func (m *Memory) First(now time.Time, key Key, ends time.Time) (first time.Time, back bool) {
+func (m *History) First(now time.Time, key Key, ends time.Time) (first time.Time, back bool) {
 	list := m.refusals[key]
 	best, least := -1, tolerance
 	for i, r := range list {
-		if d := r.Ends.Sub(ends).Abs(); d <= least {
+		if d := r.Deadline.Sub(ends).Abs(); d <= least {
 			best, least = i, d
 		}
 	}
 	if best < 0 {
 		return time.Time{}, false
 	}
-	first = list[best].First
+	first = list[best].FirstAttempt
 	m.remove(key, best)
 	return first, true
 }
 
-func (m *Memory) remove(key Key, at int) {
+func (m *History) remove(key Key, at int) {
 	list := m.refusals[key]
 	list[at] = list[len(list)-1]
 	m.refusals[key] = list[:len(list)-1]
@@ -102,11 +102,11 @@
 }
 
 // forget drops the refusals of callers that have given up.
-func (m *Memory) forget(now time.Time) {
+func (m *History) forget(now time.Time) {
 	m.forgotten = now
 	for key, list := range m.refusals {
 		for i := len(list) - 1; i >= 0; i-- {
-			if !now.Before(list[i].Ends) {
+			if !now.Before(list[i].Deadline) {
 				m.remove(key, i)
 			}
 		}
@@ -114,4 +114,4 @@
 }
 
 // Len returns how many refusals are remembered.
-func (m *Memory) Len() int { return m.count }
+func (m *History) Len() int { return m.count }
--- a/gateway/retry/retry_test.go
+++ b/gateway/retry/retry_test.go
@@ -17,7 +17,7 @@
 
 func TestFirst(t *testing.T) {
 	const patience = 10 * time.Second
-	refused := retry.Refusal{Key: 1, Ends: start.Add(patience), First: start}
+	refused := retry.Refusal{Key: 1, Deadline: start.Add(patience), FirstAttempt: start}
 	tests := []struct {
 		name  string
 		after time.Duration // since start
@@ -25,14 +25,14 @@
 		ends  time.Time
 		back  bool
 	}{
-		{"it has come back", time.Second, 1, refused.Ends, true},
-		{"a busy gateway looked at it late", time.Second, 1, refused.Ends.Add(80 * time.Millisecond), true},
-		{"another caller asks the same", time.Second, 1, refused.Ends.Add(time.Second), false},
-		{"another request with as much time", time.Second, 2, refused.Ends, false},
+		{"it has come back", time.Second, 1, refused.Deadline, true},
+		{"a busy gateway looked at it late", time.Second, 1, refused.Deadline.Add(80 * time.Millisecond), true},
+		{"another caller asks the same", time.Second, 1, refused.Deadline.Add(time.Second), false},
+		{"another request with as much time", time.Second, 2, refused.Deadline, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			m := retry.NewMemory()
+			m := retry.NewHistory()
 			m.Add(start, refused)
 			m.Add(start, refused) // told twice
 			first, back := m.First(start.Add(test.after), test.key, test.ends)
@@ -48,13 +48,13 @@
 // TestMemoryIsBounded: callers that have given up make room; without any, new ones get none.
 func TestMemoryIsBounded(t *testing.T) {
 	const most = 4096
-	m := retry.NewMemory()
+	m := retry.NewHistory()
 	for n := range 2 * most {
-		m.Add(start, retry.Refusal{Key: retry.Key(n), Ends: start.Add(time.Second), First: start})
+		m.Add(start, retry.Refusal{Key: retry.Key(n), Deadline: start.Add(time.Second), FirstAttempt: start})
 	}
 	require.Equal(t, most, m.Len())
 	later := start.Add(2 * time.Second)
-	m.Add(later, retry.Refusal{Key: 1, Ends: later.Add(time.Second), First: later})
+	m.Add(later, retry.Refusal{Key: 1, Deadline: later.Add(time.Second), FirstAttempt: later})
 	require.Equal(t, 1, m.Len())
 }
 
@@ -105,7 +105,7 @@
 	for _, test := range tests {
 		name := fmt.Sprintf("spread %.2f outliers %v", test.spread, test.outliers)
 		t.Run(name, func(t *testing.T) {
-			m := retry.NewMemory()
+			m := retry.NewHistory()
 			var memory, longest counts
 			most := time.Duration(0)
 			for _, x := range play(test.spread, test.outliers) {
@@ -114,7 +114,7 @@
 				first, back := m.First(x.at, x.key, x.at.Add(x.patience))
 				memory.add(x, back && first.Equal(x.first))
 				if x.refused {
-					m.Add(x.at, retry.Refusal{Key: x.key, Ends: x.at.Add(x.patience), First: x.first})
+					m.Add(x.at, retry.Refusal{Key: x.key, Deadline: x.at.Add(x.patience), FirstAttempt: x.first})
 				}
 			}
 			fmt.Printf("figure precision-%.2f-%v %.3f share (longest patience: %.3f)\n", test.spread, test.outliers, memory.precision(), longest.precision())
--- a/gateway/rollout/count.go
+++ b/gateway/rollout/count.go
@@ -9,11 +9,11 @@
 // Answer is how a server answered a request.
 type Answer struct {
 	Failed bool // by the server itself
-	// First is the time to the first byte, or the whole time of an answer that is no stream,
+	// RelativeLatency is the time to the first byte, or the whole time of an answer that is no stream,
 	// over what it should have taken; 0: not known.
-	First float64
-	// Pause is the mean time between a stream's events; 0: it is no stream, or too short.
-	Pause time.Duration
+	RelativeLatency float64
+	// EventInterval is the mean time between a stream's events; 0: it is no stream, or too short.
+	EventInterval time.Duration
 }
 
 // Count is how many answers there were, and how many of them were bad.
@@ -38,15 +38,15 @@
 	return Count{c.Answers + d.Answers, c.Failed + d.Failed, c.Slow + d.Slow}
 }
 
-// Cell names whose answers are counted.
-type Cell struct {
+// CountKey names whose answers are counted.
+type CountKey struct {
 	Target bool   // by servers of the target; else of the baseline
 	Route  uint32 // hash of its name
 	Server uint32 // hash of its ID; only of the target's
 }
 
 // Report is what a gateway has counted so far, by cell.
-type Report map[Cell]Count
+type Report map[CountKey]Count
 
 // A value beyond this many times the usual one of its route is slow.
 const slowFactor = 2.5
@@ -71,7 +71,7 @@
 func (r *Rollout) Report() Report { return r.seen.counts }
 
 func (c *counter) add(route, server uint32, fromTarget bool, a Answer) {
-	cell := Cell{Target: fromTarget, Route: route}
+	cell := CountKey{Target: fromTarget, Route: route}
 	if fromTarget {
 		cell.Server = server
 	}
@@ -81,13 +81,13 @@
 	switch {
 	case a.Failed:
 		n.Failed++
-	case first.slow(a.First), pause.slow(a.Pause.Seconds()):
+	case first.slow(a.RelativeLatency), pause.slow(a.EventInterval.Seconds()):
 		n.Slow++
 	}
 	c.counts[cell] = n
 	if !fromTarget && !a.Failed {
-		first.add(a.First)
-		pause.add(a.Pause.Seconds())
+		first.add(a.RelativeLatency)
+		pause.add(a.EventInterval.Seconds())
 	}
 }
 
--- a/gateway/rollout/judge.go
+++ b/gateway/rollout/judge.go
@@ -70,11 +70,11 @@
 // taken back this one takes back, too. If it is further, this one needs no more evidence to
 // follow.
 func (r *Rollout) Hear(from string, report Report, stage Stage, since time.Time) {
-	if since.Before(r.Since) {
-		r.Since = since
+	if since.Before(r.OrderedAt) {
+		r.OrderedAt = since
 	}
 	r.judge.hear(from, report)
-	if stage == Back {
+	if stage == Reverted {
 		r.TakeBack()
 		return
 	}
@@ -177,7 +177,7 @@
 		target[0][cell.Server] = target[0][cell.Server].plus(d)
 	}
 	for route, servers := range target {
-		b, sameTime := window[route], stage != Move && window[route].Answers >= leastAnswers
+		b, sameTime := window[route], stage != Full && window[route].Answers >= leastAnswers
 		if !sameTime {
 			b = always[route]
 		}
--- a/gateway/rollout/rollout.go
+++ b/gateway/rollout/rollout.go
@@ -73,8 +73,8 @@
 	Revision catalog.Revision // of the store, at which it was written; 0: it was not
 }
 
-// Of returns the state if the status is of an order, else Unknown: it is of an earlier one.
-func (s Status) Of(o Order) State {
+// StateFor returns the state if the status is of an order, else Unknown: it is of an earlier one.
+func (s Status) StateFor(o Order) State {
 	if s.Target != o.Target || s.Revision < o.Revision {
 		return Unknown
 	}
@@ -86,10 +86,10 @@
 
 // The stages.
 const (
-	Canary Stage = iota // few requests go to the target
-	Expand              // a larger part
-	Move                // all
-	Back                // none: the target is worse
+	Canary   Stage = iota // few requests go to the target
+	Expand                // a larger part
+	Full                  // all
+	Reverted              // none: the target is worse
 )
 
 // String implements fmt.Stringer.
@@ -120,8 +120,8 @@
 // Rollout is an order at work.
 type Rollout struct {
 	Order
-	Since time.Time // when it was given, as far as is known
-	stage Stage
+	OrderedAt time.Time // when it was given, as far as is known
+	stage     Stage
 	// The furthest that another gateway is.
 	furthest Stage
 	bad      *Evidence
@@ -137,24 +137,24 @@
 
 // New returns an order's roll-out; since is when it was given.
 func New(o Order, since time.Time) *Rollout {
-	return &Rollout{Order: o, Since: since, seen: newCounter(), judge: newJudge()}
+	return &Rollout{Order: o, OrderedAt: since, seen: newCounter(), judge: newJudge()}
 }
 
 // Stage returns the present stage.
 func (r *Rollout) Stage() Stage { return r.stage }
 
-// Moved returns since when all requests go to the target; zero: they do not.
-func (r *Rollout) Moved() time.Time { return r.moved }
+// FullSince returns since when all requests go to the target; zero: they do not.
+func (r *Rollout) FullSince() time.Time { return r.moved }
 
-// Bad returns what has shown this gateway that the target is worse; nil: nothing has.
-func (r *Rollout) Bad() *Evidence { return r.bad }
+// Evidence returns what has shown this gateway that the target is worse; nil: nothing has.
+func (r *Rollout) Evidence() *Evidence { return r.bad }
 
-// Share returns the part of requests that goes to the target.
-func (r *Rollout) Share() float64 {
+// TargetShare returns the part of requests that goes to the target.
+func (r *Rollout) TargetShare() float64 {
 	switch {
-	case r.stage == Move:
+	case r.stage == Full:
 		return 1
-	case r.stage == Back, !r.fresh:
+	case r.stage == Reverted, !r.fresh:
 		return 0
 	case r.stage == Expand:
 		return expandShare
@@ -163,23 +163,23 @@
 	}
 }
 
-// Servers returns how many of the target's servers take requests, so that each gets as many as
+// TargetServers returns how many of the target's servers take requests, so that each gets as many as
 // it will at the end: some versions are bad only under load.
-func (r *Rollout) Servers(all int) int {
+func (r *Rollout) TargetServers(all int) int {
 	const least = 4 // so that one that fails by itself is told from its version
-	n := int(float64(all)*r.Share() + 0.999)
+	n := int(float64(all)*r.TargetShare() + 0.999)
 	return min(max(n, least), all)
 }
 
 // Turn tells whether the next request should try the target.
 func (r *Rollout) Turn() bool {
-	share := r.Share()
+	share := r.TargetShare()
 	return share > 0 && r.credit+share >= 1
 }
 
 // Sent notes where a request went.
 func (r *Rollout) Sent(toTarget bool) {
-	r.credit += r.Share()
+	r.credit += r.TargetShare()
 	if toTarget {
 		r.credit--
 	}
@@ -190,7 +190,7 @@
 // of the operators.
 func (r *Rollout) Look(now time.Time, fresh bool) {
 	r.fresh = fresh
-	if r.stage == Back {
+	if r.stage == Reverted {
 		return
 	}
 	if !r.judge.due(now) {
@@ -207,18 +207,18 @@
 		return
 	}
 	enough := r.furthest > r.stage || answers >= manyAnswers || answers >= leastAnswers && now.Sub(r.proven) >= r.part(leastProof)
-	age := now.Sub(r.Since)
+	age := now.Sub(r.OrderedAt)
 	switch {
 	case !enough || !fresh:
 	case r.stage == Canary && age >= r.part(expandFrom):
 		r.stage = Expand
 	case r.stage == Expand && age >= r.part(moveFrom):
-		r.stage, r.moved = Move, now
+		r.stage, r.moved = Full, now
 	}
 }
 
 // TakeBack lets the target get nothing more, since another gateway or the operators say so.
-func (r *Rollout) TakeBack() { r.stage, r.moved = Back, time.Time{} }
+func (r *Rollout) TakeBack() { r.stage, r.moved = Reverted, time.Time{} }
 
 // part returns a part of the order's duration.
 func (r *Rollout) part(of float64) time.Duration {
--- a/gateway/rollout/rollout_test.go
+++ b/gateway/rollout/rollout_test.go
@@ -66,16 +66,16 @@
 
 // answer draws how a server answers.
 func (p *play) answer(v version, age time.Duration, route, server int, share float64) rollout.Answer {
-	a := rollout.Answer{First: math.Exp(0.3 * p.draw.NormFloat64()), Pause: time.Duration(float64(5*time.Millisecond) * math.Exp(0.2*p.draw.NormFloat64()))}
+	a := rollout.Answer{RelativeLatency: math.Exp(0.3 * p.draw.NormFloat64()), EventInterval: time.Duration(float64(5*time.Millisecond) * math.Exp(0.2*p.draw.NormFloat64()))}
 	if p.draw.Float64() < 0.05 {
-		a.First *= 3 // it met a queue
+		a.RelativeLatency *= 3 // it met a queue
 	}
 	if age < v.from || share < v.share || v.route != 0 && v.route != route || v.servers != 0 && server >= v.servers {
 		return a
 	}
 	a.Failed = p.draw.Float64() < v.fails
 	if p.draw.Float64() < v.slow {
-		a.First *= v.factor
+		a.RelativeLatency *= v.factor
 	}
 	return a
 }
@@ -93,7 +93,7 @@
 		age := now.Sub(start)
 		share := 0.0
 		for _, r := range p.gateways {
-			share += r.Share() / float64(len(p.gateways))
+			share += r.TargetShare() / float64(len(p.gateways))
 		}
 		moved := 0
 		for i, r := range p.gateways {
@@ -107,7 +107,7 @@
 				route := 1 + p.draw.IntN(3)
 				v, server := p.baseline, p.draw.IntN(p.servers)
 				if toTarget {
-					v, server = p.target, p.draw.IntN(r.Servers(p.servers))
+					v, server = p.target, p.draw.IntN(r.TargetServers(p.servers))
 				}
 				a := p.answer(v, age, route, server, share)
 				r.Answer(uint32(route), uint32(server), toTarget, a)
@@ -122,10 +122,10 @@
 				under = append(under, told{now.Add(time.Duration(p.draw.Float64() * float64(300*time.Millisecond))), fmt.Sprint(i), maps.Clone(r.Report()), r.Stage()})
 			}
 			r.Look(now, true)
-			if r.Bad() != nil && p.back == 0 {
-				p.back, p.why = age, r.Bad()
+			if r.Evidence() != nil && p.back == 0 {
+				p.back, p.why = age, r.Evidence()
 			}
-			if !r.Moved().IsZero() {
+			if !r.FullSince().IsZero() {
 				moved++
 			}
 		}
@@ -153,7 +153,7 @@
 	if age < p.order.Duration {
 		p.got++
 	}
-	if a.Failed || a.First > 4 {
+	if a.Failed || a.RelativeLatency > 4 {
 		if p.bad++; p.bad == 50 {
 			p.seventh = age
 		}
@@ -263,6 +263,6 @@
 		{"of another target", rollout.Status{State: rollout.RolledBack, Target: "v3", Revision: 12}, rollout.Unknown},
 	}
 	for _, test := range tests {
-		t.Run(test.name, func(t *testing.T) { require.Equal(t, test.want, test.status.Of(order)) })
+		t.Run(test.name, func(t *testing.T) { require.Equal(t, test.want, test.status.StateFor(order)) })
 	}
 }
--- a/gateway/rollout_test.go
+++ b/gateway/rollout_test.go
@@ -24,11 +24,11 @@
 func TestRolloutsAreKnown(t *testing.T) {
 	now := time.Now()
 	old, later := catalog.NewRevision(1, 9), catalog.NewRevision(2, 4)
-	first := listOf(old, 1, ready("i-1"))
-	first.snapshot.Orders = map[string]rollout.Order{"s": orderOf(old)}
-	within := func(revision catalog.Revision) answer {
-		a := listOf(revision, 1, ready("i-1"))
-		a.snapshot.Orders = map[string]rollout.Order{"s": orderOf(revision)}
+	first := listOf(old, 1, readyServer("i-1"))
+	first.snapshot.RolloutOrders = map[string]rollout.Order{"s": orderOf(old)}
+	within := func(revision catalog.Revision) sourceResult {
+		a := listOf(revision, 1, readyServer("i-1"))
+		a.snapshot.RolloutOrders = map[string]rollout.Order{"s": orderOf(revision)}
 		return a
 	}
 	tests := []struct {
@@ -39,35 +39,35 @@
 	}{
 		{"by a list", func(g *Gateway) {}, orderOf(old), now},
 		{"once more", func(g *Gateway) {
-			g.follower.take(now.Add(time.Second), answer{since: old, revision: old + 1, changes: []Change{RolloutOrdered{orderOf(old)}}})
+			g.storeWatcher.applyResult(now.Add(time.Second), sourceResult{since: old, revision: old + 1, changes: []Change{RolloutOrdered{orderOf(old)}}})
 		}, orderOf(old), now},
 		{"another one", func(g *Gateway) {
-			g.follower.take(now.Add(time.Second), answer{since: old, revision: old + 1, changes: []Change{RolloutOrdered{orderOf(old + 1)}}})
+			g.storeWatcher.applyResult(now.Add(time.Second), sourceResult{since: old, revision: old + 1, changes: []Change{RolloutOrdered{orderOf(old + 1)}}})
 		}, orderOf(old + 1), now.Add(time.Second)},
 		{"taken back", func(g *Gateway) {
-			g.follower.take(now, answer{since: old, revision: old + 1, changes: []Change{RolloutWithdrawn{"s"}}})
+			g.storeWatcher.applyResult(now, sourceResult{since: old, revision: old + 1, changes: []Change{RolloutWithdrawn{"s"}}})
 		}, rollout.Order{}, time.Time{}},
 		{"the list does not have it any more", func(g *Gateway) {
-			g.follower.take(now.Add(settleTime+time.Second), listOf(old+5, 1, ready("i-1")))
+			g.storeWatcher.applyResult(now.Add(reconcilePeriod+time.Second), listOf(old+5, 1, readyServer("i-1")))
 		}, rollout.Order{}, time.Time{}},
 		{"the store has come back from a copy that has it", func(g *Gateway) {
-			g.follower.take(now.Add(time.Second), within(later))
+			g.storeWatcher.applyResult(now.Add(time.Second), within(later))
 		}, orderOf(later), now},
 		{"from one that lacks it, and operators have not written it again", func(g *Gateway) {
-			g.follower.take(now, listOf(later, 1, ready("i-1")))
+			g.storeWatcher.applyResult(now, listOf(later, 1, readyServer("i-1")))
 			require.Equal(t, orderOf(old), g.view.Load().Rollouts["s"].Order, "kept for a moment")
-			g.follower.dropMissing(now.Add(settleTime + time.Second))
+			g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Second))
 		}, rollout.Order{}, time.Time{}},
 		{"from one that lacks it, and operators have", func(g *Gateway) {
-			g.follower.take(now, listOf(later, 1, ready("i-1")))
-			g.follower.take(now.Add(time.Second), answer{since: later, revision: later + 1, changes: []Change{RolloutOrdered{orderOf(later + 1)}}})
-			g.follower.dropMissing(now.Add(settleTime + time.Second))
+			g.storeWatcher.applyResult(now, listOf(later, 1, readyServer("i-1")))
+			g.storeWatcher.applyResult(now.Add(time.Second), sourceResult{since: later, revision: later + 1, changes: []Change{RolloutOrdered{orderOf(later + 1)}}})
+			g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Second))
 		}, orderOf(later + 1), now.Add(time.Second)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := quiet(t)
-			g.follower.take(now, first)
+			g := newIdleGateway(t)
+			g.storeWatcher.applyResult(now, first)
 			test.hear(g)
 			known := g.view.Load().Rollouts["s"]
 			require.Equal(t, test.want, known.Order)
@@ -81,51 +81,51 @@
 // TestRolloutsAreHandedOver with their age and what the operators were told.
 func TestRolloutsAreHandedOver(t *testing.T) {
 	now := time.Now()
-	from, to := quiet(t), quiet(t)
-	a := listOf(9, 1, ready("i-1"))
-	a.snapshot.Orders = map[string]rollout.Order{"s": orderOf(7)}
-	a.snapshot.Statuses = map[string]rollout.Status{"s": {State: rollout.InProgress, Target: "v2", Revision: 8}}
-	from.follower.take(now, a)
+	from, to := newIdleGateway(t), newIdleGateway(t)
+	a := listOf(9, 1, readyServer("i-1"))
+	a.snapshot.RolloutOrders = map[string]rollout.Order{"s": orderOf(7)}
+	a.snapshot.RolloutStatuses = map[string]rollout.Status{"s": {State: rollout.InProgress, Target: "v2", Revision: 8}}
+	from.storeWatcher.applyResult(now, a)
 	later := now.Add(3 * time.Second)
 	d := from.view.Load().document(later)
-	to.follower.takeHandover(later, d.handover(later))
+	to.storeWatcher.applyPeerView(later, d.peerView(later))
 	known := to.view.Load().Rollouts["s"]
 	require.Equal(t, orderOf(7), known.Order)
 	require.WithinDuration(t, now, known.Since, time.Millisecond)
-	require.Equal(t, rollout.InProgress, known.Status.Of(known.Order))
-	from.follower.take(later, answer{since: 9, revision: 10, changes: []Change{RolloutWithdrawn{"s"}, RolloutStated{Service: "s"}}})
+	require.Equal(t, rollout.InProgress, known.Status.StateFor(known.Order))
+	from.storeWatcher.applyResult(later, sourceResult{since: 9, revision: 10, changes: []Change{RolloutWithdrawn{"s"}, RolloutStatusChanged{Service: "s"}}})
 	d, ok := from.view.Load().changes(later, 9, 1)
 	require.True(t, ok)
-	to.follower.takeHandover(later, d.handover(later))
+	to.storeWatcher.applyPeerView(later, d.peerView(later))
 	require.Empty(t, to.view.Load().Rollouts)
 }
 
 // versionDesk is a desk with five servers of each version and a roll-out.
-func versionDesk(t *testing.T, now time.Time, o ordered) *desk {
-	d := modelDesk(t, now, 10)
-	d.fresh = func(time.Time) bool { return true }
+func versionDesk(t *testing.T, now time.Time, o rolloutRecord) *dispatcher {
+	d := newTestDispatcher(t, now, 10)
+	d.viewFresh = func(time.Time) bool { return true }
 	v := *d.view
 	v.Servers = append([]catalog.Server(nil), v.Servers...)
 	for i := range v.Servers {
 		v.Servers[i].Version = fmt.Sprintf("v%d", 1+i/5)
 	}
-	v.Rollouts = map[string]ordered{"s": o}
+	v.Rollouts = map[string]rolloutRecord{"s": o}
 	d.setView(now, &v)
 	d.lookRollouts(now)
 	return d
 }
 
 // got counts which versions requests go to.
-func (d *desk) got(now time.Time, requests int) (old, new int) {
+func (d *dispatcher) got(now time.Time, requests int) (old, new int) {
 	for range requests {
-		reply, _ := d.request(now, "", func(a *placement.Ask) { a.Prompt, a.Objective = 10, 0 })
+		reply, _ := d.placeRequest(now, "", func(a *placement.Request) { a.PromptTokens, a.Objective = 10, 0 })
 		assign := (<-reply).(placement.Assign)
 		if assign.Server.Version == "v2" {
 			new++
 		} else {
 			old++
 		}
-		d.end(now, endedMessage{ticket: assign.Ticket, server: assign.Server.ID, end: placement.Served, status: 200})
+		d.recordEnd(now, attemptEnded{ticket: assign.ID, server: assign.Server.ID, end: placement.Served, status: 200})
 	}
 	return old, new
 }
@@ -138,23 +138,23 @@
 	}
 	tests := []struct {
 		name     string
-		known    ordered
-		change   func(d *desk)
+		known    rolloutRecord
+		change   func(d *dispatcher)
 		old, new int // of 1,000
 	}{
-		{"ordered", ordered{Order: orderOf(7), Since: now}, nil, 950, 50},
-		{"in progress", ordered{Order: orderOf(7), Since: now, Status: status(rollout.InProgress)}, nil, 950, 50},
-		{"rolled back", ordered{Order: orderOf(7), Since: now, Status: status(rollout.RolledBack)}, nil, 1000, 0},
-		{"rolled back, and the order withdrawn", ordered{Status: status(rollout.RolledBack)}, nil, 1000, 0},
-		{"an earlier order was rolled back", ordered{Order: orderOf(9), Since: now, Status: status(rollout.RolledBack)}, nil, 950, 50},
-		{"no fresh news", ordered{Order: orderOf(7), Since: now}, func(d *desk) { d.fresh = func(time.Time) bool { return false } }, 1000, 0},
-		{"another gateway has taken it back", ordered{Order: orderOf(7), Since: now}, func(d *desk) {
+		{"ordered", rolloutRecord{Order: orderOf(7), Since: now}, nil, 950, 50},
+		{"in progress", rolloutRecord{Order: orderOf(7), Since: now, Status: status(rollout.InProgress)}, nil, 950, 50},
+		{"rolled back", rolloutRecord{Order: orderOf(7), Since: now, Status: status(rollout.RolledBack)}, nil, 1000, 0},
+		{"rolled back, and the order withdrawn", rolloutRecord{Status: status(rollout.RolledBack)}, nil, 1000, 0},
+		{"an earlier order was rolled back", rolloutRecord{Order: orderOf(9), Since: now, Status: status(rollout.RolledBack)}, nil, 950, 50},
+		{"no fresh news", rolloutRecord{Order: orderOf(7), Since: now}, func(d *dispatcher) { d.viewFresh = func(time.Time) bool { return false } }, 1000, 0},
+		{"another gateway has taken it back", rolloutRecord{Order: orderOf(7), Since: now}, func(d *dispatcher) {
 			r := rollout.New(orderOf(7), now)
 			r.TakeBack()
 			told, _ := reportOf(now, r)
-			d.update(now, peer.Update{From: "b", Alive: true, Rollouts: []*peerpb.Rollout{told}})
+			d.applyUpdate(now, peer.Update{From: "b", Alive: true, Rollouts: []*peerpb.Rollout{told}})
 		}, 1000, 0},
-		{"complete", ordered{Order: orderOf(7), Since: now, Status: status(rollout.InProgress)}, func(d *desk) {
+		{"complete", rolloutRecord{Order: orderOf(7), Since: now, Status: status(rollout.InProgress)}, func(d *dispatcher) {
 			d.stated(now, statedMessage{service: "s", status: rollout.Status{State: rollout.Complete, Target: "v2", Revision: 9}})
 		}, 0, 1000},
 	}
@@ -175,10 +175,10 @@
 // version, the operators are not told that these may end.
 func TestCompleteWaitsForOtherGateways(t *testing.T) {
 	now := time.Now()
-	statements := make(chan statement, stateQueue)
-	d := versionDesk(t, now, ordered{Order: orderOf(7), Since: now, Status: rollout.Status{State: rollout.InProgress, Target: "v2", Revision: 8}})
-	d.statements = statements
-	d.update(now, peer.Update{From: "b", Alive: true, Whole: true, Running: map[uint64]int{hash("i-0"): 1}})
+	statements := make(chan rolloutStatusWrite, statusQueueSize)
+	d := versionDesk(t, now, rolloutRecord{Order: orderOf(7), Since: now, Status: rollout.Status{State: rollout.InProgress, Target: "v2", Revision: 8}})
+	d.statusWrites = statements
+	d.applyUpdate(now, peer.Update{From: "b", Alive: true, Full: true, Running: map[uint64]int{hashString("i-0"): 1}})
 	step := func(until time.Duration) {
 		for end := now.Add(until); now.Before(end); now = now.Add(50 * time.Millisecond) {
 			d.got(now, 20)
@@ -186,9 +186,9 @@
 		}
 	}
 	step(9 * time.Second)
-	require.Equal(t, rollout.Move, d.rollouts["s"].work.Stage())
+	require.Equal(t, rollout.Full, d.rollouts["s"].work.Stage())
 	require.Empty(t, statements)
-	d.update(now, peer.Update{From: "b", Alive: true, Whole: true, Running: map[uint64]int{}})
+	d.applyUpdate(now, peer.Update{From: "b", Alive: true, Full: true, Running: map[uint64]int{}})
 	step(3 * idleBeforeEnd)
-	require.Equal(t, statement{"s", rollout.Status{State: rollout.Complete, Target: "v2", Revision: 8}}, <-statements)
+	require.Equal(t, rolloutStatusWrite{"s", rollout.Status{State: rollout.Complete, Target: "v2", Revision: 8}}, <-statements)
 }
--- a/gateway/rollout_view.go
+++ b/gateway/rollout_view.go
@@ -10,15 +10,15 @@
 
 // This file keeps what the view tells of roll-outs. package rollout decides on them.
 
-// ordered is what is known of a service's roll-out.
-type ordered struct {
+// rolloutRecord is what is known of a service's roll-out.
+type rolloutRecord struct {
 	Order  rollout.Order // zero: there is none, or it has been withdrawn
 	Since  time.Time     // when this gateway, or the one that told it, heard of the order
 	Status rollout.Status
 }
 
-// takeOrder takes over what operators want of a service.
-func (f *follower) takeOrder(now time.Time, o rollout.Order) {
+// applyOrder takes over what operators want of a service.
+func (f *storeWatcher) applyOrder(now time.Time, o rollout.Order) {
 	known := f.rollouts[o.Service]
 	if known.Order == o {
 		return
@@ -26,12 +26,12 @@
 	known.Order, known.Since = o, now
 	f.setRollout(o.Service, known)
 	f.gateway.log.Info().Str("event", "rollout.ordered").Str("service", o.Service).Str("target", o.Target).
-		Dur("within", o.Duration).EmbedObject(atRevision(o.Revision)).Msg("a new version gets a few requests first")
+		Dur("within", o.Duration).EmbedObject(revisionFields(o.Revision)).Msg("a new version gets a few requests first")
 }
 
-// withdraw takes over that operators have taken an order back. What was said of it still holds:
+// withdrawOrder takes over that operators have taken an order back. What was said of it still holds:
 // a version that was taken back gets nothing.
-func (f *follower) withdraw(service string) {
+func (f *storeWatcher) withdrawOrder(service string) {
 	known := f.rollouts[service]
 	if known.Order == (rollout.Order{}) {
 		return
@@ -41,8 +41,8 @@
 	f.gateway.log.Info().Str("event", "rollout.withdrawn").Str("service", service).Msg("no order any more")
 }
 
-// stated takes over what was said of a service's roll-out.
-func (f *follower) stated(service string, s rollout.Status) {
+// applyRolloutStatus takes over what was said of a service's roll-out.
+func (f *storeWatcher) applyRolloutStatus(service string, s rollout.Status) {
 	known := f.rollouts[service]
 	if s != (rollout.Status{}) && s.Revision < known.Status.Revision {
 		return
@@ -52,8 +52,8 @@
 }
 
 // setRollout replaces what is known of a roll-out; views share the map.
-func (f *follower) setRollout(service string, o ordered) {
-	changed := make(map[string]ordered, len(f.rollouts)+1)
+func (f *storeWatcher) setRollout(service string, o rolloutRecord) {
+	changed := make(map[string]rolloutRecord, len(f.rollouts)+1)
 	maps.Copy(changed, f.rollouts)
 	changed[service] = o
 	if o.Order == (rollout.Order{}) && o.Status == (rollout.Status{}) {
@@ -62,29 +62,29 @@
 	f.rollouts = changed
 }
 
-// listedRollouts takes over what a list of the store tells. While the store may lack what it
+// applyListedRollouts takes over what a list of the store tells. While the store may lack what it
 // had, nothing is taken from it that it does not name.
-func (f *follower) listedRollouts(now time.Time, s Snapshot) {
-	for service, o := range s.Orders {
-		if known := f.rollouts[service]; known.Order.Target == o.Target && known.Order.Duration == o.Duration && f.settling(now) {
+func (f *storeWatcher) applyListedRollouts(now time.Time, s Snapshot) {
+	for service, o := range s.RolloutOrders {
+		if known := f.rollouts[service]; known.Order.Target == o.Target && known.Order.Duration == o.Duration && f.reconciling(now) {
 			known.Order = o // as it stands in the copy: the same order, and as old
 			f.setRollout(service, known)
 			continue
 		}
-		f.takeOrder(now, o)
+		f.applyOrder(now, o)
 	}
 	for service := range f.rollouts {
-		if _, still := s.Orders[service]; !still && !f.settling(now) {
-			f.withdraw(service)
+		if _, still := s.RolloutOrders[service]; !still && !f.reconciling(now) {
+			f.withdrawOrder(service)
 		}
 	}
-	for service, status := range s.Statuses {
-		f.stated(service, status)
+	for service, status := range s.RolloutStatuses {
+		f.applyRolloutStatus(service, status)
 	}
 }
 
-// takeRollouts takes over what another gateway knows that knows more of the store.
-func (f *follower) takeRollouts(now time.Time, told map[string]ordered) {
+// applyPeerRollouts takes over what another gateway knows that knows more of the store.
+func (f *storeWatcher) applyPeerRollouts(now time.Time, told map[string]rolloutRecord) {
 	for service, o := range told {
 		if known := f.rollouts[service]; known.Order == o.Order && known.Since.Before(o.Since) {
 			o.Since = known.Since
@@ -92,8 +92,8 @@
 		f.setRollout(service, o)
 	}
 	for service := range f.rollouts {
-		if _, still := told[service]; !still && !f.settling(now) {
-			f.setRollout(service, ordered{})
+		if _, still := told[service]; !still && !f.reconciling(now) {
+			f.setRollout(service, rolloutRecord{})
 		}
 	}
 }
@@ -124,14 +124,14 @@
 	}
 }
 
-// rollouts returns what a view document that has arrived tells.
-func (d viewDocument) rollouts(now time.Time) map[string]ordered {
-	list := make(map[string]ordered, len(d.Rollouts))
+// decodeRollouts returns what a view document that has arrived tells.
+func (d viewDocument) decodeRollouts(now time.Time) map[string]rolloutRecord {
+	list := make(map[string]rolloutRecord, len(d.Rollouts))
 	for service, r := range d.Rollouts {
-		o := ordered{Status: rollout.Status{State: r.State, Target: r.StateTarget, Revision: r.StatusRevision}}
+		o := rolloutRecord{Status: rollout.Status{State: r.State, Target: r.StateTarget, Revision: r.StatusRevision}}
 		if r.Target != "" {
 			o.Order = rollout.Order{Service: service, Target: r.Target, Duration: time.Duration(r.DurationMS) * time.Millisecond, Revision: r.Revision}
-			o.Since = before(now, r.AgeMS)
+			o.Since = timeAgo(now, r.AgeMS)
 		}
 		list[service] = o
 	}
--- a/gateway/settle.go
+++ b/gateway/settle.go
@@ -29,7 +29,7 @@
 const (
 	// Operators and servers have written again by then what a copy lacks: they take about two
 	// seconds.
-	settleTime = returnGrace
+	reconcilePeriod = returnGrace
 	// Servers and suspects that are gone are remembered for so long: copies are some seconds
 	// old, and an outage lasts some more.
 	goneKept = time.Minute
@@ -82,20 +82,20 @@
 	}
 }
 
-// settling tells whether the store may lack what it had: it has come back from a copy.
-func (f *follower) settling(now time.Time) bool { return now.Before(f.settled) }
+// reconciling tells whether the store may lack what it had: it has come back from a copy.
+func (f *storeWatcher) reconciling(now time.Time) bool { return now.Before(f.settled) }
 
 // enter takes over that the store is in a later era than the one that was known, whose views
 // may lack what they had until a moment.
-func (f *follower) enter(revision catalog.Revision, settled time.Time) {
+func (f *storeWatcher) enter(revision catalog.Revision, settled time.Time) {
 	before := f.gateway.view.Load()
 	f.settled = settled
 	if before.Configuration == nil {
 		return // nothing is known of before
 	}
-	f.gateway.log.Warn().Str("event", "store.returned").EmbedObject(atRevision(revision)).Stringer("before", before.Revision).
+	f.gateway.log.Warn().Str("event", "store.returned").EmbedObject(revisionFields(revision)).Stringer("before", before.Revision).
 		Int("servers", len(f.servers)).Int("gone", len(f.memory.gone)).
-		Int("halls", len(f.halls)).Int("suspects", len(f.suspects)).
+		Int("halls", len(f.evacuations)).Int("suspects", len(f.suspects)).
 		Msg("it has come back from a copy: what it lacks is kept for a moment")
 }
 
@@ -103,11 +103,11 @@
 // lifetime than is known of it. Which of two is the later one nobody knows until the
 // server writes again, so neither gets anything: the copy may lack a start that the other
 // gateways know of, or this one may have missed it.
-func (f *follower) revives(s catalog.Server) bool {
+func (f *storeWatcher) revives(s catalog.Server) bool {
 	before, gone := f.memory.gone[s.Name()]
-	current, known := f.current[s.Name()]
+	current, known := f.currentIDs[s.Name()]
 	_, held := f.revived[s.Name()]
-	if !f.settling(f.now) || !gone && !held && (!known || current == s.ID) {
+	if !f.reconciling(f.now) || !gone && !held && (!known || current == s.ID) {
 		return false
 	}
 	s.Leaving = s.Leaving || before.leaving && before.lifetime == s.ID
@@ -116,8 +116,8 @@
 }
 
 // hold keeps back a server that a copy has revived, and the lifetime that is known of it.
-func (f *follower) hold(s catalog.Server) {
-	current, known := f.current[s.Name()]
+func (f *storeWatcher) hold(s catalog.Server) {
+	current, known := f.currentIDs[s.Name()]
 	f.gateway.log.Info().Str("event", "server.revived").Str("server", s.ID).Str("known", current).Msg("more is known of it than the copy says: nothing until it writes again")
 	f.revived[s.Name()] = s
 	c, cold := f.cold[s.ID]
@@ -131,14 +131,14 @@
 
 // leaves tells whether a server that a whole view names leaves: one that had said so does, also if
 // a copy does not have that.
-func (f *follower) leaves(s catalog.Server) bool {
-	return s.Leaving || f.settling(f.now) && f.servers[s.ID].Leaving
+func (f *storeWatcher) leaves(s catalog.Server) bool {
+	return s.Leaving || f.reconciling(f.now) && f.servers[s.ID].Leaving
 }
 
 // lack takes over that a whole view does not name a server. One that a copy lacks is kept until
 // the view has settled.
-func (f *follower) lack(id string, drop func(id string)) {
-	if !f.settling(f.now) {
+func (f *storeWatcher) lack(id string, drop func(id string)) {
+	if !f.reconciling(f.now) {
 		drop(id)
 		return
 	}
@@ -150,13 +150,13 @@
 }
 
 // settle ends what was kept for a moment only. It returns whether that may have changed the view.
-func (f *follower) settle(now time.Time) bool {
-	if f.settled.IsZero() || f.settling(now) {
+func (f *storeWatcher) settle(now time.Time) bool {
+	if f.settled.IsZero() || f.reconciling(now) {
 		return false
 	}
 	f.settled = time.Time{}
 	for _, s := range f.revived {
-		if _, another := f.current[s.Name()]; !another {
+		if _, another := f.currentIDs[s.Name()]; !another {
 			f.set(s)
 		}
 	}
@@ -166,27 +166,27 @@
 			delete(f.cold, id)
 		}
 	}
-	f.gateway.log.Info().Str("event", "store.settled").EmbedObject(atRevision(f.gateway.view.Load().Revision)).Msg("it has what had been written before it came back")
+	f.gateway.log.Info().Str("event", "store.settled").EmbedObject(revisionFields(f.gateway.view.Load().Revision)).Msg("it has what had been written before it came back")
 	return true
 }
 
 // takeBackLost takes evacuations and orders of roll-outs back of which the store has told nothing since it came back from
 // a copy, also one that a gateway for which the view had not settled has told later. It returns
 // whether there was one.
-func (f *follower) takeBackLost(now time.Time) (found bool) {
-	if f.settling(now) {
+func (f *storeWatcher) takeBackLost(now time.Time) (found bool) {
+	if f.reconciling(now) {
 		return false
 	}
 	era := f.gateway.view.Load().Revision.Era()
-	for hall, e := range f.halls {
+	for hall, e := range f.evacuations {
 		if e.Revision.Era() != era {
-			f.takeBack(now, hall)
+			f.endEvacuation(now, hall)
 			found = true
 		}
 	}
 	for service, o := range f.rollouts {
 		if o.Order != (rollout.Order{}) && o.Order.Revision.Era() != era {
-			f.withdraw(service)
+			f.withdrawOrder(service)
 			found = true
 		}
 	}
@@ -195,15 +195,15 @@
 
 // mergeSuspects returns what is kept of suspects, by what a view of a new era says and what was
 // known, and lets what the store lacks or should not have any more be written again.
-func (f *follower) mergeSuspects(told map[quarantine.Key]quarantine.Kept) map[quarantine.Key]quarantine.Kept {
-	merged := make(map[quarantine.Key]quarantine.Kept, len(told))
+func (f *storeWatcher) mergeSuspects(told map[quarantine.Key]quarantine.StoredRecord) map[quarantine.Key]quarantine.StoredRecord {
+	merged := make(map[quarantine.Key]quarantine.StoredRecord, len(told))
 	var differ []quarantine.Key
 	for k, is := range told {
 		if _, lifted := f.memory.lifted[k]; lifted {
 			differ = append(differ, k)
 			continue
 		}
-		merged[k] = is.And(f.suspects[k])
+		merged[k] = is.Merge(f.suspects[k])
 		if !merged[k].Equal(is) {
 			differ = append(differ, k)
 		}
@@ -214,6 +214,6 @@
 			differ = append(differ, k)
 		}
 	}
-	f.gateway.suspects.rewrite(f.now, differ, f.gateway.watches.Load())
+	f.gateway.suspects.rewrite(f.now, differ, f.gateway.watchesStore.Load())
 	return merged
 }
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -45,49 +45,49 @@
 func TestCopyIsOlder(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	other := lifetime("i-2", 6)
-	gone := answer{since: before - 1, revision: before, changes: []Change{ServerGone{"i-1"}}}
-	again := func(c Change) []answer {
-		return []answer{{since: after, revision: after + 1, changes: []Change{c}}}
+	gone := sourceResult{since: before - 1, revision: before, changes: []Change{ServerRemoved{"i-1"}}}
+	again := func(c Change) []sourceResult {
+		return []sourceResult{{since: after, revision: after + 1, changes: []Change{c}}}
 	}
 	tests := []struct {
 		name               string
-		known              []answer // of the era before; the last one is of revision before
-		copy               answer
-		then               []answer
+		known              []sourceResult // of the era before; the last one is of revision before
+		copy               sourceResult
+		then               []sourceResult
 		atOnce, later, end []string // that take work: after the copy, after what was written then, and when settled
 	}{
-		{"it says that a leaving server is ready", []answer{listOf(before, 1, parting(), other)}, listOf(after, 1, staying(), other),
+		{"it says that a leaving server is ready", []sourceResult{listOf(before, 1, parting(), other)}, listOf(after, 1, staying(), other),
 			nil, []string{"i-2@6"}, nil, []string{"i-2@6"}},
-		{"and another list does", []answer{listOf(before, 1, parting(), other)}, listOf(after, 1, staying(), other),
-			[]answer{listOf(after+1, 1, staying(), other)}, []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
-		{"it lacks a leaving server", []answer{listOf(before, 1, parting(), other)}, listOf(after, 1, other),
+		{"and another list does", []sourceResult{listOf(before, 1, parting(), other)}, listOf(after, 1, staying(), other),
+			[]sourceResult{listOf(after+1, 1, staying(), other)}, []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
+		{"it lacks a leaving server", []sourceResult{listOf(before, 1, parting(), other)}, listOf(after, 1, other),
 			again(ServerChanged{Server: parting()}), []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
-		{"which has changed its mind", []answer{listOf(before, 1, parting(), other)}, listOf(after, 1, staying(), other),
+		{"which has changed its mind", []sourceResult{listOf(before, 1, parting(), other)}, listOf(after, 1, staying(), other),
 			again(ServerChanged{Server: staying()}), []string{"i-2@6"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
-		{"it has a leaving server that had gone as ready", []answer{listOf(before-1, 1, parting(), other), gone}, listOf(after, 1, staying(), other),
+		{"it has a leaving server that had gone as ready", []sourceResult{listOf(before-1, 1, parting(), other), gone}, listOf(after, 1, staying(), other),
 			nil, []string{"i-2@6"}, nil, []string{"i-2@6"}},
-		{"it lacks a server", []answer{listOf(before, 1, staying(), other)}, listOf(after, 1, other),
+		{"it lacks a server", []sourceResult{listOf(before, 1, staying(), other)}, listOf(after, 1, other),
 			nil, []string{"i-1@5", "i-2@6"}, nil, []string{"i-2@6"}},
-		{"that writes again", []answer{listOf(before, 1, staying(), other)}, listOf(after, 1, other),
+		{"that writes again", []sourceResult{listOf(before, 1, staying(), other)}, listOf(after, 1, other),
 			again(ServerChanged{Server: staying()}), []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
-		{"it has a server that had gone", []answer{listOf(before-1, 1, staying(), other), gone}, listOf(after, 1, staying(), other),
+		{"it has a server that had gone", []sourceResult{listOf(before-1, 1, staying(), other), gone}, listOf(after, 1, staying(), other),
 			nil, []string{"i-2@6"}, nil, []string{"i-1@5", "i-2@6"}},
-		{"whose entry goes again", []answer{listOf(before-1, 1, staying(), other), gone}, listOf(after, 1, staying(), other),
-			again(ServerGone{"i-1"}), []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
-		{"or which writes again", []answer{listOf(before-1, 1, staying(), other), gone}, listOf(after, 1, staying(), other),
+		{"whose entry goes again", []sourceResult{listOf(before-1, 1, staying(), other), gone}, listOf(after, 1, staying(), other),
+			again(ServerRemoved{"i-1"}), []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
+		{"or which writes again", []sourceResult{listOf(before-1, 1, staying(), other), gone}, listOf(after, 1, staying(), other),
 			again(ServerChanged{Server: staying()}), []string{"i-2@6"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
-		{"it has the lifetime before", []answer{listOf(before-1, 1, staying()), {since: before - 1, revision: before, changes: []Change{ServerChanged{Server: lifetime("i-1", 3)}}}},
+		{"it has the lifetime before", []sourceResult{listOf(before-1, 1, staying()), {since: before - 1, revision: before, changes: []Change{ServerChanged{Server: lifetime("i-1", 3)}}}},
 			listOf(after, 1, staying()), again(ServerChanged{Server: lifetime("i-1", 3)}), []string{}, []string{"i-1@3"}, []string{"i-1@3"}},
-		{"it has one before the first that is known", []answer{listOf(before, 1, lifetime("i-1", 3))}, listOf(after, 1, staying()),
+		{"it has one before the first that is known", []sourceResult{listOf(before, 1, lifetime("i-1", 3))}, listOf(after, 1, staying()),
 			again(ServerChanged{Server: lifetime("i-1", 3)}), []string{}, []string{"i-1@3"}, []string{"i-1@3"}},
-		{"it has a later one", []answer{listOf(before, 1, staying())}, listOf(after, 1, lifetime("i-1", 9)),
+		{"it has a later one", []sourceResult{listOf(before, 1, staying())}, listOf(after, 1, lifetime("i-1", 9)),
 			nil, []string{}, nil, []string{"i-1@9"}},
-		{"a server starts meanwhile", []answer{listOf(before, 1, staying())}, listOf(after, 1, staying()),
+		{"a server starts meanwhile", []sourceResult{listOf(before, 1, staying())}, listOf(after, 1, staying()),
 			again(ServerChanged{Server: other}), []string{"i-1@5"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g, now := quiet(t), time.Now()
+			g, now := newIdleGateway(t), time.Now()
 			believes := func(want []string) {
 				t.Helper()
 				if want != nil {
@@ -95,19 +95,19 @@
 				}
 			}
 			for _, a := range test.known {
-				g.follower.take(now, a)
+				g.storeWatcher.applyResult(now, a)
 			}
-			g.follower.take(now, test.copy)
+			g.storeWatcher.applyResult(now, test.copy)
 			believes(test.atOnce)
 			now = now.Add(time.Second)
 			for _, a := range test.then {
-				g.follower.take(now, a)
+				g.storeWatcher.applyResult(now, a)
 			}
 			believes(test.later)
-			now = now.Add(settleTime)
-			g.follower.dropMissing(now)
+			now = now.Add(reconcilePeriod)
+			g.storeWatcher.expireMissing(now)
 			believes(test.end)
-			require.True(t, g.view.Load().Settled.IsZero())
+			require.True(t, g.view.Load().ReconcileUntil.IsZero())
 		})
 	}
 }
@@ -117,22 +117,22 @@
 func TestCopyTurnsNoConfigurationBack(t *testing.T) {
 	now := time.Now()
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
-	lived, started := quiet(t), quiet(t)
-	lived.follower.take(now, listOf(before, 7, staying()))
-	started.follower.take(now, listOf(after+1, 5, staying()))
+	lived, started := newIdleGateway(t), newIdleGateway(t)
+	lived.storeWatcher.applyResult(now, listOf(before, 7, staying()))
+	started.storeWatcher.applyResult(now, listOf(after+1, 5, staying()))
 	require.Equal(t, uint64(5), started.view.Load().Configuration.Version)
-	lived.follower.take(now, listOf(after, 5, staying()))
+	lived.storeWatcher.applyResult(now, listOf(after, 5, staying()))
 	require.Equal(t, uint64(7), lived.view.Load().Configuration.Version)
 	handOver(t, now, started, lived, asItIs)
 	require.Equal(t, uint64(7), lived.view.Load().Configuration.Version)
 
-	h := hearing{gateway: started, halls: map[string]string{}, away: map[string]bool{}, ended: make(chan struct{}, 1)}
+	h := updateReceiver{gateway: started, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
 	for range 4 {
-		now = now.Add(handoverAfter / 2)
-		h.take(t.Context(), now, peer.Update{From: "127.0.0.9", Hall: "other", Alive: true, StoreRevision: after, ConfigurationVersion: 7})
+		now = now.Add(handoverDelay / 2)
+		h.handle(t.Context(), now, peer.Update{From: "127.0.0.9", Hall: "other", Alive: true, StoreRevision: after, ConfigurationVersion: 7})
 	}
-	require.True(t, h.asking, "it knows a later configuration")
-	<-h.ended
+	require.True(t, h.fetching, "it knows a later configuration")
+	<-h.fetched
 	handOver(t, now, lived, started, func(d *viewDocument) { require.True(t, d.Partial, "no more than that is told") })
 	require.Equal(t, uint64(7), started.view.Load().Configuration.Version)
 	require.Equal(t, after+1, started.view.Load().Revision)
@@ -144,16 +144,16 @@
 	other := lifetime("i-2", 6)
 	for _, known := range []catalog.Revision{before, after} { // of the one that it is handed to
 		now := time.Now()
-		lived, started := quiet(t), quiet(t)
-		lived.follower.take(now, listOf(before, 7, parting(), other))
+		lived, started := newIdleGateway(t), newIdleGateway(t)
+		lived.storeWatcher.applyResult(now, listOf(before, 7, parting(), other))
 		if known == after {
-			lived.follower.take(now, listOf(after, 5, staying()))
+			lived.storeWatcher.applyResult(now, listOf(after, 5, staying()))
 		}
-		started.follower.take(now, listOf(after+1, 5, staying()))
+		started.storeWatcher.applyResult(now, listOf(after+1, 5, staying()))
 		handOver(t, now, started, lived, asItIs)
 		require.Equal(t, after+1, lived.view.Load().Revision)
 		require.Equal(t, []string{"i-2@6"}, lived.takesWork(), "one leaves, the other one the copy lacks")
-		lived.follower.dropMissing(now.Add(settleTime + time.Millisecond))
+		lived.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
 		require.Empty(t, lived.takesWork(), "nobody has written it again")
 	}
 }
@@ -162,13 +162,13 @@
 // has been written again long ago; what that one lacks is gone.
 func TestSettledViewIsTheStore(t *testing.T) {
 	now := time.Now()
-	cut, lived := quiet(t), quiet(t)
+	cut, lived := newIdleGateway(t), newIdleGateway(t)
 	for _, g := range []*Gateway{cut, lived} {
-		g.follower.take(now, listOf(catalog.NewRevision(1, 90), 1, staying(), lifetime("i-2", 6)))
+		g.storeWatcher.applyResult(now, listOf(catalog.NewRevision(1, 90), 1, staying(), lifetime("i-2", 6)))
 	}
-	lived.follower.take(now, listOf(catalog.NewRevision(3, 9), 1, staying()))
-	now = now.Add(settleTime + time.Millisecond)
-	lived.follower.dropMissing(now)
+	lived.storeWatcher.applyResult(now, listOf(catalog.NewRevision(3, 9), 1, staying()))
+	now = now.Add(reconcilePeriod + time.Millisecond)
+	lived.storeWatcher.expireMissing(now)
 	handOver(t, now, lived, cut, asItIs)
 	require.Equal(t, []string{"i-1@5"}, cut.takesWork())
 }
@@ -179,16 +179,16 @@
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	for _, written := range []bool{true, false} {
 		now := time.Now()
-		g := quiet(t)
+		g := newIdleGateway(t)
 		first := listOf(before, 1, staying())
 		first.snapshot.Evacuated = map[string]catalog.Revision{"": before - 4}
-		g.follower.take(now, first)
-		g.follower.take(now, listOf(after, 1, staying()))
+		g.storeWatcher.applyResult(now, first)
+		g.storeWatcher.applyResult(now, listOf(after, 1, staying()))
 		require.True(t, g.view.Load().Servers[0].Evacuated)
 		if written {
-			g.follower.take(now, answer{since: after, revision: after + 1, changes: []Change{HallEvacuated{Revision: after + 1}}})
+			g.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{HallEvacuated{Revision: after + 1}}})
 		}
-		g.follower.dropMissing(now.Add(settleTime + time.Millisecond))
+		g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
 		require.Equal(t, written, g.view.Load().Servers[0].Evacuated)
 	}
 }
@@ -198,18 +198,18 @@
 func TestLostEvacuationIsToldLate(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	now := time.Now()
-	early, late := quiet(t), quiet(t)
-	early.follower.take(now, listOf(before, 1, staying()))
-	early.follower.take(now, listOf(after, 1, staying()))
+	early, late := newIdleGateway(t), newIdleGateway(t)
+	early.storeWatcher.applyResult(now, listOf(before, 1, staying()))
+	early.storeWatcher.applyResult(now, listOf(after, 1, staying()))
 	first := listOf(before, 1, staying())
 	first.snapshot.Evacuated = map[string]catalog.Revision{"": before - 4}
-	late.follower.take(now, first)
-	now = now.Add(settleTime + time.Millisecond)
-	early.follower.dropMissing(now)
-	late.follower.take(now, listOf(after, 1, staying()))
-	late.follower.take(now, answer{since: after, revision: after + 1, changes: []Change{ServerChanged{Server: staying()}}})
+	late.storeWatcher.applyResult(now, first)
+	now = now.Add(reconcilePeriod + time.Millisecond)
+	early.storeWatcher.expireMissing(now)
+	late.storeWatcher.applyResult(now, listOf(after, 1, staying()))
+	late.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{ServerChanged{Server: staying()}}})
 	handOver(t, now, late, early, asItIs)
-	early.follower.dropMissing(now)
+	early.storeWatcher.expireMissing(now)
 	require.False(t, early.view.Load().Servers[0].Evacuated)
 }
 
@@ -217,16 +217,16 @@
 func TestNoClaimsWhileSettling(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	now := time.Now()
-	g := quiet(t)
-	g.follower.take(now, listOf(before, 1))
-	g.follower.take(now, listOf(after, 1))
-	appears := func(id string, at catalog.Revision) coldness {
-		g.follower.take(now, answer{since: at - 1, revision: at, changes: []Change{ServerChanged{Server: lifetime(id, 1), Cold: time.Second}}})
+	g := newIdleGateway(t)
+	g.storeWatcher.applyResult(now, listOf(before, 1))
+	g.storeWatcher.applyResult(now, listOf(after, 1))
+	appears := func(id string, at catalog.Revision) coldState {
+		g.storeWatcher.applyResult(now, sourceResult{since: at - 1, revision: at, changes: []Change{ServerChanged{Server: lifetime(id, 1), Cold: time.Second}}})
 		return g.view.Load().Cold[id+"@1"]
 	}
 	require.False(t, appears("i-1", after+1).Witnessed)
-	now = now.Add(settleTime + time.Millisecond)
-	g.follower.dropMissing(now)
+	now = now.Add(reconcilePeriod + time.Millisecond)
+	g.storeWatcher.expireMissing(now)
 	later := appears("i-2", after+2)
 	require.True(t, later.Witnessed)
 	require.Equal(t, uint64(2), later.Episode.Era())
--- a/gateway/share/share.go
+++ b/gateway/share/share.go
@@ -31,8 +31,8 @@
 	Admitted float64
 }
 
-// Book counts the demands of accounts.
-type Book struct {
+// Tracker counts the demands of accounts.
+type Tracker struct {
 	epoch  time.Time // of the first call: steps of the time of day must not move the window
 	window time.Duration
 	own    map[string]*counter
@@ -43,9 +43,9 @@
 	most   float64             // tokens of an account beyond which it gets nothing beyond its share; 0: no bound
 }
 
-// NewBook returns an empty book.
-func NewBook(window time.Duration) *Book {
-	return &Book{window: window, own: map[string]*counter{}, others: map[string][]Demand{}, totals: map[string]Demand{}}
+// NewTracker returns an empty book.
+func NewTracker(window time.Duration) *Tracker {
+	return &Tracker{window: window, own: map[string]*counter{}, others: map[string][]Demand{}, totals: map[string]Demand{}}
 }
 
 // counter sums over a sliding window.
@@ -63,7 +63,7 @@
 	c.bucket = max(c.bucket, bucket)
 }
 
-func (b *Book) counter(now time.Time, account string) *counter {
+func (b *Tracker) counter(now time.Time, account string) *counter {
 	c := b.own[account]
 	if c == nil {
 		c = &counter{}
@@ -76,14 +76,14 @@
 	return c
 }
 
-// Ask counts what an account asked of this gateway.
-func (b *Book) Ask(now time.Time, account string, tokens float64) {
+// RecordAsked counts what an account asked of this gateway.
+func (b *Tracker) RecordAsked(now time.Time, account string, tokens float64) {
 	c := b.counter(now, account)
 	c.asked[c.bucket%buckets] += tokens
 }
 
-// Admit counts what this gateway sent to a server for an account.
-func (b *Book) Admit(now time.Time, account string, tokens float64) {
+// RecordAdmitted counts what this gateway sent to a server for an account.
+func (b *Tracker) RecordAdmitted(now time.Time, account string, tokens float64) {
 	c := b.counter(now, account)
 	c.admitted[c.bucket%buckets] += tokens
 	t := b.totals[account]
@@ -91,8 +91,8 @@
 	b.totals[account] = t
 }
 
-// TakeBack counts no more what was admitted at a time, since nothing of it began to run.
-func (b *Book) TakeBack(now, admitted time.Time, account string, tokens float64) {
+// RevertAdmitted counts no more what was admitted at a time, since nothing of it began to run.
+func (b *Tracker) RevertAdmitted(now, admitted time.Time, account string, tokens float64) {
 	c := b.counter(now, account)
 	bucket := int64(admitted.Sub(b.epoch) / (b.window / buckets))
 	if c.bucket-bucket >= buckets {
@@ -104,8 +104,8 @@
 	b.totals[account] = t
 }
 
-// Own returns this gateway's demands, the largest first.
-func (b *Book) Own(now time.Time) []Demand {
+// LocalDemands returns this gateway's demands, the largest first.
+func (b *Tracker) LocalDemands(now time.Time) []Demand {
 	var list []Demand
 	for account := range b.own {
 		d := b.demand(now, account)
@@ -121,7 +121,7 @@
 	return list
 }
 
-func (b *Book) demand(now time.Time, account string) Demand {
+func (b *Tracker) demand(now time.Time, account string) Demand {
 	c := b.counter(now, account)
 	d := Demand{Account: account}
 	for i := range buckets {
@@ -131,8 +131,8 @@
 	return d
 }
 
-// SetOthers replaces the demands of another gateway; none: it has gone.
-func (b *Book) SetOthers(node string, list []Demand) {
+// SetRemoteDemands replaces the demands of another gateway; none: it has gone.
+func (b *Tracker) SetRemoteDemands(node string, list []Demand) {
 	if len(list) == 0 {
 		delete(b.others, node)
 		return
@@ -140,9 +140,9 @@
 	b.others[node] = list
 }
 
-// Settle computes the share that holds from now on; rate is what the servers make,
+// Recompute computes the share that holds from now on; rate is what the servers make,
 // in tokens a second (0: unknown).
-func (b *Book) Settle(now time.Time, rate float64) {
+func (b *Tracker) Recompute(now time.Time, rate float64) {
 	b.totals = map[string]Demand{}
 	add := func(d Demand) {
 		t := b.totals[d.Account]
@@ -151,7 +151,7 @@
 		t.Admitted += d.Admitted
 		b.totals[d.Account] = t
 	}
-	for _, d := range b.Own(now) {
+	for _, d := range b.LocalDemands(now) {
 		add(d)
 	}
 	for _, list := range b.others {
@@ -170,9 +170,9 @@
 	capacity := rate * b.window.Seconds()
 	b.owed = 0
 	if capacity > 0 {
-		b.owed = Level(asked, capacity)
+		b.owed = MaxMinShare(asked, capacity)
 	}
-	b.level = Level(asked, max(given, capacity))
+	b.level = MaxMinShare(asked, max(given, capacity))
 	b.most = b.bound()
 }
 
@@ -188,7 +188,7 @@
 // bound returns how much an account may have got to get something beyond its share. Each
 // account that presses gets its share, so the bound does not fall below that for one that has
 // just come.
-func (b *Book) bound() float64 {
+func (b *Tracker) bound() float64 {
 	least := math.Inf(1)
 	for _, d := range b.totals {
 		if d.Asked > b.owed && d.Admitted < pressing*d.Asked {
@@ -201,29 +201,29 @@
 	return mostGap * max(least, b.owed)
 }
 
-// Standing tells where an account stands against its share.
-type Standing struct {
-	Over  bool    // it was admitted all that it is owed in the window
-	Stop  bool    // it got so much more than another one that presses that it gets no more beyond its share
-	Ahead float64 // what it was admitted over what an even share of all that was admitted would be; 0: unknown
+// Status tells where an account stands against its share.
+type Status struct {
+	OverShare  bool    // it was admitted all that it is owed in the window
+	Capped     bool    // it got so much more than another one that presses that it gets no more beyond its share
+	ShareRatio float64 // what it was admitted over what an even share of all that was admitted would be; 0: unknown
 }
 
-// Standing returns where an account stands. An account that asks for no more than its
+// Status returns where an account stands. An account that asks for no more than its
 // share is never over.
-func (b *Book) Standing(account string) Standing {
+func (b *Tracker) Status(account string) Status {
 	admitted := b.totals[account].Admitted
-	s := Standing{Over: b.owed > 0 && admitted >= b.owed}
-	s.Stop = s.Over && b.most > 0 && admitted > b.most
+	s := Status{OverShare: b.owed > 0 && admitted >= b.owed}
+	s.Capped = s.OverShare && b.most > 0 && admitted > b.most
 	if b.level > 0 {
-		s.Ahead = admitted / b.level
+		s.ShareRatio = admitted / b.level
 	}
 	return s
 }
 
-// Level returns the max-min fair share: the amount up to which every demand can be
+// MaxMinShare returns the max-min fair share: the amount up to which every demand can be
 // met when all together may have capacity. It is 0 when all demands fit, or when the
 // capacity is unknown.
-func Level(demands []float64, capacity float64) float64 {
+func MaxMinShare(demands []float64, capacity float64) float64 {
 	sorted := slices.Clone(demands)
 	slices.Sort(sorted)
 	left := capacity
--- a/gateway/share/share_test.go
+++ b/gateway/share/share_test.go
@@ -27,7 +27,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			require.InDelta(t, test.want, share.Level(test.demands, test.capacity), 1e-9)
+			require.InDelta(t, test.want, share.MaxMinShare(test.demands, test.capacity), 1e-9)
 		})
 	}
 }
@@ -44,7 +44,7 @@
 			sum += demands[i]
 		}
 		capacity := r.ExpFloat64() * 5
-		level := share.Level(demands, capacity)
+		level := share.MaxMinShare(demands, capacity)
 		if level == 0 {
 			require.LessOrEqual(t, sum, capacity+1e-9)
 			continue
@@ -58,26 +58,26 @@
 }
 
 func TestStanding(t *testing.T) {
-	b := share.NewBook(4 * time.Second)
+	b := share.NewTracker(4 * time.Second)
 	ask := func(now time.Time, account string, tokens float64, admit bool) {
-		b.Ask(now, account, tokens)
+		b.RecordAsked(now, account, tokens)
 		if admit {
-			b.Admit(now, account, tokens)
+			b.RecordAdmitted(now, account, tokens)
 		}
 	}
 	ask(start, "large", 9000, true)
 	ask(start, "large", 9000, false)
 	ask(start, "small", 500, true)
-	b.Settle(start, 1000) // 4,000 in a window
-	require.True(t, b.Standing("large").Over)
-	require.GreaterOrEqual(t, b.Standing("large").Ahead, 1.0)
-	require.False(t, b.Standing("small").Over)
-	require.Less(t, b.Standing("small").Ahead, 1.0)
-	require.False(t, b.Standing("unknown").Over)
+	b.Recompute(start, 1000) // 4,000 in a window
+	require.True(t, b.Status("large").OverShare)
+	require.GreaterOrEqual(t, b.Status("large").ShareRatio, 1.0)
+	require.False(t, b.Status("small").OverShare)
+	require.Less(t, b.Status("small").ShareRatio, 1.0)
+	require.False(t, b.Status("unknown").OverShare)
 
 	later := start.Add(5 * time.Second)
-	b.Settle(later, 1000)
-	require.False(t, b.Standing("large").Over, "the window has passed")
+	b.Recompute(later, 1000)
+	require.False(t, b.Status("large").OverShare, "the window has passed")
 }
 
 // TestStop: what beyond its share an account gets is bounded by what the one that presses and
@@ -106,60 +106,60 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := share.NewBook(4 * time.Second)
-			b.SetOthers("10.0.0.2", test.demands)
-			b.Settle(start, rate)
-			require.Equal(t, test.stop, b.Standing("a").Stop)
+			b := share.NewTracker(4 * time.Second)
+			b.SetRemoteDemands("10.0.0.2", test.demands)
+			b.Recompute(start, rate)
+			require.Equal(t, test.stop, b.Status("a").Capped)
 		})
 	}
 }
 
 func TestOthersCount(t *testing.T) {
-	b := share.NewBook(4 * time.Second)
-	b.Ask(start, "a", 100)
-	b.Admit(start, "a", 100)
-	b.SetOthers("10.0.0.2", []share.Demand{{Account: "a", Asked: 5000, Admitted: 4000}, {Account: "b", Asked: 3000, Admitted: 1000}})
-	b.Settle(start, 1000)
-	require.True(t, b.Standing("a").Over)
-	require.False(t, b.Standing("b").Over)
-	b.SetOthers("10.0.0.2", nil)
-	b.Settle(start, 1000)
-	require.False(t, b.Standing("a").Over, "the other gateway has gone")
+	b := share.NewTracker(4 * time.Second)
+	b.RecordAsked(start, "a", 100)
+	b.RecordAdmitted(start, "a", 100)
+	b.SetRemoteDemands("10.0.0.2", []share.Demand{{Account: "a", Asked: 5000, Admitted: 4000}, {Account: "b", Asked: 3000, Admitted: 1000}})
+	b.Recompute(start, 1000)
+	require.True(t, b.Status("a").OverShare)
+	require.False(t, b.Status("b").OverShare)
+	b.SetRemoteDemands("10.0.0.2", nil)
+	b.Recompute(start, 1000)
+	require.False(t, b.Status("a").OverShare, "the other gateway has gone")
 }
 
 func TestNoRateKnown(t *testing.T) {
-	b := share.NewBook(4 * time.Second)
-	b.Ask(start, "a", 1e9)
-	b.Admit(start, "a", 1e9)
-	b.Settle(start, 0)
-	require.False(t, b.Standing("a").Over)
+	b := share.NewTracker(4 * time.Second)
+	b.RecordAsked(start, "a", 1e9)
+	b.RecordAdmitted(start, "a", 1e9)
+	b.Recompute(start, 0)
+	require.False(t, b.Status("a").OverShare)
 }
 
 func TestOwnForgets(t *testing.T) {
-	b := share.NewBook(4 * time.Second)
-	b.Ask(start, "a", 10)
-	require.Len(t, b.Own(start), 1)
-	require.Empty(t, b.Own(start.Add(time.Minute)))
+	b := share.NewTracker(4 * time.Second)
+	b.RecordAsked(start, "a", 10)
+	require.Len(t, b.LocalDemands(start), 1)
+	require.Empty(t, b.LocalDemands(start.Add(time.Minute)))
 }
 
 // TestTakeBack: what did not begin to run counts no more, in the window that it was counted in.
 func TestTakeBack(t *testing.T) {
 	now := time.Now()
-	b := share.NewBook(4 * time.Second)
-	b.Ask(now, "a", 100)
-	b.Admit(now, "a", 60)
-	b.Admit(now.Add(time.Second), "a", 40)
+	b := share.NewTracker(4 * time.Second)
+	b.RecordAsked(now, "a", 100)
+	b.RecordAdmitted(now, "a", 60)
+	b.RecordAdmitted(now.Add(time.Second), "a", 40)
 	admitted := func(after time.Duration) float64 {
-		list := b.Own(now.Add(after))
+		list := b.LocalDemands(now.Add(after))
 		if len(list) == 0 {
 			return 0
 		}
 		return list[0].Admitted
 	}
 	require.EqualValues(t, 100, admitted(time.Second))
-	b.TakeBack(now.Add(1500*time.Millisecond), now, "a", 60)
+	b.RevertAdmitted(now.Add(1500*time.Millisecond), now, "a", 60)
 	require.EqualValues(t, 40, admitted(1500*time.Millisecond))
 	require.EqualValues(t, 40, admitted(4500*time.Millisecond))
-	b.TakeBack(now.Add(6*time.Second), now.Add(time.Second), "a", 40)
+	b.RevertAdmitted(now.Add(6*time.Second), now.Add(time.Second), "a", 40)
 	require.Zero(t, admitted(6*time.Second), "what has left the window is not taken back twice")
 }
--- a/gateway/signals.go
+++ b/gateway/signals.go
@@ -34,23 +34,23 @@
 
 // Why a request is not sent to a server after all.
 var (
-	errServerLeaves = errors.New("gateway: the server has said that it leaves")
-	errServerRests  = errors.New("gateway: the server has asked for rest")
+	errServerLeaving = errors.New("gateway: the server has said that it leaves")
+	errServerBackoff = errors.New("gateway: the server has asked for rest")
 )
 
-// signals is what servers have said of themselves. It is safe for use by several goroutines.
-type signals struct {
+// serverSignals is what servers have said of themselves. It is safe for use by several goroutines.
+type serverSignals struct {
 	mutex   sync.Mutex
 	leaving map[string]time.Time // when the entry was there last, by lifetime
 	rests   map[string]time.Time // ends, by lifetime
 }
 
-func newSignals() *signals {
-	return &signals{leaving: map[string]time.Time{}, rests: map[string]time.Time{}}
+func newServerSignals() *serverSignals {
+	return &serverSignals{leaving: map[string]time.Time{}, rests: map[string]time.Time{}}
 }
 
 // leaves takes over that a server leaves. It returns whether that is news.
-func (s *signals) leaves(now time.Time, server string) bool {
+func (s *serverSignals) leaves(now time.Time, server string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if _, known := s.leaving[server]; known || len(s.leaving) >= mostLeaving {
@@ -61,27 +61,27 @@
 }
 
 // rest takes over that a server wants rest. Of several rests the latest end holds.
-func (s *signals) rest(server string, until time.Time) {
+func (s *serverSignals) rest(server string, until time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.rests[server] = latest(s.rests[server], until)
 }
 
-// bars returns why a server gets no request now; nil: it may get one.
-func (s *signals) bars(now time.Time, server string) error {
+// checkAvailable returns why a server gets no request now; nil: it may get one.
+func (s *serverSignals) checkAvailable(now time.Time, server string) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if _, leaving := s.leaving[server]; leaving {
-		return errServerLeaves
+		return errServerLeaving
 	}
 	if now.Before(s.rests[server]) {
-		return errServerRests
+		return errServerBackoff
 	}
 	return nil
 }
 
-// counts returns how many servers have said that they leave, and how many rest.
-func (s *signals) counts(now time.Time) (leaving, resting int) {
+// count returns how many servers have said that they leave, and how many rest.
+func (s *serverSignals) count(now time.Time) (leaving, resting int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, until := range s.rests {
@@ -92,9 +92,9 @@
 	return len(s.leaving), resting
 }
 
-// mark notes in a list of servers which of them have said that they leave, and forgets what is
+// applyTo notes in a list of servers which of them have said that they leave, and forgets what is
 // over. It returns all that leave.
-func (s *signals) mark(now time.Time, servers []catalog.Server) (leaving []string) {
+func (s *serverSignals) applyTo(now time.Time, servers []catalog.Server) (leaving []string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for id, until := range s.rests {
@@ -121,24 +121,24 @@
 	return leaving
 }
 
-// heed takes over what an answer says of its server. It is called by any goroutine.
-func (g *Gateway) heed(server catalog.Server, s upstream.Signal) {
+// handleSignal takes over what an answer says of its server. It is called by any goroutine.
+func (g *Gateway) handleSignal(server catalog.Server, s upstream.Signal) {
 	now := time.Now()
 	if s.Leaving && g.signals.leaves(now, server.ID) {
 		g.log.Info().Str("event", "server.says_leaving").Str("server", server.ID).Int("status", s.Status).Msg("no new work")
-		g.peers.TellLeaves(server.ID)
+		g.peers.PublishLeaving(server.ID)
 		g.leaves(server.ID)
 	}
-	if s.Rest > 0 && s.Status == http.StatusServiceUnavailable {
-		until := now.Add(min(s.Rest, placement.MostRest))
-		g.log.Info().Str("event", "server.asks_rest").Str("server", server.ID).Int("status", s.Status).Dur("rest", s.Rest).Msg("no work until then")
+	if s.Backoff > 0 && s.Status == http.StatusServiceUnavailable {
+		until := now.Add(min(s.Backoff, placement.MaxBackoff))
+		g.log.Info().Str("event", "server.asks_rest").Str("server", server.ID).Int("status", s.Status).Dur("rest", s.Backoff).Msg("no work until then")
 		g.signals.rest(server.ID, until)
-		g.desk.tell(restMessage{server: server.ID, until: until})
+		g.dispatcher.send(restMessage{server: server.ID, until: until})
 	}
 }
 
-// hearLeaves takes over which servers have told other gateways that they leave.
-func (g *Gateway) hearLeaves(now time.Time, from string, servers []string) {
+// applyPeerLeaving takes over which servers have told other gateways that they leave.
+func (g *Gateway) applyPeerLeaving(now time.Time, from string, servers []string) {
 	for _, id := range servers {
 		if g.signals.leaves(now, id) {
 			g.log.Info().Str("event", "server.told_leaving").Str("server", id).Str("peer", from).Msg("no new work")
@@ -149,9 +149,9 @@
 
 // leaves lets the desk know at once that a server leaves, and the view with the next one.
 func (g *Gateway) leaves(server string) {
-	g.desk.tell(leavesMessage{server: server})
+	g.dispatcher.send(leavesMessage{server: server})
 	select {
-	case g.follower.said <- struct{}{}:
+	case g.storeWatcher.leavingSignal <- struct{}{}:
 	default: // the follower is about to look
 	}
 }
--- a/gateway/signals_test.go
+++ b/gateway/signals_test.go
@@ -30,8 +30,8 @@
 func TestSaidLeavingHolds(t *testing.T) {
 	one, two := lifetime("i-1", 5000), lifetime("i-2", 1)
 	plain := lifetime("i-1", 0)
-	all := func(list ...catalog.Server) answer {
-		return answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: list, Revision: 9}}
+	all := func(list ...catalog.Server) sourceResult {
+		return sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: list, Revision: 9}}
 	}
 	tests := []struct {
 		name string
@@ -40,51 +40,51 @@
 	}{
 		{"nothing else", func(*worldGateway, time.Time) {}, []string{one.ID}},
 		{"its entry says ready", func(g *worldGateway, now time.Time) {
-			g.follower.take(now, answer{since: 3, revision: 4, changes: []Change{ServerChanged{Server: one}}})
+			g.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: one}}})
 		}, []string{one.ID}},
-		{"a list says ready", func(g *worldGateway, now time.Time) { g.follower.take(now, all(one, two)) }, []string{one.ID}},
+		{"a list says ready", func(g *worldGateway, now time.Time) { g.storeWatcher.applyResult(now, all(one, two)) }, []string{one.ID}},
 		{"a whole view says ready", func(g *worldGateway, now time.Time) {
-			g.follower.takeHandover(now, handover{from: "b", snapshot: all(one, two).snapshot})
+			g.storeWatcher.applyPeerView(now, peerView{from: "b", snapshot: all(one, two).snapshot})
 		}, []string{one.ID}},
 		{"a part of a view says ready", func(g *worldGateway, now time.Time) {
-			g.follower.takeHandover(now, handover{from: "b", partial: true, snapshot: Snapshot{Servers: []catalog.Server{one}, Revision: 9}})
+			g.storeWatcher.applyPeerView(now, peerView{from: "b", partial: true, snapshot: Snapshot{Servers: []catalog.Server{one}, Revision: 9}})
 		}, []string{one.ID}},
 		{"its entry lapses and comes back", func(g *worldGateway, now time.Time) {
-			g.follower.take(now, answer{since: 3, revision: 4, changes: []Change{ServerGone{"i-1"}}})
-			g.follower.take(now, answer{since: 4, revision: 5, changes: []Change{ServerChanged{Server: one}}})
+			g.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
+			g.storeWatcher.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: one}}})
 		}, []string{one.ID}},
 		{"and is missing in a list meanwhile", func(g *worldGateway, now time.Time) {
-			g.follower.fail(now, http.ErrHandlerTimeout)
-			g.follower.take(now, all(two))
-			g.follower.take(now, answer{since: 9, revision: 10, changes: []Change{ServerChanged{Server: one}}})
+			g.storeWatcher.recordFailure(now, http.ErrHandlerTimeout)
+			g.storeWatcher.applyResult(now, all(two))
+			g.storeWatcher.applyResult(now, sourceResult{since: 9, revision: 10, changes: []Change{ServerChanged{Server: one}}})
 		}, []string{one.ID}},
 		{"it starts again", func(g *worldGateway, now time.Time) {
-			g.follower.take(now, answer{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
+			g.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
 		}, nil},
 		{"it starts again and its start is not told", func(g *worldGateway, now time.Time) {
-			g.follower.take(now, answer{since: 3, revision: 4, changes: []Change{ServerChanged{Server: plain}}})
+			g.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: plain}}})
 		}, nil},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWorld(t, worldNode(t))
+			w := newSimWorld(t, newPeerNode(t))
 			g, now := w.newGateway(), time.Now()
-			g.follower.take(now, answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{one, two}, Revision: 3}})
-			g.heed(one, upstream.Signal{Status: 200, Leaving: true})
-			g.drain(now)
+			g.storeWatcher.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{one, two}, Revision: 3}})
+			g.handleSignal(one, upstream.Signal{Status: 200, Leaving: true})
+			g.handleMessages(now)
 			place := func() placement.Decision {
-				return g.desk.board.Place(now, &placement.Ask{Service: "s", Exclude: []string{two.ID}, Draw: 1})
+				return g.dispatcher.balancer.Place(now, &placement.Request{Service: "s", Exclude: []string{two.ID}, TieBreak: 1})
 			}
-			require.Equal(t, placement.None{}, place(), "at once")
-			require.ErrorIs(t, g.signals.bars(now, one.ID), errServerLeaves)
-			require.Len(t, g.follower.said, 1)
-			g.follower.publishAgain()
+			require.Equal(t, placement.NoServer{}, place(), "at once")
+			require.ErrorIs(t, g.signals.checkAvailable(now, one.ID), errServerLeaving)
+			require.Len(t, g.storeWatcher.leavingSignal, 1)
+			g.storeWatcher.republish()
 			require.Equal(t, []string{one.ID}, g.leavingIDs())
 			test.then(g, now)
-			g.drain(now)
+			g.handleMessages(now)
 			require.Equal(t, test.want, g.leavingIDs())
 			if test.want != nil {
-				require.Equal(t, placement.None{}, place())
+				require.Equal(t, placement.NoServer{}, place())
 			}
 		})
 	}
@@ -92,16 +92,16 @@
 
 // TestSaidLeavingIsForgotten: only after its entry has gone for good.
 func TestSaidLeavingIsForgotten(t *testing.T) {
-	w, now := newSignals(), time.Now()
+	w, now := newServerSignals(), time.Now()
 	s := lifetime("i-1", 0)
 	require.True(t, w.leaves(now, s.ID))
 	require.False(t, w.leaves(now, s.ID), "no news")
-	present := func(at time.Time) []string { return w.mark(at, []catalog.Server{s}) }
-	absent := func(at time.Time) []string { return w.mark(at, nil) }
+	present := func(at time.Time) []string { return w.applyTo(at, []catalog.Server{s}) }
+	absent := func(at time.Time) []string { return w.applyTo(at, nil) }
 	require.Equal(t, []string{s.ID}, present(now.Add(time.Hour)))
 	require.Equal(t, []string{s.ID}, absent(now.Add(time.Hour+leavingKept)))
 	require.Empty(t, absent(now.Add(time.Hour+leavingKept+time.Second)))
-	require.NoError(t, w.bars(now, s.ID))
+	require.NoError(t, w.checkAvailable(now, s.ID))
 	for n := range mostLeaving + 10 {
 		w.leaves(now, catalog.LifetimeID("x", int64(n)))
 	}
@@ -113,59 +113,59 @@
 func TestSaidLeavingIsHandedOver(t *testing.T) {
 	one := lifetime("i-1", 5000)
 	for _, partial := range []bool{false, true} {
-		w := newWorld(t, worldNode(t))
+		w := newSimWorld(t, newPeerNode(t))
 		from, to, now := w.newGateway(), w.newGateway(), time.Now()
-		from.follower.take(now, answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{one}, Revision: 3}})
-		from.heed(one, upstream.Signal{Leaving: true})
-		from.follower.publishAgain()
+		from.storeWatcher.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{one}, Revision: 3}})
+		from.handleSignal(one, upstream.Signal{Leaving: true})
+		from.storeWatcher.republish()
 		d := from.view.Load().document(now)
 		if partial {
 			var ok bool
 			d, ok = from.view.Load().changes(now, 3, 1)
 			require.True(t, ok)
-			to.follower.take(now, answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{one}, Revision: 5}})
+			to.storeWatcher.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{one}, Revision: 5}})
 		}
 		raw, err := json.Marshal(d)
 		require.NoError(t, err)
 		var got viewDocument
 		require.NoError(t, json.Unmarshal(raw, &got))
-		to.follower.takeHandover(now, handover{from: "a", snapshot: got.snapshot(now), partial: got.Partial, left: got.Left})
-		to.follower.publishAgain()
+		to.storeWatcher.applyPeerView(now, peerView{from: "a", snapshot: got.decodeSnapshot(now), partial: got.Partial, leaving: got.Leaving})
+		to.storeWatcher.republish()
 		require.Equal(t, []string{one.ID}, to.leavingIDs())
 	}
 }
 
 // TestRestBars: what was placed before a rest was asked for is not sent in it.
 func TestRestBars(t *testing.T) {
-	w := newWorld(t, worldNode(t))
+	w := newSimWorld(t, newPeerNode(t))
 	g, s := w.newGateway(), lifetime("i-1", 5000)
-	g.heed(s, upstream.Signal{Status: http.StatusServiceUnavailable, Rest: 2 * time.Second})
+	g.handleSignal(s, upstream.Signal{Status: http.StatusServiceUnavailable, Backoff: 2 * time.Second})
 	now := time.Now()
-	require.ErrorIs(t, g.signals.bars(now, s.ID), errServerRests)
-	require.ErrorIs(t, g.signals.bars(now.Add(1900*time.Millisecond), s.ID), errServerRests)
-	require.NoError(t, g.signals.bars(now.Add(2*time.Second), s.ID))
-	require.NoError(t, g.signals.bars(now, lifetime("i-1", 6000).ID), "another lifetime")
-	require.Equal(t, 1, g.Status().Resting)
-	g.heed(s, upstream.Signal{Status: http.StatusServiceUnavailable, Rest: time.Second})
-	require.ErrorIs(t, g.signals.bars(now.Add(1900*time.Millisecond), s.ID), errServerRests, "the later end holds")
-	g.signals.mark(now.Add(3*time.Second), nil)
+	require.ErrorIs(t, g.signals.checkAvailable(now, s.ID), errServerBackoff)
+	require.ErrorIs(t, g.signals.checkAvailable(now.Add(1900*time.Millisecond), s.ID), errServerBackoff)
+	require.NoError(t, g.signals.checkAvailable(now.Add(2*time.Second), s.ID))
+	require.NoError(t, g.signals.checkAvailable(now, lifetime("i-1", 6000).ID), "another lifetime")
+	require.Equal(t, 1, g.Status().BackingOff)
+	g.handleSignal(s, upstream.Signal{Status: http.StatusServiceUnavailable, Backoff: time.Second})
+	require.ErrorIs(t, g.signals.checkAvailable(now.Add(1900*time.Millisecond), s.ID), errServerBackoff, "the later end holds")
+	g.signals.applyTo(now.Add(3*time.Second), nil)
 	require.Empty(t, g.signals.rests)
 }
 
 // TestRestOutlastsAnEntry: a server whose entry lapses and comes back still rests; without that
 // its requests were placed there and taken back again and again until the rest was over.
 func TestRestOutlastsAnEntry(t *testing.T) {
-	w := newWorld(t, worldNode(t))
+	w := newSimWorld(t, newPeerNode(t))
 	g, s, now := w.newGateway(), lifetime("i-1", 5000), time.Now()
-	g.follower.take(now, answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{s}, Revision: 3}})
-	g.heed(s, upstream.Signal{Status: http.StatusServiceUnavailable, Rest: 10 * time.Second})
-	g.follower.take(now, answer{since: 3, revision: 4, changes: []Change{ServerGone{"i-1"}}})
-	g.follower.take(now, answer{since: 4, revision: 5, changes: []Change{ServerChanged{Server: s}}})
-	g.drain(now)
-	ask := &placement.Ask{Service: "s", Draw: 1}
-	require.IsType(t, placement.Refuse{}, g.desk.board.Place(now, ask))
+	g.storeWatcher.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{s}, Revision: 3}})
+	g.handleSignal(s, upstream.Signal{Status: http.StatusServiceUnavailable, Backoff: 10 * time.Second})
+	g.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
+	g.storeWatcher.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: s}}})
+	g.handleMessages(now)
+	ask := &placement.Request{Service: "s", TieBreak: 1}
+	require.IsType(t, placement.Refuse{}, g.dispatcher.balancer.Place(now, ask))
 	later := now.Add(11 * time.Second)
-	g.desk.setView(later, g.view.Load())
-	require.IsType(t, placement.Assign{}, g.desk.board.Place(later, ask))
-	require.Empty(t, g.desk.rests)
+	g.dispatcher.setView(later, g.view.Load())
+	require.IsType(t, placement.Assign{}, g.dispatcher.balancer.Place(later, ask))
+	require.Empty(t, g.dispatcher.rests)
 }
--- a/gateway/source.go
+++ b/gateway/source.go
@@ -18,19 +18,19 @@
 
 // Snapshot is all that the source holds.
 type Snapshot struct {
-	Configuration *catalog.Configuration // nil: none yet
-	Raw           []byte                 // the configuration as it was announced
-	Servers       []catalog.Server
-	Unreadable    []string                    // names whose entries tell of no server that can be used
-	Missing       map[string]time.Time        // servers that are kept until then although their entry has gone
-	Revision      catalog.Revision            // changes up to it are included
-	Evacuated     map[string]catalog.Revision // halls that are evacuated, with the revision at which the operators said so
-	// Cold tells for how much longer servers are cold, as they say themselves.
-	Cold     map[string]time.Duration
-	Orders   map[string]rollout.Order  // by service
-	Statuses map[string]rollout.Status // of roll-outs, by service
+	Configuration    *catalog.Configuration // nil: none yet
+	RawConfiguration []byte                 // the configuration as it was announced
+	Servers          []catalog.Server
+	Unreadable       []string                    // names whose entries tell of no server that can be used
+	MissingUntil     map[string]time.Time        // servers that are kept until then although their entry has gone
+	Revision         catalog.Revision            // changes up to it are included
+	Evacuated        map[string]catalog.Revision // halls that are evacuated, with the revision at which the operators said so
+	// ColdFor tells for how much longer servers are cold, as they say themselves.
+	ColdFor         map[string]time.Duration
+	RolloutOrders   map[string]rollout.Order  // by service
+	RolloutStatuses map[string]rollout.Status // of roll-outs, by service
 	// Suspects are the requests that were at two servers or more when these ended.
-	Suspects map[quarantine.Key]quarantine.Kept
+	Suspects map[quarantine.Key]quarantine.StoredRecord
 }
 
 // Change is one change of what the source holds.
@@ -48,8 +48,8 @@
 	Cold   time.Duration // for how much longer it is cold, as it says itself
 }
 
-// ServerGone says that the entry of the server of that name has gone.
-type ServerGone struct{ Name string }
+// ServerRemoved says that the entry of the server of that name has gone.
+type ServerRemoved struct{ Name string }
 
 // ServerUnreadable says that the entry under that name tells of no server that can be used,
 // whatever it told before.
@@ -61,8 +61,8 @@
 	Revision catalog.Revision // of the store, which names the evacuation
 }
 
-// HallReturned says that an evacuation is taken back.
-type HallReturned struct{ Hall string }
+// HallEvacuationEnded says that an evacuation is taken back.
+type HallEvacuationEnded struct{ Hall string }
 
 // ServerClaimed says that a gateway has claimed a cold server.
 type ServerClaimed struct{ Claim warmup.Claim }
@@ -73,8 +73,8 @@
 // RolloutWithdrawn says that there is no such order any more.
 type RolloutWithdrawn struct{ Service string }
 
-// RolloutStated tells how far a service's roll-out is.
-type RolloutStated struct {
+// RolloutStatusChanged tells how far a service's roll-out is.
+type RolloutStatusChanged struct {
 	Service string
 	Status  rollout.Status // zero: nothing is said of it any more
 }
@@ -82,23 +82,23 @@
 // SuspectChanged tells what is kept of a request that was at servers when these ended.
 type SuspectChanged struct {
 	Key  quarantine.Key
-	Kept quarantine.Kept
+	Kept quarantine.StoredRecord
 }
 
-// SuspectGone says that nothing is kept of a request any more.
-type SuspectGone struct{ Key quarantine.Key }
+// SuspectRemoved says that nothing is kept of a request any more.
+type SuspectRemoved struct{ Key quarantine.Key }
 
 func (RolloutOrdered) change()       {}
 func (RolloutWithdrawn) change()     {}
-func (RolloutStated) change()        {}
+func (RolloutStatusChanged) change() {}
 func (SuspectChanged) change()       {}
-func (SuspectGone) change()          {}
+func (SuspectRemoved) change()       {}
 func (HallEvacuated) change()        {}
-func (HallReturned) change()         {}
+func (HallEvacuationEnded) change()  {}
 func (ServerClaimed) change()        {}
 func (ConfigurationChanged) change() {}
 func (ServerChanged) change()        {}
-func (ServerGone) change()           {}
+func (ServerRemoved) change()        {}
 func (ServerUnreadable) change()     {}
 
 // Source tells the operators' configuration and the backend servers. It may be slow,
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -47,7 +47,7 @@
 		passer.run(passing)
 		close(passed)
 	}()
-	taken := handoff.NewListener(g.options.Peers.Addr())
+	taken := handoff.NewListener(g.options.PeerListener.Addr())
 	turning, stopTurning := context.WithCancel(context.WithoutCancel(duties))
 	turned := make(chan struct{})
 	go func() {
@@ -59,8 +59,8 @@
 	ends := make(chan error, servers)
 	go func() { ends <- front.Serve(callers) }()
 	go func() { ends <- front.Serve(taken) }()
-	go func() { ends <- ready.Serve(g.options.Ready) }()
-	go func() { ends <- views.Serve(g.options.Peers) }()
+	go func() { ends <- ready.Serve(g.options.ReadyListener) }()
+	go func() { ends <- views.Serve(g.options.PeerListener) }()
 	sweep, stopSweep := context.WithCancel(duties)
 	swept := make(chan struct{})
 	go func() {
@@ -102,8 +102,8 @@
 	began := time.Now()
 	g.stopping.Store(true)
 	g.log.Info().Str("event", "stop").Int64("requests", g.active.Load()).Msg("a stop was asked for")
-	time.Sleep(min(stopAccepting, g.options.StopGrace/2))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(g.options.StopGrace-stopReserve))
+	time.Sleep(min(stopAccepting, g.options.ShutdownGrace/2))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(g.options.ShutdownGrace-stopReserve))
 	defer cancel()
 	if err := front.Shutdown(ctx); err != nil {
 		g.log.Warn().Str("event", "stop.cut").Int64("requests", g.active.Load()).Err(err).Msg("grace is over")
@@ -125,11 +125,11 @@
 // Ready tells whether the gateway takes connections: it knows a configuration and
 // servers, and does not stop.
 func (g *Gateway) Ready() bool {
-	return g.known() && !g.stopping.Load()
+	return g.hasView() && !g.stopping.Load()
 }
 
-// known tells whether the gateway knows a configuration and servers.
-func (g *Gateway) known() bool {
+// hasView tells whether the gateway knows a configuration and servers.
+func (g *Gateway) hasView() bool {
 	v := g.view.Load()
 	return v.Configuration != nil && len(v.Servers) > 0
 }
