--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -24,14 +24,14 @@
 
 // Suspect is a request that was at two servers or more when they ended.
 type Suspect struct {
-	Asks    string   // what it asks, for operators
-	Servers []string // lifetimes that ended
-	AtOnce  bool     // they did so at one moment, but for one at most
-	Tries   int      // how often it was sent although it is barred
+	Summary      string   // what it asks, for operators
+	Servers      []string // lifetimes that ended
+	Simultaneous bool     // they did so at one moment, but for one at most
+	Trials       int      // how often it was sent although it is barred
 }
 
-// Suspects keeps suspects where each gateway finds them alike, until they are dropped.
-type Suspects interface {
+// SuspectStore keeps suspects where each gateway finds them alike, until they are dropped.
+type SuspectStore interface {
 	// Keep adds what is known of a suspect to what is kept of it.
 	Keep(ctx context.Context, key quarantine.Key, s Suspect) error
 	// Drop forgets a suspect; there need not be one.
@@ -65,21 +65,21 @@
 	longestKeepRetry = 2 * time.Second
 )
 
-// suspects is what this gateway believes of requests that were at ends of servers. It is safe
+// suspectTracker is what this gateway believes of requests that were at ends of servers. It is safe
 // for use by several goroutines.
-type suspects struct {
-	log     zerolog.Logger
-	peers   *peer.Node
-	address string        // IP address of this gateway
-	store   Suspects      // nil: nothing is kept, and what is barred is not tried
-	fleet   func() int    // live gateways
-	wake    chan struct{} // there is something to write
-	bars    chan struct{} // a request has been barred
-	known   atomic.Int64  // requests in the registry; with none there is nothing to look for
+type suspectTracker struct {
+	log          zerolog.Logger
+	peers        *peer.Node
+	address      string        // IP address of this gateway
+	store        SuspectStore  // nil: nothing is kept, and what is barred is not tried
+	fleet        func() int    // live gateways
+	wake         chan struct{} // there is something to write
+	newlyBarred  chan struct{} // a request has been barred
+	suspectCount atomic.Int64  // requests in the registry; with none there is nothing to look for
 
 	mutex    sync.Mutex
 	registry *quarantine.Registry
-	lately   quarantine.Answers           // of this gateway
+	lately   quarantine.RecentAnswers     // of this gateway
 	own      map[quarantine.Key]bool      // kept in the store by this gateway
 	tried    map[quarantine.Key]tries     // although they are barred
 	others   map[string]bool              // live gateways, by address
@@ -90,9 +90,9 @@
 	told     int
 }
 
-func newSuspects(log zerolog.Logger, address string, fleet func() int) *suspects {
-	return &suspects{
-		log: log, address: address, fleet: fleet, wake: make(chan struct{}, 1), bars: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
+func newSuspectTracker(log zerolog.Logger, address string, fleet func() int) *suspectTracker {
+	return &suspectTracker{
+		log: log, address: address, fleet: fleet, wake: make(chan struct{}, 1), newlyBarred: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
 		own: map[quarantine.Key]bool{}, tried: map[quarantine.Key]tries{}, others: map[string]bool{}, asks: map[quarantine.Key]string{}, dirty: map[quarantine.Key]bool{}, rewrites: map[quarantine.Key]time.Time{},
 	}
 }
@@ -106,21 +106,21 @@
 
 // suspect is a request that was at a server when that one ended.
 type suspect struct {
-	key   quarantine.Key
-	asks  string
-	begun bool // events of its answer had come
+	key        quarantine.Key
+	summary    string
+	responding bool // events of its answer had come
 }
 
-// ended takes over that a server has ended under requests of this gateway, and tells the
+// serverCrashed takes over that a server has serverCrashed under requests of this gateway, and tells the
 // others.
-func (s *suspects) ended(now time.Time, server string, there []suspect) {
+func (s *suspectTracker) serverCrashed(now time.Time, server string, there []suspect) {
 	// Who had not begun to be answered comes first, in case not all can be told: servers end
 	// when they begin with the request that ends them.
 	slices.SortStableFunc(there, func(x, y suspect) int {
 		switch {
-		case x.begun == y.begun:
+		case x.responding == y.responding:
 			return 0
-		case y.begun:
+		case y.responding:
 			return -1
 		}
 		return 1
@@ -129,14 +129,14 @@
 	defer s.mutex.Unlock()
 	keys := make([]quarantine.Key, 0, len(there))
 	for _, t := range there {
-		if !s.lately.Lately(now, t.key) {
+		if !s.lately.Contains(now, t.key) {
 			keys = append(keys, t.key)
 		}
 	}
-	changed := s.registry.Ended(now, server, keys)
+	changed := s.registry.AddCrash(now, server, keys)
 	for _, t := range there {
 		if slices.Contains(changed, t.key) {
-			s.asks[t.key] = t.asks
+			s.asks[t.key] = t.summary
 		}
 	}
 	s.note(changed, server)
@@ -149,12 +149,12 @@
 
 // tell tells the others who was there: those that were at an end before, and of the rest as
 // many as the fleet can bear.
-func (s *suspects) tell(now time.Time, server string, keys, repeated []quarantine.Key) {
+func (s *suspectTracker) tell(now time.Time, server string, keys, repeated []quarantine.Key) {
 	if now.Sub(s.second) >= time.Second {
 		s.second, s.told = now, 0
 	}
 	left := max(fleetSuspects/max(s.fleet(), 1), leastSuspects) - s.told
-	e := peer.End{Server: server}
+	e := peer.Crash{Server: server}
 	for _, k := range repeated {
 		e.Suspects = append(e.Suspects, peer.Key(k))
 	}
@@ -165,29 +165,29 @@
 			left--
 		}
 	}
-	s.peers.TellEnd(e)
+	s.peers.PublishCrash(e)
 }
 
 // note writes to the log what is now believed of requests. The mutex is held.
-func (s *suspects) note(changed []quarantine.Key, server string) {
+func (s *suspectTracker) note(changed []quarantine.Key, server string) {
 	for _, k := range changed {
 		r, _ := s.registry.Record(k)
 		event := s.log.Warn().Str("key", k.String()).Str("asks", s.asks[k]).Strs("servers", r.Servers).Str("latest", server)
-		if r.Barred.IsZero() {
+		if r.QuarantinedAt.IsZero() {
 			event.Str("event", "request.suspected").Msg("servers have ended under it; one more and it is barred")
 			continue
 		}
 		event.Str("event", "request.barred").Msg("it reaches no server any more")
 		select {
-		case s.bars <- struct{}{}:
+		case s.newlyBarred <- struct{}{}:
 		default: // whoever reads it looks at all
 		}
 	}
-	s.known.Store(int64(s.registry.Len()))
+	s.suspectCount.Store(int64(s.registry.Len()))
 }
 
-// hear takes over what another gateway tells.
-func (s *suspects) hear(now time.Time, ends []peer.End, answered []peer.Answered) {
+// applyPeerReports takes over what another gateway tells.
+func (s *suspectTracker) applyPeerReports(now time.Time, ends []peer.Crash, answered []peer.Cleared) {
 	if len(ends)+len(answered) == 0 {
 		return
 	}
@@ -196,13 +196,13 @@
 	for _, e := range ends {
 		keys := make([]quarantine.Key, 0, len(e.Suspects))
 		for _, k := range e.Suspects {
-			if s.lately.Lately(now, quarantine.Key(k)) {
-				s.peers.TellAnswered(peer.Answered{Key: k, Servers: []string{e.Server}})
+			if s.lately.Contains(now, quarantine.Key(k)) {
+				s.peers.PublishCleared(peer.Cleared{Key: k, Servers: []string{e.Server}})
 				continue
 			}
 			keys = append(keys, quarantine.Key(k))
 		}
-		s.note(s.registry.Ended(now, e.Server, keys), e.Server)
+		s.note(s.registry.AddCrash(now, e.Server, keys), e.Server)
 	}
 	for _, a := range answered {
 		k := quarantine.Key(a.Key)
@@ -213,15 +213,15 @@
 	}
 }
 
-// ends returns how many servers have ended under a request, and whether it is barred.
-func (s *suspects) ends(key quarantine.Key) (n int, barred bool) {
+// crashCount returns how many servers have ended under a request, and whether it is barred.
+func (s *suspectTracker) crashCount(key quarantine.Key) (n int, barred bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.registry.Ends(key), s.registry.Barred(key)
+	return s.registry.CrashCount(key), s.registry.IsQuarantined(key)
 }
 
-// answered takes over that a request was answered whole.
-func (s *suspects) answered(now time.Time, key quarantine.Key) {
+// requestAnswered takes over that a request was requestAnswered whole.
+func (s *suspectTracker) requestAnswered(now time.Time, key quarantine.Key) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lately.Add(now, key)
@@ -229,28 +229,28 @@
 }
 
 // clear lets nothing count any more that a request has seen, here and at the other gateways.
-func (s *suspects) clear(key quarantine.Key) {
+func (s *suspectTracker) clear(key quarantine.Key) {
 	_, repeated := s.registry.Record(key)
-	cleared := s.registry.Answered(key)
+	cleared := s.registry.MarkAnswered(key)
 	if len(cleared) == 0 {
 		return
 	}
-	s.peers.TellAnswered(peer.Answered{Key: peer.Key(key), Servers: cleared})
+	s.peers.PublishCleared(peer.Cleared{Key: peer.Key(key), Servers: cleared})
 	if repeated {
 		s.drop(key)
 	}
 }
 
 // drop lets the store keep a request no more.
-func (s *suspects) drop(k quarantine.Key) {
+func (s *suspectTracker) drop(k quarantine.Key) {
 	s.log.Info().Str("event", "request.cleared").Str("key", k.String()).Msg("it was answered")
 	delete(s.asks, k)
 	s.dirty[k] = true
 	s.wakeWriter()
 }
 
-// live takes over whether another gateway lives.
-func (s *suspects) live(address string, alive bool) {
+// setPeerLive takes over whether another gateway lives.
+func (s *suspectTracker) setPeerLive(address string, alive bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if alive {
@@ -260,36 +260,36 @@
 	delete(s.others, address)
 }
 
-// mayTry tells whether a request that is barred may be sent once all the same, by this gateway
+// trialDue tells whether a request that is barred may be sent once all the same, by this gateway
 // now: all ends came at one moment, so something else may be their cause. Gateways come to it
 // in an order that most find alike (rendezvous hashing), also those that have started since
 // and know of the ends by the store alone.
-func (s *suspects) mayTry(now time.Time, key quarantine.Key) bool {
+func (s *suspectTracker) trialDue(now time.Time, key quarantine.Key) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.due(now, key)
 }
 
 // due is mayTry with the mutex held.
-func (s *suspects) due(now time.Time, key quarantine.Key) bool {
-	quiet, doubtful := s.registry.Doubtful(now, key)
+func (s *suspectTracker) due(now time.Time, key quarantine.Key) bool {
+	quiet, doubtful := s.registry.Ambiguous(now, key)
 	known := s.tried[key]
 	if !doubtful || s.store == nil || known.asking || known.counted >= mostTries {
 		return false
 	}
 	before := 0
-	own := draw(s.address + "/" + key.String())
+	own := unitHash(s.address + "/" + key.String())
 	for address := range s.others {
-		if draw(address+"/"+key.String()) > own {
+		if unitHash(address+"/"+key.String()) > own {
 			before++
 		}
 	}
 	return min(quiet, now.Sub(known.at)) >= tryTurn+time.Duration(min(before, mostStagger))*tryStagger
 }
 
-// try uses a try of a request that is barred. The store counts them, so that there are no more
+// claimTrial uses a claimTrial of a request that is barred. The store counts them, so that there are no more
 // over the fleet, whichever gateways have started since.
-func (s *suspects) try(ctx context.Context, key quarantine.Key) bool {
+func (s *suspectTracker) claimTrial(ctx context.Context, key quarantine.Key) bool {
 	s.mutex.Lock()
 	known := s.tried[key]
 	if !s.due(time.Now(), key) {
@@ -318,14 +318,14 @@
 }
 
 // isBarred tells whether a request is barred.
-func (s *suspects) isBarred(key quarantine.Key) bool {
-	_, barred := s.ends(key)
+func (s *suspectTracker) isBarred(key quarantine.Key) bool {
+	_, barred := s.crashCount(key)
 	return barred
 }
 
-// barred returns how many requests are barred.
-func (s *suspects) barred() int {
+// barredCount returns how many requests are barredCount.
+func (s *suspectTracker) barredCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.registry.CountBarred()
+	return s.registry.CountQuarantined()
 }
--- a/gateway/suspects_return_test.go
+++ b/gateway/suspects_return_test.go
@@ -15,22 +15,22 @@
 // tries; what was lifted and the copy still has is dropped again.
 func TestSuspectsOverAReturn(t *testing.T) {
 	barred, lifted, tried := quarantine.Key{1}, quarantine.Key{2}, quarantine.Key{3}
-	kept := func(tries int) quarantine.Kept {
-		return quarantine.Kept{Servers: []string{"a", "b", "c"}, AtOnce: true, Tries: tries}
+	kept := func(tries int) quarantine.StoredRecord {
+		return quarantine.StoredRecord{Servers: []string{"a", "b", "c"}, Simultaneous: true, Probes: tries}
 	}
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	for _, watches := range []bool{true, false} {
 		now := time.Now()
-		g := quiet(t)
-		g.watches.Store(watches)
+		g := newIdleGateway(t)
+		g.watchesStore.Store(watches)
 		g.suspects.store = &faultyStore{}
 		first := listOf(before-1, 1)
-		first.snapshot.Suspects = map[quarantine.Key]quarantine.Kept{barred: kept(1), lifted: kept(0), tried: kept(2)}
-		g.follower.take(now, first)
-		g.follower.take(now, answer{since: before - 1, revision: before, changes: []Change{SuspectGone{Key: lifted}}})
+		first.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{barred: kept(1), lifted: kept(0), tried: kept(2)}
+		g.storeWatcher.applyResult(now, first)
+		g.storeWatcher.applyResult(now, sourceResult{since: before - 1, revision: before, changes: []Change{SuspectRemoved{Key: lifted}}})
 		older := listOf(after, 1)
-		older.snapshot.Suspects = map[quarantine.Key]quarantine.Kept{lifted: kept(0), tried: kept(1)}
-		g.follower.take(now, older)
+		older.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{lifted: kept(0), tried: kept(1)}
+		g.storeWatcher.applyResult(now, older)
 		require.True(t, g.suspects.isBarred(barred))
 		require.False(t, g.suspects.isBarred(lifted))
 		require.Equal(t, 2, g.suspects.tried[tried].counted)
@@ -47,9 +47,9 @@
 			require.Empty(t, writes(), "the one that watches for the hall does")
 			continue
 		}
-		g.follower.take(now, answer{since: after, revision: after + 1, changes: []Change{SuspectChanged{Key: barred, Kept: kept(1)}}})
+		g.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{SuspectChanged{Key: barred, Kept: kept(1)}}})
 		require.Equal(t, []quarantine.Key{lifted, tried}, writes(), "another gateway has written the third one")
-		g.follower.dropMissing(now.Add(settleTime + time.Millisecond))
+		g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
 		require.True(t, g.suspects.isBarred(barred))
 	}
 }
--- a/gateway/suspects_store.go
+++ b/gateway/suspects_store.go
@@ -13,29 +13,29 @@
 
 // kept takes over what the store keeps: old is what it kept before. What this gateway knows
 // to have been answered since is dropped by one gateway of each hall, the one that watches.
-func (s *suspects) kept(now time.Time, old, kept map[quarantine.Key]quarantine.Kept, watches bool) {
+func (s *suspectTracker) kept(now time.Time, old, kept map[quarantine.Key]quarantine.StoredRecord, watches bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for k, is := range kept {
 		news := s.registry.Merge(now, k, is)
-		if known := s.tried[k]; is.Tries != known.counted {
-			known.counted, known.at = is.Tries, now // fewer: it was dropped, and is kept again
+		if known := s.tried[k]; is.Probes != known.counted {
+			known.counted, known.at = is.Probes, now // fewer: it was dropped, and is kept again
 			s.tried[k] = known
 		}
-		if s.lately.Lately(now, k) {
+		if s.lately.Contains(now, k) {
 			s.clear(k)
 			continue
 		}
 		if news {
 			s.note([]quarantine.Key{k}, "")
 		}
-		if watches && s.registry.Cleared(k, is.Servers) && !old[k].Equal(is) {
+		if watches && s.registry.IsCleared(k, is.Servers) && !old[k].Equal(is) {
 			s.drop(k)
 		}
 	}
 	for k := range old {
 		if _, still := kept[k]; !still && !s.dirty[k] && s.rewrites[k].IsZero() {
-			s.registry.Lift(k)
+			s.registry.Release(k)
 			delete(s.asks, k)
 			delete(s.own, k)
 			delete(s.tried, k)
@@ -51,7 +51,7 @@
 // rewrite lets what is known of suspects be written to a store that has come back from a copy
 // and has lost some of it, or keeps again what was dropped. Gateways do so that watch for their
 // hall, or had written it before.
-func (s *suspects) rewrite(now time.Time, keys []quarantine.Key, watches bool) {
+func (s *suspectTracker) rewrite(now time.Time, keys []quarantine.Key, watches bool) {
 	if s.store == nil {
 		return
 	}
@@ -61,12 +61,12 @@
 		if _, already := s.rewrites[k]; already || !watches && !s.own[k] {
 			continue
 		}
-		s.rewrites[k] = now.Add(time.Duration(draw(s.address+"/"+k.String()) * float64(rewriteSpread)))
+		s.rewrites[k] = now.Add(time.Duration(unitHash(s.address+"/"+k.String()) * float64(rewriteSpread)))
 	}
 }
 
 // writeDue hands to the writer what is to be written again by now.
-func (s *suspects) writeDue(now time.Time) {
+func (s *suspectTracker) writeDue(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for k, at := range s.rewrites {
@@ -81,41 +81,41 @@
 
 // rewritten takes over that the store keeps so much of a suspect: if that is all that is known,
 // it need not be written again.
-func (s *suspects) rewritten(key quarantine.Key, kept quarantine.Kept) {
+func (s *suspectTracker) rewritten(key quarantine.Key, kept quarantine.StoredRecord) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if _, due := s.rewrites[key]; !due {
 		return
 	}
 	r, _ := s.registry.Record(key)
-	known := quarantine.Kept{Servers: r.Servers, AtOnce: r.AtOnce, Tries: s.tried[key].counted}
-	if len(kept.And(known).Servers) == len(kept.Servers) && known.Tries <= kept.Tries {
+	known := quarantine.StoredRecord{Servers: r.Servers, Simultaneous: r.Simultaneous, Probes: s.tried[key].counted}
+	if len(kept.Merge(known).Servers) == len(kept.Servers) && known.Probes <= kept.Probes {
 		delete(s.rewrites, key)
 	}
 }
 
 // setSuspect takes over what is kept of a suspect.
-func (f *follower) setSuspect(key quarantine.Key, kept quarantine.Kept) {
+func (f *storeWatcher) setSuspect(key quarantine.Key, kept quarantine.StoredRecord) {
 	delete(f.memory.lifted, key)
 	f.gateway.suspects.rewritten(key, kept)
-	f.suspectLog.add(f.mark, key.String())
-	changed := make(map[quarantine.Key]quarantine.Kept, len(f.suspects)+1)
+	f.suspectLog.add(f.changeRevision, key.String())
+	changed := make(map[quarantine.Key]quarantine.StoredRecord, len(f.suspects)+1)
 	maps.Copy(changed, f.suspects)
 	changed[key] = kept
 	f.suspects, f.suspectsChanged = changed, true
 }
 
 // dropSuspect takes over that nothing is kept of a suspect any more.
-func (f *follower) dropSuspect(key quarantine.Key) {
+func (f *storeWatcher) dropSuspect(key quarantine.Key) {
 	f.memory.lift(f.now, key)
-	f.gateway.suspects.rewritten(key, quarantine.Kept{})
-	f.suspectLog.add(f.mark, key.String())
+	f.gateway.suspects.rewritten(key, quarantine.StoredRecord{})
+	f.suspectLog.add(f.changeRevision, key.String())
 	changed := maps.Clone(f.suspects)
 	delete(changed, key)
 	f.suspects, f.suspectsChanged = changed, true
 }
 
-func (s *suspects) wakeWriter() {
+func (s *suspectTracker) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
 	default: // it looks at all that there is
@@ -123,7 +123,7 @@
 }
 
 // write writes to the store what is to be written, until ctx ends.
-func (s *suspects) write(ctx context.Context) {
+func (s *suspectTracker) write(ctx context.Context) {
 	if s.store == nil {
 		return
 	}
@@ -147,7 +147,7 @@
 }
 
 // writeAll writes what is to be written; it returns whether all of that was.
-func (s *suspects) writeAll(ctx context.Context) bool {
+func (s *suspectTracker) writeAll(ctx context.Context) bool {
 	s.mutex.Lock()
 	list := slices.Collect(maps.Keys(s.dirty))
 	clear(s.dirty)
@@ -165,7 +165,7 @@
 	return whole
 }
 
-func (s *suspects) writeOne(ctx context.Context, k quarantine.Key) error {
+func (s *suspectTracker) writeOne(ctx context.Context, k quarantine.Key) error {
 	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
 	defer cancel()
 	s.mutex.Lock()
@@ -179,5 +179,5 @@
 	if !repeated {
 		return s.store.Drop(ctx, k)
 	}
-	return s.store.Keep(ctx, k, Suspect{Asks: asks, Servers: r.Servers, AtOnce: r.AtOnce, Tries: tries})
+	return s.store.Keep(ctx, k, Suspect{Summary: asks, Servers: r.Servers, Simultaneous: r.Simultaneous, Trials: tries})
 }
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -19,15 +19,15 @@
 // handOver takes over at one gateway what another one tells of its view.
 func handOver(t *testing.T, now time.Time, from, to *Gateway, change func(d *viewDocument)) {
 	t.Helper()
-	raw, err := from.packedView(now, to.knownOfView())
+	raw, err := from.encodedView(now, to.viewQuery())
 	require.NoError(t, err)
 	var d viewDocument
 	require.NoError(t, json.Unmarshal(raw, &d))
 	change(&d)
-	h := d.handover(now)
+	h := d.peerView(now)
 	h.from = "x"
 	h.snapshot.Configuration = from.view.Load().Configuration
-	to.follower.takeHandover(now, h)
+	to.storeWatcher.applyPeerView(now, h)
 }
 
 func asItIs(*viewDocument) {}
@@ -36,19 +36,19 @@
 // whole or in part, and loses none to a gateway of a version that knows of none.
 func TestSuspectsAreHandedOver(t *testing.T) {
 	now := time.Now()
-	first := answer{listed: true, snapshot: Snapshot{Configuration: version(1), Revision: 3, Suspects: map[quarantine.Key]quarantine.Kept{{1}: {Servers: []string{"a", "b", "c"}}}}}
-	from, to := quiet(t), quiet(t)
-	from.follower.take(now, first)
+	first := sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Revision: 3, Suspects: map[quarantine.Key]quarantine.StoredRecord{{1}: {Servers: []string{"a", "b", "c"}}}}}
+	from, to := newIdleGateway(t), newIdleGateway(t)
+	from.storeWatcher.applyResult(now, first)
 	handOver(t, now, from, to, asItIs)
 	require.True(t, to.suspects.isBarred(quarantine.Key{1}), "the whole view")
-	from.follower.take(now, answer{since: 3, revision: 5, changes: []Change{
-		SuspectChanged{Key: quarantine.Key{2}, Kept: quarantine.Kept{Servers: []string{"a", "b", "d"}, AtOnce: true, Tries: 1}}, SuspectGone{Key: quarantine.Key{1}},
+	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
+		SuspectChanged{Key: quarantine.Key{2}, Kept: quarantine.StoredRecord{Servers: []string{"a", "b", "d"}, Simultaneous: true, Probes: 1}}, SuspectRemoved{Key: quarantine.Key{1}},
 	}})
 	handOver(t, now, from, to, func(d *viewDocument) { require.True(t, d.Partial) })
 	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
 	require.Equal(t, from.view.Load().Suspects, to.view.Load().Suspects, "with what is doubtful")
 	require.False(t, to.suspects.isBarred(quarantine.Key{1}), "it was lifted")
-	from.follower.take(now, answer{since: 5, revision: 7, changes: []Change{ServerChanged{Server: ready("i-1")}}})
+	from.storeWatcher.applyResult(now, sourceResult{since: 5, revision: 7, changes: []Change{ServerChanged{Server: readyServer("i-1")}}})
 	handOver(t, now, from, to, func(d *viewDocument) {
 		*d = viewDocument{Servers: d.Servers, Revision: d.Revision}
 	})
@@ -97,7 +97,7 @@
 // TestSuspectsAreKept: what was at two ends is written, also if the store is away at first,
 // and dropped when it was answered.
 func TestSuspectsAreKept(t *testing.T) {
-	s := quiet(t).suspects
+	s := newIdleGateway(t).suspects
 	store := &faultyStore{away: true, kept: map[quarantine.Key]Suspect{}}
 	s.store = store
 	ctx, stop := context.WithCancel(t.Context())
@@ -111,9 +111,9 @@
 		<-ended
 	}()
 	now := time.Now()
-	there := []suspect{{key: quarantine.Key{1}, asks: "a POST h/x"}, {key: quarantine.Key{2}}}
-	s.ended(now, "i-1", there)
-	s.ended(now.Add(2*time.Second), "i-2", there[:1])
+	there := []suspect{{key: quarantine.Key{1}, summary: "a POST h/x"}, {key: quarantine.Key{2}}}
+	s.serverCrashed(now, "i-1", there)
+	s.serverCrashed(now.Add(2*time.Second), "i-2", there[:1])
 	require.Eventually(t, func() bool {
 		store.mutex.Lock()
 		defer store.mutex.Unlock()
@@ -122,7 +122,7 @@
 	kept := func() (n int, asks string) {
 		store.mutex.Lock()
 		defer store.mutex.Unlock()
-		return len(store.kept), store.kept[quarantine.Key{1}].Asks
+		return len(store.kept), store.kept[quarantine.Key{1}].Summary
 	}
 	n, _ := kept()
 	require.Zero(t, n)
@@ -133,30 +133,30 @@
 		n, asks := kept()
 		return n == 1 && asks == "a POST h/x"
 	}, 5*time.Second, 5*time.Millisecond)
-	s.answered(now.Add(3*time.Second), quarantine.Key{1})
+	s.requestAnswered(now.Add(3*time.Second), quarantine.Key{1})
 	require.Eventually(t, func() bool {
 		n, _ := kept()
 		return n == 0
 	}, 5*time.Second, 5*time.Millisecond)
-	_, barred := s.ends(quarantine.Key{1})
+	_, barred := s.crashCount(quarantine.Key{1})
 	require.False(t, barred)
 }
 
 // TestSuspectsOfOthers: what others tell counts, but for what this gateway has answered lately.
 func TestSuspectsOfOthers(t *testing.T) {
-	s := quiet(t).suspects
+	s := newIdleGateway(t).suspects
 	s.store = &faultyStore{}
 	now := time.Now()
-	s.answered(now, quarantine.Key{2})
+	s.requestAnswered(now, quarantine.Key{2})
 	for n, server := range []string{"i-1", "i-2", "i-3"} {
 		at := now.Add(time.Duration(n) * time.Second)
-		s.hear(at, []peer.End{{Server: server, Suspects: []peer.Key{{1}, {2}}}}, nil)
+		s.applyPeerReports(at, []peer.Crash{{Server: server, Suspects: []peer.Key{{1}, {2}}}}, nil)
 	}
 	require.True(t, s.isBarred(quarantine.Key{1}))
-	n, _ := s.ends(quarantine.Key{2})
+	n, _ := s.crashCount(quarantine.Key{2})
 	require.Zero(t, n)
-	require.False(t, s.mayTry(now.Add(time.Minute), quarantine.Key{1}), "its ends did not come at once")
-	s.hear(now, nil, []peer.Answered{{Key: peer.Key{1}, Servers: []string{"i-2"}}})
+	require.False(t, s.trialDue(now.Add(time.Minute), quarantine.Key{1}), "its ends did not come at once")
+	s.applyPeerReports(now, nil, []peer.Cleared{{Key: peer.Key{1}, Servers: []string{"i-2"}}})
 	require.False(t, s.isBarred(quarantine.Key{1}))
 }
 
@@ -164,24 +164,24 @@
 // the other with a pause, whichever of them know the ends by the store alone, and also if each
 // starts again between; none does while the store is away.
 func TestTriesAreCounted(t *testing.T) {
-	node := worldNode(t)
+	node := newPeerNode(t)
 	synctest.Test(t, func(t *testing.T) {
 		key := quarantine.Key{1}
 		store := &faultyStore{sent: map[quarantine.Key]int{}}
 		addresses := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
-		kept := func() quarantine.Kept {
-			return quarantine.Kept{Servers: []string{"i-1", "i-2", "i-3"}, AtOnce: true, Tries: store.sent[key]}
+		kept := func() quarantine.StoredRecord {
+			return quarantine.StoredRecord{Servers: []string{"i-1", "i-2", "i-3"}, Simultaneous: true, Probes: store.sent[key]}
 		}
-		start := func(own string) *suspects {
-			s := newSuspects(zerolog.Nop(), own, func() int { return len(addresses) })
+		start := func(own string) *suspectTracker {
+			s := newSuspectTracker(zerolog.Nop(), own, func() int { return len(addresses) })
 			s.store, s.peers = store, node
 			for _, other := range addresses {
-				s.live(other, other != own)
+				s.setPeerLive(other, other != own)
 			}
-			s.kept(time.Now(), nil, map[quarantine.Key]quarantine.Kept{key: kept()}, false)
+			s.kept(time.Now(), nil, map[quarantine.Key]quarantine.StoredRecord{key: kept()}, false)
 			return s
 		}
-		var fleet []*suspects
+		var fleet []*suspectTracker
 		for _, a := range addresses {
 			fleet = append(fleet, start(a))
 		}
@@ -194,7 +194,7 @@
 				store.away = false
 			}
 			for i, s := range fleet {
-				if s.mayTry(time.Now(), key) && s.try(t.Context(), key) {
+				if s.trialDue(time.Now(), key) && s.claimTrial(t.Context(), key) {
 					sent = append(sent, time.Since(began))
 				}
 				if step%70 == 69 {
@@ -211,22 +211,22 @@
 // TestTriesStartAnew: what was dropped and is doubtful again may be tried as if it had not been
 // before, also by a gateway that saw both changes in one view.
 func TestTriesStartAnew(t *testing.T) {
-	node := worldNode(t)
+	node := newPeerNode(t)
 	synctest.Test(t, func(t *testing.T) {
 		key := quarantine.Key{1}
 		store := &faultyStore{sent: map[quarantine.Key]int{key: 2}}
-		s := newSuspects(zerolog.Nop(), "10.0.0.1", func() int { return 1 })
+		s := newSuspectTracker(zerolog.Nop(), "10.0.0.1", func() int { return 1 })
 		s.store, s.peers = store, node
-		kept := func(tries int, servers ...string) map[quarantine.Key]quarantine.Kept {
-			return map[quarantine.Key]quarantine.Kept{key: {Servers: servers, AtOnce: true, Tries: tries}}
+		kept := func(tries int, servers ...string) map[quarantine.Key]quarantine.StoredRecord {
+			return map[quarantine.Key]quarantine.StoredRecord{key: {Servers: servers, Simultaneous: true, Probes: tries}}
 		}
 		before, after := kept(2, "i-1", "i-2", "i-3"), kept(0, "i-4", "i-5", "i-6")
 		s.kept(time.Now(), nil, before, false)
 		time.Sleep(time.Minute)
-		require.False(t, s.try(t.Context(), key), "both are used")
+		require.False(t, s.claimTrial(t.Context(), key), "both are used")
 		store.sent[key] = 0
 		s.kept(time.Now(), before, after, false)
 		time.Sleep(time.Minute)
-		require.True(t, s.try(t.Context(), key))
+		require.True(t, s.claimTrial(t.Context(), key))
 	})
 }
--- a/gateway/upstream/pool.go
+++ b/gateway/upstream/pool.go
@@ -40,9 +40,9 @@
 // Pool keeps connections to servers for use again. It is safe for use by several
 // goroutines.
 type Pool struct {
-	// Heard hears what answers say of their servers, as soon as their heads are read, whoever
+	// OnSignal hears what answers say of their servers, as soon as their heads are read, whoever
 	// still waits for the answer. It must not block; nil: nobody does.
-	Heard func(s catalog.Server, w Signal)
+	OnSignal func(s catalog.Server, w Signal)
 
 	codec protocol.Codec
 	mutex sync.Mutex
@@ -217,8 +217,8 @@
 // power, in 2.5 seconds at most. A request that a cut link holds back must not reach a
 // server that has said meanwhile that it leaves, which is two seconds at the least; three
 // losses in a row take 1.4 s.
-var serverSilence = Silence{
-	Unacknowledged: 1500 * time.Millisecond, ProbeIdle: time.Second, ProbeInterval: 500 * time.Millisecond, Probes: 3,
+var serverSilence = KeepAlive{
+	UserTimeout: 1500 * time.Millisecond, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3,
 }
 
 var dialer = serverSilence.Dialer()
--- a/gateway/upstream/silence_test.go
+++ b/gateway/upstream/silence_test.go
@@ -13,7 +13,7 @@
 
 // TestSilentConnections: connections have the times of silence that their listener had.
 func TestSilentConnections(t *testing.T) {
-	silence := upstream.Silence{Unacknowledged: 4 * time.Second, ProbeIdle: 2 * time.Second, ProbeInterval: time.Second, Probes: 3}
+	silence := upstream.KeepAlive{UserTimeout: 4 * time.Second, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
 	config := net.ListenConfig{KeepAlive: -1, Control: silence.Control}
 	l, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/gateway/upstream/upstream.go
+++ b/gateway/upstream/upstream.go
@@ -38,17 +38,17 @@
 // Request is a request for a server. Header is sent as it stands and must not hold
 // headers of a single connection.
 type Request struct {
-	ID        string // answers must name it
-	Method    string
-	Target    string // path and query as the caller sent them
-	Host      string
-	Header    http.Header
-	Body      []byte
-	MayRepeat bool      // false: only connections that are surely alive are used again
-	Before    time.Time // it must not be sent later than this; zero: whenever that is
-	// Allowed is asked once a connection is there, which may take a second: with an error the
+	ID         string // answers must name it
+	Method     string
+	Target     string // path and query as the caller sent them
+	Host       string
+	Header     http.Header
+	Body       []byte
+	Idempotent bool      // false: only connections that are surely alive are used again
+	SendBefore time.Time // it must not be sent later than this; zero: whenever that is
+	// BeforeSend is asked once a connection is there, which may take a second: with an error the
 	// request is not sent. nil: it may be.
-	Allowed func() error
+	BeforeSend func() error
 }
 
 // ErrTooLate is why a request was not sent: its time to leave had passed.
@@ -60,29 +60,29 @@
 // Unsent means that no byte of the request reached the server.
 type Unsent struct{ Err error }
 
-// NotRun means that the server states it has not run the request.
-type NotRun struct {
-	Status   int
-	Instance bool // the address belongs to another server now
+// NotExecuted means that the server states it has not run the request.
+type NotExecuted struct {
+	Status        int
+	WrongInstance bool // the address belongs to another server now
 }
 
-// Lost means that the request may have run and no usable answer came. Broken tells that the
+// Indeterminate means that the request may have run and no usable answer came. Broken tells that the
 // connection ended, as against an answer that is none.
-type Lost struct {
-	Err    error
-	Broken bool
+type Indeterminate struct {
+	Err              error
+	ConnectionFailed bool
 }
 
-// Answered holds the head of a usable answer.
-type Answered struct{ Answer *Answer }
+// Responded holds the head of a usable answer.
+type Responded struct{ Response *Response }
 
-func (Unsent) result()   {}
-func (NotRun) result()   {}
-func (Lost) result()     {}
-func (Answered) result() {}
+func (Unsent) result()        {}
+func (NotExecuted) result()   {}
+func (Indeterminate) result() {}
+func (Responded) result()     {}
 
-// Answer is a server's answer. Body returns io.EOF only at its true end.
-type Answer struct {
+// Response is a server's answer. Body returns io.EOF only at its true end.
+type Response struct {
 	Status int
 	Header http.Header // without headers of a single connection
 	Length int64       // of the body; -1: unknown
@@ -100,7 +100,7 @@
 // Close ends the exchange. The connection is kept only if the answer was read to its
 // end and nothing came after it; otherwise it is closed, which stops the server's
 // work.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if !a.stop() {
 		a.conn.Close() // the context ended: its closing may still be under way
 		return
@@ -113,7 +113,7 @@
 }
 
 // sent tells whether the whole request was written.
-func (a *Answer) sent() bool {
+func (a *Response) sent() bool {
 	select {
 	case err := <-a.written:
 		return err == nil
@@ -125,7 +125,7 @@
 // wholeReader notes the body's true end.
 type wholeReader struct {
 	io.Reader
-	answer *Answer
+	answer *Response
 }
 
 func (r wholeReader) Read(p []byte) (int, error) {
@@ -148,16 +148,16 @@
 // Send sends a request to a server and waits for the head of the answer. When ctx
 // ends, the connection is closed.
 func (p *Pool) Send(ctx context.Context, s catalog.Server, r *Request) Result {
-	c, err := p.get(ctx, s, r.MayRepeat)
+	c, err := p.get(ctx, s, r.Idempotent)
 	if err != nil {
 		return Unsent{Err: err}
 	}
-	if !r.Before.IsZero() && time.Now().After(r.Before) {
+	if !r.SendBefore.IsZero() && time.Now().After(r.SendBefore) {
 		p.put(s.ID, c)
 		return Unsent{Err: ErrTooLate}
 	}
-	if r.Allowed != nil {
-		if err := r.Allowed(); err != nil {
+	if r.BeforeSend != nil {
+		if err := r.BeforeSend(); err != nil {
 			p.put(s.ID, c)
 			return Unsent{Err: err}
 		}
@@ -171,7 +171,7 @@
 		if silent(ctx, err) {
 			p.drop(s.ID)
 		}
-		return Lost{Err: errors.CombineErrors(context.Cause(ctx), err), Broken: true}
+		return Indeterminate{Err: errors.CombineErrors(context.Cause(ctx), err), ConnectionFailed: true}
 	}
 	return p.judge(c, s, r, response, written, stop)
 }
@@ -186,14 +186,14 @@
 type Signal struct {
 	Status  int
 	Leaving bool          // the server takes no new work
-	Rest    time.Duration // it wants nothing from this gateway for so long; 0: it did not say so
+	Backoff time.Duration // it wants nothing from this gateway for so long; 0: it did not say so
 }
 
 // signalOf returns what an answer says of a server. ok is false if it says nothing, or is not
 // surely that server's: its request was for that server only, so whoever answers it, but for
 // a refusal as another one, is that one. An answer that could not be handed out says nothing
 // of its server either.
-func signalOf(s catalog.Server, r *Request, status int, told protocol.Answer) (g Signal, ok bool) {
+func signalOf(s catalog.Server, r *Request, status int, told protocol.Response) (g Signal, ok bool) {
 	switch {
 	case told.RequestID == "" || told.RequestID != r.ID, status == http.StatusMisdirectedRequest:
 		return g, false
@@ -202,12 +202,12 @@
 	case status < http.StatusMultipleChoices && !told.Sealed:
 		return g, false
 	}
-	return Signal{Status: status, Leaving: told.Leaving, Rest: told.Rest}, told.Leaving || told.Rest > 0
+	return Signal{Status: status, Leaving: told.Leaving, Backoff: told.Backoff}, told.Leaving || told.Backoff > 0
 }
 
 // judge turns the head of an answer into a result.
 func (p *Pool) judge(c *conn, s catalog.Server, r *Request, response *http.Response, written <-chan error, stop func() bool) Result {
-	a := &Answer{
+	a := &Response{
 		Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
 		conn: c, pool: p, server: s.ID, written: written, stop: stop,
 		reusable: !response.Close && response.ProtoAtLeast(1, 1),
@@ -215,25 +215,25 @@
 	a.Body = wholeReader{response.Body, a}
 	c.lifetime = keepAlive(response.Header)
 	told := p.codec.Answer(response.StatusCode, response.Header)
-	RemoveHopHeaders(a.Header)
-	if w, ok := signalOf(s, r, response.StatusCode, told); ok && p.Heard != nil {
-		p.Heard(s, w)
+	RemoveHopByHopHeaders(a.Header)
+	if w, ok := signalOf(s, r, response.StatusCode, told); ok && p.OnSignal != nil {
+		p.OnSignal(s, w)
 	}
 	switch {
 	case told.RequestID != "" && told.RequestID != r.ID:
 		a.Close()
-		return Lost{Err: errors.Newf("upstream: server %s answered request %s in place of %s", s.ID, told.RequestID, r.ID)}
-	case told.NotRun:
+		return Indeterminate{Err: errors.Newf("upstream: server %s answered request %s in place of %s", s.ID, told.RequestID, r.ID)}
+	case told.NotExecuted:
 		discard(a)
-		return NotRun{Status: response.StatusCode, Instance: response.StatusCode == http.StatusMisdirectedRequest}
+		return NotExecuted{Status: response.StatusCode, WrongInstance: response.StatusCode == http.StatusMisdirectedRequest}
 	case response.StatusCode < 300 && (!told.Sealed || told.RequestID == ""):
 		a.Close()
-		return Lost{Err: errors.Newf("upstream: server %s: success without seal or request id", s.ID)}
+		return Indeterminate{Err: errors.Newf("upstream: server %s: success without seal or request id", s.ID)}
 	case response.StatusCode < 300 && response.Header.Get("Content-Encoding") != "":
 		a.Close()
-		return Lost{Err: errors.Newf("upstream: server %s encoded a body that was asked for plain", s.ID)}
+		return Indeterminate{Err: errors.Newf("upstream: server %s encoded a body that was asked for plain", s.ID)}
 	}
-	return Answered{Answer: a}
+	return Responded{Response: a}
 }
 
 // The body of an answer that is not handed on is read up to this size, so that its
@@ -241,7 +241,7 @@
 const mostDiscarded = 16 << 10
 
 // discard reads a short body that nobody needs and closes the exchange.
-func discard(a *Answer) {
+func discard(a *Response) {
 	if a.Length >= 0 && a.Length <= mostDiscarded {
 		_, err := io.Copy(io.Discard, a.Body)
 		a.whole = a.whole && err == nil
@@ -318,8 +318,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopHeaders deletes the headers that concern a single connection.
-func RemoveHopHeaders(h http.Header) {
+// RemoveHopByHopHeaders deletes the headers that concern a single connection.
+func RemoveHopByHopHeaders(h http.Header) {
 	for _, line := range h.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
 			h.Del(strings.TrimSpace(name))
--- a/gateway/upstream/upstream_test.go
+++ b/gateway/upstream/upstream_test.go
@@ -23,13 +23,13 @@
 // codec reads the headers of these tests.
 type codec struct{ protocol.Codec }
 
-func (codec) Answer(status int, h http.Header) protocol.Answer {
-	a := protocol.Answer{
-		RequestID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "",
+func (codec) Answer(status int, h http.Header) protocol.Response {
+	a := protocol.Response{
+		RequestID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotExecuted: h.Get("Not-Run") != "",
 		Server: h.Get("Server"), Leaving: h.Get("Leaving") != "",
 	}
 	if h.Get("Rest") != "" {
-		a.Rest = time.Second
+		a.Backoff = time.Second
 	}
 	return a
 }
@@ -90,17 +90,17 @@
 	switch result := p.Send(ctx, s, r).(type) {
 	case upstream.Unsent:
 		return "unsent"
-	case upstream.NotRun:
+	case upstream.NotExecuted:
 		return fmt.Sprintf("not run %d", result.Status)
-	case upstream.Lost:
+	case upstream.Indeterminate:
 		return "lost"
-	case upstream.Answered:
-		defer result.Answer.Close()
-		body, err := io.ReadAll(result.Answer.Body)
+	case upstream.Responded:
+		defer result.Response.Close()
+		body, err := io.ReadAll(result.Response.Body)
 		if err != nil {
 			return "broken body " + string(body)
 		}
-		return fmt.Sprintf("%d %s", result.Answer.Status, body)
+		return fmt.Sprintf("%d %s", result.Response.Status, body)
 	default:
 		return "another result"
 	}
@@ -115,7 +115,7 @@
 	})
 	p := upstream.NewPool(codec{})
 	barred := request()
-	barred.Allowed = func() error { return errors.New("not any more") }
+	barred.BeforeSend = func() error { return errors.New("not any more") }
 	for range 3 {
 		unsent, ok := p.Send(t.Context(), s, barred).(upstream.Unsent)
 		require.True(t, ok)
@@ -123,14 +123,14 @@
 	}
 	require.Empty(t, script.requests)
 	free := request()
-	free.Allowed = func() error { return nil }
+	free.BeforeSend = func() error { return nil }
 	require.Equal(t, "200 body", read(t.Context(), p, s, free))
 	require.EqualValues(t, 1, p.Dials())
 }
 
 // TestHeard: what an answer says of its server counts only if it surely is that server's.
 func TestHeard(t *testing.T) {
-	leaving, resting := upstream.Signal{Status: 200, Leaving: true}, upstream.Signal{Status: 503, Rest: time.Second}
+	leaving, resting := upstream.Signal{Status: 200, Leaving: true}, upstream.Signal{Status: 503, Backoff: time.Second}
 	tests := []struct {
 		name string
 		head string
@@ -157,7 +157,7 @@
 			})
 			var heard []upstream.Signal
 			p := upstream.NewPool(codec{})
-			p.Heard = func(of catalog.Server, w upstream.Signal) {
+			p.OnSignal = func(of catalog.Server, w upstream.Signal) {
 				require.Equal(t, s.ID, of.ID)
 				heard = append(heard, w)
 			}
@@ -282,7 +282,7 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	result := upstream.NewPool(codec{}).Send(ctx, s, request())
-	a := result.(upstream.Answered).Answer
+	a := result.(upstream.Responded).Response
 	cancel()
 	_, err := io.ReadAll(a.Body)
 	require.Error(t, err)
@@ -296,7 +296,7 @@
 
 func TestRemoveHopHeaders(t *testing.T) {
 	h := http.Header{"Connection": {"close, X-Mine"}, "X-Mine": {"1"}, "Keep-Alive": {"timeout=5"}, "Te": {"trailers"}, "Kept": {"1"}}
-	upstream.RemoveHopHeaders(h)
+	upstream.RemoveHopByHopHeaders(h)
 	require.Equal(t, http.Header{"Kept": {"1"}}, h)
 }
 
@@ -320,7 +320,7 @@
 	})
 	t.Cleanup(func() { close(silent) })
 	pool := upstream.NewPool(codec{})
-	var open []*upstream.Answer
+	var open []*upstream.Response
 	for range 3 {
 		open = append(open, answered(t, pool.Send(t.Context(), server, request())))
 	}
@@ -331,16 +331,16 @@
 	}
 	soon, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	require.IsType(t, upstream.Lost{}, pool.Send(soon, server, request()))
+	require.IsType(t, upstream.Indeterminate{}, pool.Send(soon, server, request()))
 	next, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	answered(t, pool.Send(next, server, request())).Close()
 }
 
-func answered(t *testing.T, r upstream.Result) *upstream.Answer {
+func answered(t *testing.T, r upstream.Result) *upstream.Response {
 	t.Helper()
-	require.IsType(t, upstream.Answered{}, r)
-	return r.(upstream.Answered).Answer
+	require.IsType(t, upstream.Responded{}, r)
+	return r.(upstream.Responded).Response
 }
 
 // TestTooLateToBeSent: a request whose time to leave has passed reaches no server, and the
@@ -352,13 +352,13 @@
 	})
 	pool := upstream.NewPool(codec{})
 	late := request()
-	late.Before = time.Now().Add(-time.Millisecond)
+	late.SendBefore = time.Now().Add(-time.Millisecond)
 	unsent, ok := pool.Send(t.Context(), s, late).(upstream.Unsent)
 	require.True(t, ok)
 	require.ErrorIs(t, unsent.Err, upstream.ErrTooLate)
 	require.Empty(t, server.requests)
 	intime := request()
-	intime.Before = time.Now().Add(time.Minute)
+	intime.SendBefore = time.Now().Add(time.Minute)
 	require.Equal(t, "200 body", read(t.Context(), pool, s, intime))
 	require.Equal(t, int64(1), pool.Dials())
 }
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -24,7 +24,7 @@
 	// A list is given up after this time.
 	listTimeout = time.Second
 	// Tries after a failure are this far apart.
-	sourceRetry = 200 * time.Millisecond
+	sourceRetryInterval = 200 * time.Millisecond
 	// While others of the hall have lost the store as well, tries are further apart, so that
 	// two of the hall try in that time together: whoever reaches it first tells all. Up to
 	// this time, so that a configuration is in force soon after the store's return.
@@ -34,7 +34,7 @@
 	gatherChanges = 100 * time.Millisecond
 	// A gateway that does not watch for its hall asks the store itself when nobody has
 	// confirmed its view for this long: four beacons were lost, or the store's answers.
-	unconfirmed = watchWait + time.Second
+	confirmationTimeout = watchWait + time.Second
 	// A gateway that starts asks the store only after this time, so that it has heard
 	// whether another one of its hall does.
 	electFirst = 150 * time.Millisecond
@@ -50,65 +50,65 @@
 // View is what a gateway believes of the configuration and the servers. It is not
 // changed once it is published.
 type View struct {
-	Configuration *catalog.Configuration // nil: none is known
-	Raw           []byte                 // the configuration as it was announced
-	Servers       []catalog.Server
-	Missing       map[string]time.Time  // those of the servers that are kept until then although their entry has gone
-	Revision      catalog.Revision      // of the store; complete up to it
-	Evacuated     map[string]evacuation // by hall
-	Cold          map[string]coldness   // by server; of the others nothing is known
-	Rollouts      map[string]ordered    // by service
-	Suspects      map[quarantine.Key]quarantine.Kept
-	Left          []string         // lifetimes that have said that they leave, whatever their entries say
-	Settled       time.Time        // until then the store may lack what it had; zero: it has all
-	Revived       []catalog.Server // that a copy names and that are kept back
-	log           changeLog        // of servers
-	suspectLog    changeLog        // of suspects, by their keys' text
+	Configuration    *catalog.Configuration // nil: none is known
+	RawConfiguration []byte                 // the configuration as it was announced
+	Servers          []catalog.Server
+	MissingUntil     map[string]time.Time     // those of the servers that are kept until then although their entry has gone
+	Revision         catalog.Revision         // of the store; complete up to it
+	Evacuated        map[string]evacuation    // by hall
+	Cold             map[string]coldState     // by server; of the others nothing is known
+	Rollouts         map[string]rolloutRecord // by service
+	Suspects         map[quarantine.Key]quarantine.StoredRecord
+	ReportedLeaving  []string         // lifetimes that have said that they leave, whatever their entries say
+	ReconcileUntil   time.Time        // until then the store may lack what it had; zero: it has all
+	Unverified       []catalog.Server // that a copy names and that are kept back
+	serverChanges    changeLog        // of servers
+	suspectChanges   changeLog        // of suspects, by their keys' text
 }
 
-// follower is the duty that keeps the view.
-type follower struct {
-	gateway *Gateway
-	servers map[string]catalog.Server
-	current map[string]string     // the lifetime that is in servers, by the server's name
-	missing map[string]time.Time  // servers kept until then although their entry has gone
-	halls   map[string]evacuation // that are evacuated
-	cold    map[string]coldness   // by server
-	log     changeLog
+// storeWatcher is the duty that keeps the view.
+type storeWatcher struct {
+	gateway       *Gateway
+	servers       map[string]catalog.Server
+	currentIDs    map[string]string     // the lifetime that is in servers, by the server's name
+	missing       map[string]time.Time  // servers kept until then although their entry has gone
+	evacuations   map[string]evacuation // that are evacuated
+	cold          map[string]coldState  // by server
+	serverChanges changeLog
 	// What is known of roll-outs, by service; replaced, not changed, since views share it.
-	rollouts map[string]ordered
+	rollouts map[string]rolloutRecord
 	// What the store keeps of suspects; replaced, not changed, since views share it.
-	suspects        map[quarantine.Key]quarantine.Kept
+	suspects        map[quarantine.Key]quarantine.StoredRecord
 	suspectsChanged bool // since the latest view
 	suspectLog      changeLog
 	memory          memory
 	settled         time.Time                 // until then the store may lack what it had; zero: it has all
 	revived         map[string]catalog.Server // that a copy names and that are kept back, by name
 	now             time.Time                 // of what is being taken over
-	mark            catalog.Revision          // under which changes are logged
+	changeRevision  catalog.Revision          // under which changes are logged
 	order           []string                  // ids of the servers, sorted; nil: to be made anew
 	failed          time.Time                 // last failure of the source
-	called          time.Time                 // when the latest call began
-	away            bool
-	handed          chan handover
-	said            chan struct{} // a server has said that it leaves
+	lastQuery       time.Time                 // when the latest call began
+	unreachable     bool
+	peerViews       chan peerView
+	leavingSignal   chan struct{} // a server has said that it leaves
 }
 
-// atRevision writes a revision to the log: its era, and its number as the store calls it.
-type atRevision catalog.Revision
+// revisionFields writes a revision to the log: its era, and its number as the store calls it.
+type revisionFields catalog.Revision
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
-func (a atRevision) MarshalZerologObject(e *zerolog.Event) {
+func (a revisionFields) MarshalZerologObject(e *zerolog.Event) {
 	r := catalog.Revision(a)
 	e.Uint64("era", r.Era()).Uint64("revision", r.Number())
 }
 
-func newFollower(g *Gateway) *follower {
-	return &follower{gateway: g, servers: map[string]catalog.Server{}, current: map[string]string{}, missing: map[string]time.Time{}, halls: map[string]evacuation{}, cold: map[string]coldness{}, memory: newMemory(), revived: map[string]catalog.Server{}, handed: make(chan handover, 1), said: make(chan struct{}, 1)}
+func newStoreWatcher(g *Gateway) *storeWatcher {
+	return &storeWatcher{gateway: g, servers: map[string]catalog.Server{}, currentIDs: map[string]string{}, missing: map[string]time.Time{}, evacuations: map[string]evacuation{}, cold: map[string]coldState{}, memory: newMemory(), revived: map[string]catalog.Server{}, peerViews: make(chan peerView, 1), leavingSignal: make(chan struct{}, 1)}
 }
 
-// answer is the end of one call to the source.
-type answer struct {
+// sourceResult is the end of one call to the source.
+type sourceResult struct {
 	since    catalog.Revision // that a watch went on from
 	listed   bool
 	snapshot Snapshot
@@ -119,13 +119,13 @@
 
 // run follows the source until ctx ends. Calls run beside it, so that handed-over
 // views and ends of grace are taken up while a call waits.
-func (f *follower) run(ctx context.Context) {
-	answers := make(chan answer, 1)
+func (f *storeWatcher) run(ctx context.Context) {
+	answers := make(chan sourceResult, 1)
 	call := func(listed bool) {
 		revision := f.gateway.view.Load().Revision
 		go func() { answers <- f.call(ctx, listed, revision) }()
 	}
-	sweep := time.NewTicker(sourceRetry)
+	sweep := time.NewTicker(sourceRetryInterval)
 	defer sweep.Stop()
 	soon := time.NewTimer(time.Hour)
 	defer soon.Stop()
@@ -134,12 +134,12 @@
 	soon.Reset(electFirst)
 	called := false
 	proceed := func(now time.Time) {
-		if next == nil || !f.mustCall(now) {
+		if next == nil || !f.shouldQuery(now) {
 			return
 		}
 		list := *next
 		next, called = nil, true
-		f.called = now
+		f.lastQuery = now
 		call(list)
 	}
 	for {
@@ -150,37 +150,37 @@
 			}
 			return
 		case a := <-answers:
-			list, wait := f.take(time.Now(), a)
+			list, wait := f.applyResult(time.Now(), a)
 			next = &list
 			if !wait {
 				soon.Reset(gatherChanges)
 			}
-		case h := <-f.handed:
-			f.takeHandover(time.Now(), h)
+		case h := <-f.peerViews:
+			f.applyPeerView(time.Now(), h)
 			if !called {
 				list = false // what was handed over can be watched on from
 			}
-		case <-f.said:
-			f.publishAgain()
+		case <-f.leavingSignal:
+			f.republish()
 		case now := <-soon.C:
 			proceed(now)
 		case now := <-sweep.C:
-			f.dropMissing(now)
+			f.expireMissing(now)
 			f.gateway.suspects.writeDue(now)
 			proceed(now)
 		}
 	}
 }
 
-// mustCall tells whether this gateway has to ask the store: it watches for its hall, or
+// shouldQuery tells whether this gateway has to ask the store: it watches for its hall, or
 // nobody who does has been heard.
-func (f *follower) mustCall(now time.Time) bool {
+func (f *storeWatcher) shouldQuery(now time.Time) bool {
 	g := f.gateway
 	age := now.Sub(g.started)
 	switch {
-	case age < electFirst, f.away && now.Sub(f.called) < f.retryAfter():
+	case age < electFirst, f.unreachable && now.Sub(f.lastQuery) < f.retryInterval():
 		return false
-	case g.watches.Load() || now.Sub(g.confirmedAt()) > unconfirmed:
+	case g.watchesStore.Load() || now.Sub(g.confirmedAt()) > confirmationTimeout:
 		return true
 	case g.options.Source.Era() > g.view.Load().Revision.Era():
 		return true // an answer to another call has told that the store has come back from a copy
@@ -189,36 +189,36 @@
 	}
 }
 
-// retryAfter is the time between tries while the store is out of reach.
-func (f *follower) retryAfter() time.Duration {
-	away := time.Duration(f.gateway.awayBeside.Load()) + 1
-	return min(max(away/2, 1)*sourceRetry, longestRetry)
+// retryInterval is the time between tries while the store is out of reach.
+func (f *storeWatcher) retryInterval() time.Duration {
+	away := time.Duration(f.gateway.hallPeersWithoutStore.Load()) + 1
+	return min(max(away/2, 1)*sourceRetryInterval, longestRetry)
 }
 
-func (f *follower) call(ctx context.Context, listed bool, revision catalog.Revision) answer {
+func (f *storeWatcher) call(ctx context.Context, listed bool, revision catalog.Revision) sourceResult {
 	if listed {
 		ctx, cancel := context.WithTimeout(ctx, listTimeout)
 		defer cancel()
 		s, err := f.gateway.options.Source.List(ctx)
-		return answer{listed: true, snapshot: s, err: err}
+		return sourceResult{listed: true, snapshot: s, err: err}
 	}
 	ctx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
 	defer cancel()
 	changes, now, err := f.gateway.options.Source.Watch(ctx, revision, watchWait)
-	return answer{since: revision, changes: changes, revision: now, err: err}
+	return sourceResult{since: revision, changes: changes, revision: now, err: err}
 }
 
-// take takes an answer over. It returns whether to list next, and whether to wait
+// applyResult takes an answer over. It returns whether to list next, and whether to wait
 // before.
-func (f *follower) take(now time.Time, a answer) (list, wait bool) {
+func (f *storeWatcher) applyResult(now time.Time, a sourceResult) (list, wait bool) {
 	f.now = now
 	known := f.gateway.view.Load().Revision
 	switch {
 	case errors.Is(a.err, ErrHistoryGone):
-		f.gateway.log.Warn().Str("event", "store.history_gone").EmbedObject(atRevision(known)).Err(a.err).Msg("list again")
+		f.gateway.log.Warn().Str("event", "store.history_gone").EmbedObject(revisionFields(known)).Err(a.err).Msg("list again")
 		return true, a.listed // a list that is late, or was made while the store came back
 	case a.err != nil:
-		f.fail(now, a.err)
+		f.recordFailure(now, a.err)
 		return true, true // a watch may have been forgotten; a list tells what there is
 	}
 	f.recover(now)
@@ -237,57 +237,57 @@
 }
 
 // takeList takes over a list, unless more is known.
-func (f *follower) takeList(now time.Time, known catalog.Revision, s Snapshot) (list, wait bool) {
+func (f *storeWatcher) takeList(now time.Time, known catalog.Revision, s Snapshot) (list, wait bool) {
 	if s.Revision.Era() == known.Era() {
 		f.gateway.confirm(now)
 	}
 	if s.Revision < known {
-		f.gateway.log.Warn().Str("event", "store.list_set_aside").EmbedObject(atRevision(s.Revision)).Stringer("known", known).Msg("older than what is known: list again")
+		f.gateway.log.Warn().Str("event", "store.list_set_aside").EmbedObject(revisionFields(s.Revision)).Stringer("known", known).Msg("older than what is known: list again")
 		return true, true
 	}
 	if s.Revision.Era() > known.Era() {
-		f.enter(s.Revision, now.Add(settleTime))
+		f.enter(s.Revision, now.Add(reconcilePeriod))
 		f.gateway.confirm(now)
 	}
-	f.mark = s.Revision
-	f.listed(now, s)
-	f.listedRollouts(now, s)
-	f.log.restart(s.Revision) // what was between is not known
+	f.changeRevision = s.Revision
+	f.applyListedCold(now, s)
+	f.applyListedRollouts(now, s)
+	f.serverChanges.restart(s.Revision) // what was between is not known
 	f.suspectLog.restart(s.Revision)
 	f.takeSnapshot(s, func(id string) { f.remove(now, id) })
 	return s.Configuration == nil, s.Configuration == nil
 }
 
-func (f *follower) fail(now time.Time, err error) {
+func (f *storeWatcher) recordFailure(now time.Time, err error) {
 	f.failed = now
-	if f.settling(now) {
-		f.settled = now.Add(settleTime) // nobody can write again meanwhile
+	if f.reconciling(now) {
+		f.settled = now.Add(reconcilePeriod) // nobody can write again meanwhile
 	}
 	for id := range f.missing {
 		f.missing[id] = now.Add(returnGrace)
 	}
-	if !f.away {
-		f.away = true
-		f.gateway.storeAway.Store(true)
-		f.gateway.peers.TellNow()
-		f.gateway.log.Warn().Str("event", "store.lost").Err(err).EmbedObject(atRevision(f.gateway.view.Load().Revision)).Msg("go on with what is known")
+	if !f.unreachable {
+		f.unreachable = true
+		f.gateway.storeUnreachable.Store(true)
+		f.gateway.peers.SendSoon()
+		f.gateway.log.Warn().Str("event", "store.lost").Err(err).EmbedObject(revisionFields(f.gateway.view.Load().Revision)).Msg("go on with what is known")
 	}
 }
 
-func (f *follower) recover(now time.Time) {
-	if f.away {
-		f.away = false
-		f.gateway.storeAway.Store(false)
+func (f *storeWatcher) recover(now time.Time) {
+	if f.unreachable {
+		f.unreachable = false
+		f.gateway.storeUnreachable.Store(false)
 		f.gateway.log.Info().Str("event", "store.regained").Dur("away", now.Sub(f.failed)).Msg("follow the store again")
 	}
 }
 
 // grace tells whether entries that are missing may come back: the store was away a
 // moment ago.
-func (f *follower) grace(now time.Time) bool { return now.Sub(f.failed) < returnGrace }
+func (f *storeWatcher) grace(now time.Time) bool { return now.Sub(f.failed) < returnGrace }
 
 // takeSnapshot takes over all there is; lacking hears of the servers that are no more.
-func (f *follower) takeSnapshot(s Snapshot, lacking func(id string)) {
+func (f *storeWatcher) takeSnapshot(s Snapshot, lacking func(id string)) {
 	for _, name := range s.Unreadable {
 		f.dropNamed(name)
 	}
@@ -298,7 +298,7 @@
 			continue
 		}
 		server.Leaving = f.leaves(server)
-		if _, missing := s.Missing[server.ID]; missing {
+		if _, missing := s.MissingUntil[server.ID]; missing {
 			server.Evacuated = false
 			f.put(server)
 			continue
@@ -310,7 +310,7 @@
 			f.lack(id, lacking)
 		}
 	}
-	if f.settling(f.now) {
+	if f.reconciling(f.now) {
 		s.Suspects = f.mergeSuspects(s.Suspects)
 	}
 	for k := range f.suspects {
@@ -319,69 +319,69 @@
 		}
 	}
 	f.suspects, f.suspectsChanged = s.Suspects, true
-	f.publish(s.Configuration, s.Raw, s.Revision)
+	f.publish(s.Configuration, s.RawConfiguration, s.Revision)
 }
 
-func (f *follower) takeChanges(now time.Time, changes []Change, revision catalog.Revision) {
+func (f *storeWatcher) takeChanges(now time.Time, changes []Change, revision catalog.Revision) {
 	v := f.gateway.view.Load()
-	configuration, raw := v.Configuration, v.Raw
-	f.mark = revision
+	configuration, raw := v.Configuration, v.RawConfiguration
+	f.changeRevision = revision
 	for _, c := range changes {
 		switch c := c.(type) {
 		case ConfigurationChanged:
 			configuration, raw = c.Configuration, c.Raw
 		case ServerChanged:
 			delete(f.revived, c.Server.Name())
-			f.warm(now, c)
+			f.updateColdState(now, c)
 			f.set(c.Server)
-		case ServerGone:
+		case ServerRemoved:
 			delete(f.revived, c.Name)
-			f.remove(now, f.current[c.Name])
+			f.remove(now, f.currentIDs[c.Name])
 		case ServerUnreadable:
 			delete(f.revived, c.Name)
 			f.dropNamed(c.Name)
 		case HallEvacuated:
 			f.evacuate(now, c)
-		case HallReturned:
-			f.takeBack(now, c.Hall)
+		case HallEvacuationEnded:
+			f.endEvacuation(now, c.Hall)
 		case RolloutOrdered:
-			f.takeOrder(now, c.Order)
+			f.applyOrder(now, c.Order)
 		case RolloutWithdrawn:
-			f.withdraw(c.Service)
-		case RolloutStated:
-			f.stated(c.Service, c.Status)
+			f.withdrawOrder(c.Service)
+		case RolloutStatusChanged:
+			f.applyRolloutStatus(c.Service, c.Status)
 		case ServerClaimed:
-			f.claimed(c.Claim)
+			f.markClaimed(c.Claim)
 		case SuspectChanged:
 			f.setSuspect(c.Key, c.Kept)
-		case SuspectGone:
+		case SuspectRemoved:
 			f.dropSuspect(c.Key)
 		}
 	}
 	f.publish(configuration, raw, revision)
 }
 
-// publishAgain makes a new view of what is known besides the store.
-func (f *follower) publishAgain() {
+// republish makes a new view of what is known besides the store.
+func (f *storeWatcher) republish() {
 	v := f.gateway.view.Load()
-	f.publish(v.Configuration, v.Raw, v.Revision)
+	f.publish(v.Configuration, v.RawConfiguration, v.Revision)
 }
 
 // publish makes a new view known. A configuration never steps back.
-func (f *follower) publish(c *catalog.Configuration, raw []byte, revision catalog.Revision) {
+func (f *storeWatcher) publish(c *catalog.Configuration, raw []byte, revision catalog.Revision) {
 	old := f.gateway.view.Load()
 	if old.Configuration != nil && (c == nil || c.Version < old.Configuration.Version) {
-		c, raw = old.Configuration, old.Raw
+		c, raw = old.Configuration, old.RawConfiguration
 	}
 	if c != nil && (old.Configuration == nil || c.Version != old.Configuration.Version) {
 		f.gateway.log.Info().Str("event", "configuration.in_force").Uint64("version", c.Version).
-			EmbedObject(atRevision(revision)).Int("routes", len(c.Routes)).Int("accounts", len(c.Accounts)).Msg("apply")
+			EmbedObject(revisionFields(revision)).Int("routes", len(c.Routes)).Int("accounts", len(c.Accounts)).Msg("apply")
 	}
 	v := &View{
-		Configuration: c, Raw: raw, Revision: max(revision, old.Revision), Missing: maps.Clone(f.missing),
-		Evacuated: maps.Clone(f.halls), Cold: maps.Clone(f.cold), log: f.log,
-		Rollouts: f.rollouts, Suspects: f.suspects, suspectLog: f.suspectLog,
-		Settled: f.settled, Revived: slices.Collect(maps.Values(f.revived)),
+		Configuration: c, RawConfiguration: raw, Revision: max(revision, old.Revision), MissingUntil: maps.Clone(f.missing),
+		Evacuated: maps.Clone(f.evacuations), Cold: maps.Clone(f.cold), serverChanges: f.serverChanges,
+		Rollouts: f.rollouts, Suspects: f.suspects, suspectChanges: f.suspectLog,
+		ReconcileUntil: f.settled, Unverified: slices.Collect(maps.Values(f.revived)),
 	}
 	if f.order == nil {
 		f.order = slices.Sorted(maps.Keys(f.servers))
@@ -389,19 +389,19 @@
 	v.Servers = make([]catalog.Server, len(f.order))
 	for i, id := range f.order {
 		v.Servers[i] = f.servers[id]
-		_, v.Servers[i].Evacuated = f.halls[v.Servers[i].Hall]
+		_, v.Servers[i].Evacuated = f.evacuations[v.Servers[i].Hall]
 	}
 	now := time.Now()
-	v.Left = f.gateway.signals.mark(now, v.Servers)
+	v.ReportedLeaving = f.gateway.signals.applyTo(now, v.Servers)
 	changed := c != old.Configuration || !slices.Equal(v.Servers, old.Servers) || !maps.Equal(v.Cold, old.Cold) || !maps.Equal(v.Rollouts, old.Rollouts)
 	f.gateway.view.Store(v)
 	f.gateway.crashes.viewChanged(now, old.Servers, v.Servers)
 	if f.suspectsChanged {
 		f.suspectsChanged = false
-		f.gateway.suspects.kept(now, old.Suspects, v.Suspects, f.gateway.watches.Load())
+		f.gateway.suspects.kept(now, old.Suspects, v.Suspects, f.gateway.watchesStore.Load())
 	}
 	if changed {
-		f.gateway.desk.viewChanged(v)
-		f.gateway.peers.TellNow()
+		f.gateway.dispatcher.viewChanged(v)
+		f.gateway.peers.SendSoon()
 	}
 }
--- a/gateway/view_bench_test.go
+++ b/gateway/view_bench_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	g := (&world{now: now, node: node}).newGateway()
+	g := (&simWorld{now: now, node: node}).newGateway()
 	c, err := catalog.NewConfiguration(catalog.Document{Version: 1, Services: []catalog.Service{{Name: "s"}}})
 	if err != nil {
 		b.Fatal(err)
@@ -31,16 +31,16 @@
 	for i := range gateways {
 		running := map[uint64]int{}
 		for n := range serversEach {
-			running[hash(fmt.Sprintf("i-%04d", (i*serversEach+n)%servers))] = 1
+			running[hashString(fmt.Sprintf("i-%04d", (i*serversEach+n)%servers))] = 1
 		}
-		g.desk.gateways[fmt.Sprint(i)] = running
+		g.dispatcher.peerRunning[fmt.Sprint(i)] = running
 	}
-	g.follower.takeChanges(now, list, servers)
-	g.drain(now)
+	g.storeWatcher.takeChanges(now, list, servers)
+	g.handleMessages(now)
 	for i := range b.N {
 		one := list[1].(ServerChanged)
 		one.Server.Leaving = i%2 == 0
-		g.follower.takeChanges(now, []Change{one}, catalog.Revision(servers+1+i))
-		g.drain(now)
+		g.storeWatcher.takeChanges(now, []Change{one}, catalog.Revision(servers+1+i))
+		g.handleMessages(now)
 	}
 }
--- a/gateway/view_test.go
+++ b/gateway/view_test.go
@@ -11,21 +11,23 @@
 	"opalbridge.dev/gateway/peer"
 )
 
-// quiet is a gateway whose duties do not run.
-func quiet(t *testing.T) *Gateway {
+// newIdleGateway is a gateway whose duties do not run.
+func newIdleGateway(t *testing.T) *Gateway {
 	t.Helper()
 	g, err := New(Options{
-		Peer: peer.Options{Address: "127.0.0.1:0"}, Log: zerolog.Nop(), Desk: DeskSettings{Shares: time.Second, Hall: "h"},
+		Peer: peer.Options{Address: "127.0.0.1:0"}, Log: zerolog.Nop(), Dispatcher: DispatcherOptions{ShareWindow: time.Second, Hall: "h"},
 	})
 	require.NoError(t, err)
 	return g
 }
 
-func ready(id string) catalog.Server { return catalog.Server{ID: id, Service: "s"} }
+func readyServer(id string) catalog.Server { return catalog.Server{ID: id, Service: "s"} }
 
-func leaving(id string) catalog.Server { return catalog.Server{ID: id, Service: "s", Leaving: true} }
+func leavingServer(id string) catalog.Server {
+	return catalog.Server{ID: id, Service: "s", Leaving: true}
+}
 
-func version(n uint64) *catalog.Configuration {
+func configurationVersion(n uint64) *catalog.Configuration {
 	return &catalog.Configuration{Document: catalog.Document{Version: n}}
 }
 
@@ -44,19 +46,19 @@
 func TestLateAnswersDoNotTurnBack(t *testing.T) {
 	tests := []struct {
 		name string
-		late answer
+		late sourceResult
 	}{
-		{"watch", answer{since: 3, revision: 5, changes: []Change{ServerChanged{Server: ready("i-1")}, ServerGone{"i-2"}}}},
-		{"list", answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{ready("i-1")}, Revision: 5}}},
+		{"watch", sourceResult{since: 3, revision: 5, changes: []Change{ServerChanged{Server: readyServer("i-1")}, ServerRemoved{"i-2"}}}},
+		{"list", sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{readyServer("i-1")}, Revision: 5}}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := quiet(t)
-			f := g.follower
+			g := newIdleGateway(t)
+			f := g.storeWatcher
 			now := time.Now()
-			f.take(now, answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{ready("i-1")}, Revision: 3}})
-			f.takeHandover(now, handover{snapshot: Snapshot{Configuration: version(2), Servers: []catalog.Server{leaving("i-1"), ready("i-2")}, Revision: 9}})
-			f.take(now, test.late)
+			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{readyServer("i-1")}, Revision: 3}})
+			f.applyPeerView(now, peerView{snapshot: Snapshot{Configuration: configurationVersion(2), Servers: []catalog.Server{leavingServer("i-1"), readyServer("i-2")}, Revision: 9}})
+			f.applyResult(now, test.late)
 			require.Equal(t, []string{"i-1"}, g.leavingServers(), "a leaving server must not seem ready again")
 			require.Len(t, g.view.Load().Servers, 2)
 			require.Equal(t, catalog.Revision(9), g.view.Load().Revision)
@@ -74,22 +76,22 @@
 		server catalog.Server
 		kept   bool
 	}{
-		{"calm", 0, ready("i-1"), false},
-		{"store failed a moment ago", time.Second, ready("i-1"), true},
-		{"store failed long ago", time.Minute, ready("i-1"), false},
-		{"it was leaving", time.Second, leaving("i-1"), false},
+		{"calm", 0, readyServer("i-1"), false},
+		{"store failed a moment ago", time.Second, readyServer("i-1"), true},
+		{"store failed long ago", time.Minute, readyServer("i-1"), false},
+		{"it was leaving", time.Second, leavingServer("i-1"), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := quiet(t)
-			f := g.follower
-			f.take(now, answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{test.server}, Revision: 3}})
+			g := newIdleGateway(t)
+			f := g.storeWatcher
+			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{test.server}, Revision: 3}})
 			if test.failed > 0 {
 				f.failed = now.Add(-test.failed) // and has answered since
 			}
-			f.take(now, answer{since: 3, revision: 4, changes: []Change{ServerGone{"i-1"}}})
+			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
 			require.Equal(t, test.kept, len(g.view.Load().Servers) == 1)
-			f.dropMissing(now.Add(returnGrace + time.Millisecond))
+			f.expireMissing(now.Add(returnGrace + time.Millisecond))
 			require.Empty(t, g.view.Load().Servers, "an entry that does not come back is gone")
 		})
 	}
@@ -98,13 +100,13 @@
 // TestMissingServerReturns in time and stays.
 func TestMissingServerReturns(t *testing.T) {
 	now := time.Now()
-	g := quiet(t)
-	f := g.follower
-	f.take(now, answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{ready("i-1")}, Revision: 3}})
+	g := newIdleGateway(t)
+	f := g.storeWatcher
+	f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{readyServer("i-1")}, Revision: 3}})
 	f.failed = now
-	f.take(now, answer{since: 3, revision: 4, changes: []Change{ServerGone{"i-1"}}})
-	f.take(now, answer{since: 4, revision: 5, changes: []Change{ServerChanged{Server: ready("i-1")}}})
-	f.dropMissing(now.Add(time.Minute))
+	f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
+	f.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: readyServer("i-1")}}})
+	f.expireMissing(now.Add(time.Minute))
 	require.Len(t, g.view.Load().Servers, 1)
 }
 
@@ -112,16 +114,16 @@
 // over as such; who takes the view over drops it as well if it does not come back.
 func TestHandedOverMissingServers(t *testing.T) {
 	now := time.Now()
-	from, to := quiet(t), quiet(t)
-	f := from.follower
-	f.take(now, answer{listed: true, snapshot: Snapshot{Configuration: version(1), Servers: []catalog.Server{ready("i-1"), ready("i-2")}, Revision: 3}})
-	f.fail(now, ErrHistoryGone)
-	f.take(now, answer{since: 3, revision: 4, changes: []Change{ServerGone{"i-1"}}})
-	s := from.view.Load().document(now).snapshot(now)
-	s.Configuration = version(1)
-	to.follower.takeHandover(now, handover{snapshot: s})
+	from, to := newIdleGateway(t), newIdleGateway(t)
+	f := from.storeWatcher
+	f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{readyServer("i-1"), readyServer("i-2")}, Revision: 3}})
+	f.recordFailure(now, ErrHistoryGone)
+	f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
+	s := from.view.Load().document(now).decodeSnapshot(now)
+	s.Configuration = configurationVersion(1)
+	to.storeWatcher.applyPeerView(now, peerView{snapshot: s})
 	require.Len(t, to.view.Load().Servers, 2)
 	later := now.Add(returnGrace + time.Millisecond)
-	to.follower.dropMissing(later)
-	require.Equal(t, []catalog.Server{ready("i-2")}, to.view.Load().Servers)
+	to.storeWatcher.expireMissing(later)
+	require.Equal(t, []catalog.Server{readyServer("i-2")}, to.view.Load().Servers)
 }
--- a/gateway/wait.go
+++ b/gateway/wait_queue.go
@@ -11,7 +11,7 @@
 const (
 	// Requests that wait are looked through this often: a server reads some hundred to a
 	// thousand tokens meanwhile.
-	waitEvery = 10 * time.Millisecond
+	waitScanInterval = 10 * time.Millisecond
 	// Requests sent at one look. Other gateways see the same idle servers; they hear of
 	// these within 2 ms and look themselves up to 10 ms later.
 	mostSent = 4
@@ -34,19 +34,19 @@
 
 // waiter is a request that waits.
 type waiter struct {
-	message placeMessage
+	message placementRequest
 	since   time.Time
-	ask     placement.Ask // as it arrived
+	ask     placement.Request // as it arrived
 	hold    placement.Hold
 	ahead   float64 // of its account, as of the latest look
 }
 
 func (q *waitQueue) add(w *waiter) {
 	if len(q.list) == 0 {
-		q.timer.Reset(waitEvery)
+		q.timer.Reset(waitScanInterval)
 	}
 	q.list = append(q.list, w)
-	q.reading += w.hold.Reading
+	q.reading += w.hold.PrefillTime
 }
 
 // furthest returns the waiter whose account is furthest ahead of its even share, among
@@ -63,13 +63,13 @@
 
 func (q *waitQueue) remove(w *waiter) {
 	q.list = slices.DeleteFunc(q.list, func(x *waiter) bool { return x == w })
-	q.reading -= w.hold.Reading
+	q.reading -= w.hold.PrefillTime
 }
 
 // gone tells whether nobody waits for the decision any more.
 func (w *waiter) gone() bool {
 	select {
-	case <-w.message.ended:
+	case <-w.message.done:
 		return true
 	default:
 		return false
@@ -79,41 +79,41 @@
 // age brings the waiter's request up to date.
 func (w *waiter) age(now time.Time) {
 	waited := now.Sub(w.since)
-	a := w.message.ask
+	a := w.message.request
 	*a = w.ask
-	a.Held, a.Waited = w.hold.Reason, waited
+	a.HoldReason, a.Waited = w.hold.Reason, waited
 	a.Objective = objectiveLeft(a.Objective, waited)
 	a.Remaining -= waited
-	a.Patience -= waited
+	a.CallerTimeout -= waited
 }
 
 // place answers a request, or lets it wait.
-func (d *desk) place(now time.Time, m placeMessage) {
+func (d *dispatcher) place(now time.Time, m placementRequest) {
 	decision := d.decide(now, m)
 	hold, ok := decision.(placement.Hold)
 	if !ok {
 		m.reply <- decision
 		return
 	}
-	w := &waiter{message: m, since: now, ask: *m.ask, hold: hold, ahead: m.ask.Ahead}
+	w := &waiter{message: m, since: now, ask: *m.request, hold: hold, ahead: m.request.ShareRatio}
 	if !d.crowded(w) {
-		d.waits.add(w)
+		d.queue.add(w)
 		return
 	}
 	// The account that is furthest ahead makes room.
-	if f := d.waits.furthest(); f != nil && f.ahead > w.ahead {
-		d.waits.remove(f)
+	if f := d.queue.furthest(); f != nil && f.ahead > w.ahead {
+		d.queue.remove(f)
 		d.turnAway(f)
-		d.waits.add(w)
+		d.queue.add(w)
 		return
 	}
 	d.turnAway(w)
 }
 
 // turnAway refuses a request for which the queue has no place.
-func (d *desk) turnAway(w *waiter) {
-	after := d.settings.Policy.LeastRetryAfter
-	if w.hold.Reason == placement.Resting {
+func (d *dispatcher) turnAway(w *waiter) {
+	after := d.settings.Policy.MinRetryAfter
+	if w.hold.Reason == placement.BackingOff {
 		after = max(after, w.hold.Predicted)
 	}
 	w.message.reply <- placement.Refuse{RetryAfter: after, Predicted: w.hold.Predicted, Reason: w.hold.Reason}
@@ -122,34 +122,34 @@
 // crowded tells whether so many wait already that a request would come too late: it is
 // refused at once then. The other gateways are taken to hold as much as this one, and half
 // of the servers' time to be left by requests that pass.
-func (d *desk) crowded(w *waiter) bool {
-	if len(d.waits.list) >= mostWaiting {
+func (d *dispatcher) crowded(w *waiter) bool {
+	if len(d.queue.list) >= mostWaiting {
 		return true
 	}
-	if w.hold.Reason == placement.Resting {
+	if w.hold.Reason == placement.BackingOff {
 		return false // nobody reads meanwhile
 	}
-	servers := max(d.board.Servers(w.ask.Service), 1)
-	wait := 2 * d.waits.reading * time.Duration(d.fleetSize()) / time.Duration(servers)
+	servers := max(d.balancer.ServerCount(w.ask.Service), 1)
+	wait := 2 * d.queue.reading * time.Duration(d.fleetSize()) / time.Duration(servers)
 	if w.hold.Reason == placement.OverShare {
-		return wait > d.settings.Policy.SpareMoment(&w.ask)
+		return wait > d.settings.Policy.SurplusHold(&w.ask)
 	}
-	return wait+w.hold.Reading > w.ask.Patience/2
+	return wait+w.hold.PrefillTime > w.ask.CallerTimeout/2
 }
 
-// look finds servers that have room for those that wait: accounts that got least go first,
+// scanWaiting finds servers that have room for those that wait: accounts that got least go first,
 // and of each the request that came first.
-func (d *desk) look(now time.Time) {
-	for _, w := range d.waits.list {
-		w.ahead = d.book.Standing(w.ask.Account).Ahead
+func (d *dispatcher) scanWaiting(now time.Time) {
+	for _, w := range d.queue.list {
+		w.ahead = d.shares.Status(w.ask.Account).ShareRatio
 	}
-	slices.SortStableFunc(d.waits.list, func(x, y *waiter) int { return cmp.Compare(x.ahead, y.ahead) })
+	slices.SortStableFunc(d.queue.list, func(x, y *waiter) int { return cmp.Compare(x.ahead, y.ahead) })
 	placed, sent := 0, 0
-	left := d.waits.list[:0]
-	for _, w := range d.waits.list {
+	left := d.queue.list[:0]
+	for _, w := range d.queue.list {
 		if w.gone() {
-			d.waits.reading -= w.hold.Reading
-			w.message.reply <- placement.None{} // nobody reads it
+			d.queue.reading -= w.hold.PrefillTime
+			w.message.reply <- placement.NoServer{} // nobody reads it
 			continue
 		}
 		if placed >= mostPlaced || sent >= mostSent {
@@ -160,8 +160,8 @@
 		w.age(now)
 		decision := d.decide(now, w.message)
 		if h, ok := decision.(placement.Hold); ok {
-			if w.hold.Reason == placement.Resting {
-				d.waits.reading += h.Reading - w.hold.Reading
+			if w.hold.Reason == placement.BackingOff {
+				d.queue.reading += h.PrefillTime - w.hold.PrefillTime
 				w.hold = h // why it waits now
 			}
 			left = append(left, w)
@@ -170,12 +170,12 @@
 		if _, ok := decision.(placement.Assign); ok {
 			sent++
 		}
-		d.waits.reading -= w.hold.Reading
+		d.queue.reading -= w.hold.PrefillTime
 		w.message.reply <- decision
 	}
-	clear(d.waits.list[len(left):])
-	d.waits.list = left
+	clear(d.queue.list[len(left):])
+	d.queue.list = left
 	if len(left) > 0 {
-		d.waits.timer.Reset(waitEvery)
+		d.queue.timer.Reset(waitScanInterval)
 	}
 }
--- a/gateway/wait_test.go
+++ b/gateway/wait_queue_test.go
@@ -14,12 +14,12 @@
 	"opalbridge.dev/gateway/placement"
 )
 
-// modelDesk is a desk before model servers, whose duty does not run.
-func modelDesk(t testing.TB, now time.Time, servers int) *desk {
+// newTestDispatcher is a desk before model servers, whose duty does not run.
+func newTestDispatcher(t testing.TB, now time.Time, servers int) *dispatcher {
 	t.Helper()
 	g, err := New(Options{
 		Peer: peer.Options{Address: "127.0.0.1:0"}, Log: zerolog.Nop(),
-		Desk: DeskSettings{Shares: 4 * time.Second, Hall: "h", Policy: placement.DefaultPolicy(), Repeats: budget.Limits{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}},
+		Dispatcher: DispatcherOptions{ShareWindow: 4 * time.Second, Hall: "h", Policy: placement.DefaultPolicy(), Retries: budget.Limits{Ratio: 0.2, FixedRetries: 50, Window: 10 * time.Second}},
 	})
 	require.NoError(t, err)
 	c, err := catalog.NewConfiguration(catalog.Document{
@@ -31,55 +31,55 @@
 	for i := range servers {
 		v.Servers = append(v.Servers, catalog.Server{ID: fmt.Sprintf("i-%d", i), Service: "s", Hall: "h"})
 	}
-	d := g.desk
-	d.waits.timer = time.NewTimer(time.Hour)
+	d := g.dispatcher
+	d.queue.timer = time.NewTimer(time.Hour)
 	d.setView(now, v)
 	return d
 }
 
 // busy gives every server so much to read.
-func (d *desk) busy(now time.Time, work time.Duration) {
-	for id := range d.ids {
-		d.board.Sent(now, placement.Load{Server: d.ids[id], Work: work}, false)
+func (d *dispatcher) busy(now time.Time, work time.Duration) {
+	for id := range d.serverIDs {
+		d.balancer.RecordSent(now, placement.Load{Server: d.serverIDs[id], Work: work}, false)
 	}
 }
 
-// request asks for a place for a request of an account.
-func (d *desk) request(now time.Time, account string, change func(a *placement.Ask)) (reply chan placement.Decision, leave func()) {
-	a := &placement.Ask{
-		Service: "s", Account: account, Hall: "h", Prompt: 1000, Objective: 300 * time.Millisecond,
-		Patience: 2400 * time.Millisecond, Remaining: 10 * time.Second,
+// placeRequest asks for a place for a placeRequest of an account.
+func (d *dispatcher) placeRequest(now time.Time, account string, change func(a *placement.Request)) (reply chan placement.Decision, leave func()) {
+	a := &placement.Request{
+		Service: "s", Account: account, Hall: "h", PromptTokens: 1000, Objective: 300 * time.Millisecond,
+		CallerTimeout: 2400 * time.Millisecond, Remaining: 10 * time.Second,
 	}
 	if change != nil {
 		change(a)
 	}
 	reply = make(chan placement.Decision, 1)
 	ended := make(chan struct{})
-	d.place(now, placeMessage{ask: a, tokens: 1000, ended: ended, reply: reply})
+	d.place(now, placementRequest{request: a, tokens: 1000, done: ended, reply: reply})
 	return reply, func() { close(ended) }
 }
 
 // overdrawn is an account that has got more than its share.
-func (d *desk) overdrawn(now time.Time, account string, tokens float64) {
-	d.book.Ask(now, account, 10*tokens)
-	d.book.Admit(now, account, tokens)
-	d.book.Settle(now, 1000)
+func (d *dispatcher) overdrawn(now time.Time, account string, tokens float64) {
+	d.shares.RecordAsked(now, account, 10*tokens)
+	d.shares.RecordAdmitted(now, account, tokens)
+	d.shares.Recompute(now, 1000)
 }
 
 // TestLateRequestsWait: what can't be in time any more is neither refused nor put before
 // those that can be; it is sent when servers hardly wait.
 func TestLateRequestsWait(t *testing.T) {
 	now := time.Now()
-	d := modelDesk(t, now, 2)
+	d := newTestDispatcher(t, now, 2)
 	d.busy(now, 600*time.Millisecond)
-	reply, _ := d.request(now, "a", nil)
+	reply, _ := d.placeRequest(now, "a", nil)
 	require.Empty(t, reply)
-	d.look(now.Add(300 * time.Millisecond))
+	d.scanWaiting(now.Add(300 * time.Millisecond))
 	require.Empty(t, reply, "servers have 300 ms to read")
-	d.look(now.Add(590 * time.Millisecond))
+	d.scanWaiting(now.Add(590 * time.Millisecond))
 	require.IsType(t, placement.Assign{}, <-reply)
-	require.Empty(t, d.waits.list)
-	require.Zero(t, d.waits.reading)
+	require.Empty(t, d.queue.list)
+	require.Zero(t, d.queue.reading)
 }
 
 // TestBeyondShareWaitsAMoment: one that can still be in time is held until a server runs
@@ -97,12 +97,12 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Now()
-			d := modelDesk(t, now, 3)
+			d := newTestDispatcher(t, now, 3)
 			d.overdrawn(now, "a", 9000)
 			d.busy(now, test.work)
-			reply, _ := d.request(now, "a", nil)
+			reply, _ := d.placeRequest(now, "a", nil)
 			require.Empty(t, reply)
-			d.look(now.Add(test.look))
+			d.scanWaiting(now.Add(test.look))
 			require.IsType(t, test.want, <-reply)
 		})
 	}
@@ -112,17 +112,17 @@
 // served first, and a full queue turns away the one that got most.
 func TestFurthestAheadGoesLast(t *testing.T) {
 	now := time.Now()
-	d := modelDesk(t, now, 1)
+	d := newTestDispatcher(t, now, 1)
 	d.overdrawn(now, "much", 9000)
 	d.overdrawn(now, "less", 6000)
 	d.busy(now, 100*time.Millisecond)
-	long := func(a *placement.Ask) { a.Prompt = 1200 }
-	much, _ := d.request(now, "much", long)
+	long := func(a *placement.Request) { a.PromptTokens = 1200 }
+	much, _ := d.placeRequest(now, "much", long)
 	require.Empty(t, much)
-	less, _ := d.request(now, "less", long)
+	less, _ := d.placeRequest(now, "less", long)
 	require.Empty(t, less)
 	require.IsType(t, placement.Refuse{}, <-much, "there is place for one")
-	again, _ := d.request(now, "much", long)
+	again, _ := d.placeRequest(now, "much", long)
 	require.IsType(t, placement.Refuse{}, <-again, "refused at once: nobody is further ahead")
 }
 
@@ -141,10 +141,10 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Now()
-			d := modelDesk(t, now, 2)
+			d := newTestDispatcher(t, now, 2)
 			d.overdrawn(now, "other", 4000)
 			d.overdrawn(now, "a", test.got)
-			reply, _ := d.request(now, "a", nil)
+			reply, _ := d.placeRequest(now, "a", nil)
 			require.NotEmpty(t, reply, "nobody is held in vain")
 			require.IsType(t, test.want, <-reply)
 		})
@@ -154,11 +154,11 @@
 // TestLongQueueRefuses: who would come too late is told so at once.
 func TestLongQueueRefuses(t *testing.T) {
 	now := time.Now()
-	d := modelDesk(t, now, 1)
+	d := newTestDispatcher(t, now, 1)
 	d.busy(now, time.Second)
 	waiting, refused := 0, 0
 	for range 100 {
-		reply, _ := d.request(now, "a", func(a *placement.Ask) { a.Prompt = 4000 })
+		reply, _ := d.placeRequest(now, "a", func(a *placement.Request) { a.PromptTokens = 4000 })
 		if len(reply) == 0 {
 			waiting++
 			continue
@@ -168,19 +168,19 @@
 	}
 	require.Positive(t, refused)
 	require.Positive(t, waiting)
-	require.Less(t, d.waits.reading, 1200*time.Millisecond, "half of what callers wait")
+	require.Less(t, d.queue.reading, 1200*time.Millisecond, "half of what callers wait")
 }
 
 // TestWhoLeavesWaitsNoMore: a caller that has gone gets no server.
 func TestWhoLeavesWaitsNoMore(t *testing.T) {
 	now := time.Now()
-	d := modelDesk(t, now, 1)
+	d := newTestDispatcher(t, now, 1)
 	d.busy(now, time.Second)
-	reply, leave := d.request(now, "a", nil)
+	reply, leave := d.placeRequest(now, "a", nil)
 	require.Empty(t, reply)
 	leave()
-	d.look(now.Add(2 * time.Second))
-	require.IsType(t, placement.None{}, <-reply)
+	d.scanWaiting(now.Add(2 * time.Second))
+	require.IsType(t, placement.NoServer{}, <-reply)
 	require.Empty(t, d.running)
 }
 
@@ -188,12 +188,12 @@
 // server rather than refused.
 func TestHeldAreServedAtLast(t *testing.T) {
 	now := time.Now()
-	d := modelDesk(t, now, 1)
+	d := newTestDispatcher(t, now, 1)
 	d.busy(now, time.Second)
-	reply, _ := d.request(now, "a", nil)
+	reply, _ := d.placeRequest(now, "a", nil)
 	for at := 100 * time.Millisecond; at < 2400*time.Millisecond && len(reply) == 0; at += 100 * time.Millisecond {
 		d.busy(now.Add(at), 100*time.Millisecond) // those that are in time keep coming
-		d.look(now.Add(at))
+		d.scanWaiting(now.Add(at))
 	}
 	require.IsType(t, placement.Assign{}, <-reply)
 }
@@ -202,37 +202,37 @@
 // engines; one that has learned itself doesn't.
 func TestSpeedsAreHandedOn(t *testing.T) {
 	now := time.Now()
-	d := modelDesk(t, now, 3)
-	require.Empty(t, d.learned(), "nothing is known yet")
-	told := peer.Speed{Service: hash("s"), Reading: 0.4, FirstStep: 20 * time.Millisecond}
-	d.update(now, peer.Update{From: "p", Alive: true, Whole: true, Speeds: []peer.Speed{told, {Service: 1, Reading: 9}}})
-	require.Equal(t, placement.Speed{Reading: 0.4, FirstStep: 20 * time.Millisecond, Learned: true}, d.board.Speed("s"))
-	require.Equal(t, []peer.Speed{told}, d.learned(), "it hands them on")
-	d.update(now, peer.Update{From: "q", Alive: true, Whole: true, Speeds: []peer.Speed{{Service: hash("s"), Reading: 5, FirstStep: time.Second}}})
-	require.Equal(t, []peer.Speed{told}, d.learned())
+	d := newTestDispatcher(t, now, 3)
+	require.Empty(t, d.learnedSpeeds(), "nothing is known yet")
+	told := peer.Speed{Service: hashString("s"), PrefillSlowdown: 0.4, FirstEventDelay: 20 * time.Millisecond}
+	d.applyUpdate(now, peer.Update{From: "p", Alive: true, Full: true, Speeds: []peer.Speed{told, {Service: 1, PrefillSlowdown: 9}}})
+	require.Equal(t, placement.Speed{PrefillSlowdown: 0.4, FirstEventDelay: 20 * time.Millisecond, Learned: true}, d.balancer.Speed("s"))
+	require.Equal(t, []peer.Speed{told}, d.learnedSpeeds(), "it hands them on")
+	d.applyUpdate(now, peer.Update{From: "q", Alive: true, Full: true, Speeds: []peer.Speed{{Service: hashString("s"), PrefillSlowdown: 5, FirstEventDelay: time.Second}}})
+	require.Equal(t, []peer.Speed{told}, d.learnedSpeeds())
 }
 
 // TestOthersRunning: what other gateways run is known from whole beacons and from those
 // that tell changes only.
 func TestOthersRunning(t *testing.T) {
 	now := time.Now()
-	d := modelDesk(t, now, 2)
-	first, second := hash("i-0"), hash("i-1")
+	d := newTestDispatcher(t, now, 2)
+	first, second := hashString("i-0"), hashString("i-1")
 	steps := []struct {
 		update peer.Update
 		want   map[uint64]int
 	}{
-		{peer.Update{From: "p", Alive: true, Whole: true, Running: map[uint64]int{first: 3}}, map[uint64]int{first: 3}},
+		{peer.Update{From: "p", Alive: true, Full: true, Running: map[uint64]int{first: 3}}, map[uint64]int{first: 3}},
 		{peer.Update{From: "p", Alive: true, Running: map[uint64]int{second: 2}}, map[uint64]int{first: 3, second: 2}},
 		{peer.Update{From: "p", Alive: true, Running: map[uint64]int{first: 0}}, map[uint64]int{second: 2}},
-		{peer.Update{From: "p", Alive: true, Whole: true, Running: map[uint64]int{first: 1}}, map[uint64]int{first: 1}},
+		{peer.Update{From: "p", Alive: true, Full: true, Running: map[uint64]int{first: 1}}, map[uint64]int{first: 1}},
 		{peer.Update{From: "p"}, nil},
 		{peer.Update{From: "q", Alive: true, Running: map[uint64]int{second: 4}}, nil},
 	}
 	for _, s := range steps {
-		d.update(now, s.update)
-		require.Equal(t, s.want, d.gateways["p"])
+		d.applyUpdate(now, s.update)
+		require.Equal(t, s.want, d.peerRunning["p"])
 	}
-	require.Equal(t, map[uint64]int{second: 4}, d.gateways["q"], "its whole beacon was lost")
-	require.EqualValues(t, 1, d.peersAlive.Load())
+	require.Equal(t, map[uint64]int{second: 4}, d.peerRunning["q"], "its whole beacon was lost")
+	require.EqualValues(t, 1, d.livePeers.Load())
 }
--- a/gateway/warmth.go
+++ b/gateway/warmth.go
@@ -16,8 +16,8 @@
 	Since    time.Time        // when this gateway, or the one that told it, heard of it
 }
 
-// coldness is what is known of a server that is cold, was, or may become so.
-type coldness struct {
+// coldState is what is known of a server that is cold, was, or may become so.
+type coldState struct {
 	Told      time.Time // it is cold until then, as it says itself; zero: it has not said so
 	Assumed   time.Time // it is taken to be cold until then, since its hall has come back
 	Episode   warmup.Episode
@@ -27,7 +27,7 @@
 }
 
 // until returns when the server will be warm.
-func (c coldness) until() time.Time { return latest(c.Told, c.Assumed) }
+func (c coldState) until() time.Time { return latest(c.Told, c.Assumed) }
 
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
@@ -36,20 +36,20 @@
 	return b
 }
 
-// warm takes over what a server's entry, as the store's watch has told it, says of its
+// updateColdState takes over what a server's entry, as the store's watch has told it, says of its
 // coldness.
-func (f *follower) warm(now time.Time, s ServerChanged) {
+func (f *storeWatcher) updateColdState(now time.Time, s ServerChanged) {
 	id := s.Server.ID
 	c, told := f.cold[id]
 	_, known := f.servers[id]
-	hall, evacuated := f.halls[s.Server.Hall]
+	hall, evacuated := f.evacuations[s.Server.Hall]
 	if !known && !told {
 		// What appears while the store settles may have been there before it came back.
-		c = coldness{Witnessed: !f.settling(now), Episode: startEpisode(f.mark)}
+		c = coldState{Witnessed: !f.reconciling(now), Episode: startEpisode(f.changeRevision)}
 		if evacuated {
 			c.Episode = hall.Revision
 		}
-		if _, again := f.current[s.Server.Name()]; again && !evacuated {
+		if _, again := f.currentIDs[s.Server.Name()]; again && !evacuated {
 			c.Clear = now // the lifetime before got work until now, and the bound holds over both
 		}
 	}
@@ -75,12 +75,12 @@
 func startEpisode(r catalog.Revision) warmup.Episode { return catalog.NewRevision(r.Era(), 0) }
 
 // evacuate takes over that a hall is evacuated. A new episode begins for its servers.
-func (f *follower) evacuate(now time.Time, e HallEvacuated) {
+func (f *storeWatcher) evacuate(now time.Time, e HallEvacuated) {
 	since := now
-	if old, already := f.halls[e.Hall]; already {
+	if old, already := f.evacuations[e.Hall]; already {
 		since = old.Since
 	}
-	f.halls[e.Hall] = evacuation{Revision: e.Revision, Since: since}
+	f.evacuations[e.Hall] = evacuation{Revision: e.Revision, Since: since}
 	for id, s := range f.servers {
 		if s.Hall != e.Hall {
 			continue
@@ -88,20 +88,20 @@
 		c := f.cold[id]
 		c.Episode, c.Clear, c.Witnessed, c.Claimed = e.Revision, since, true, false
 		f.cold[id] = c
-		f.log.add(f.mark, id)
+		f.serverChanges.add(f.changeRevision, id)
 	}
-	f.gateway.log.Info().Str("event", "hall.evacuated").Str("hall", e.Hall).EmbedObject(atRevision(e.Revision)).Msg("no new work for its servers")
+	f.gateway.log.Info().Str("event", "hall.evacuated").Str("hall", e.Hall).EmbedObject(revisionFields(e.Revision)).Msg("no new work for its servers")
 }
 
-// takeBack takes over that a hall's evacuation has ended. Its servers may have become cold
+// endEvacuation takes over that a hall's evacuation has ended. Its servers may have become cold
 // a moment before and not have said so, so they count as cold for as long as servers that
 // have just started, whatever they said last.
-func (f *follower) takeBack(now time.Time, hall string) {
-	e, evacuated := f.halls[hall]
+func (f *storeWatcher) endEvacuation(now time.Time, hall string) {
+	e, evacuated := f.evacuations[hall]
 	if !evacuated {
 		return
 	}
-	delete(f.halls, hall)
+	delete(f.evacuations, hall)
 	for id, s := range f.servers {
 		if s.Hall != hall {
 			continue
@@ -109,13 +109,13 @@
 		c := f.cold[id]
 		c.Assumed = latest(c.Assumed, now.Add(f.coldFor(s.Service)))
 		f.cold[id] = c
-		f.log.add(f.mark, id)
+		f.serverChanges.add(f.changeRevision, id)
 	}
 	f.gateway.log.Info().Str("event", "hall.returned").Str("hall", hall).Dur("after", now.Sub(e.Since)).Msg("its servers get work as their warmth allows")
 }
 
 // coldFor returns how long servers of a service are cold after their start.
-func (f *follower) coldFor(service string) time.Duration {
+func (f *storeWatcher) coldFor(service string) time.Duration {
 	v := f.gateway.view.Load()
 	if v.Configuration == nil {
 		return 0
@@ -126,31 +126,31 @@
 	return 0
 }
 
-// claimed takes over that some gateway holds a server.
-func (f *follower) claimed(claim warmup.Claim) {
+// markClaimed takes over that some gateway holds a server.
+func (f *storeWatcher) markClaimed(claim warmup.Claim) {
 	if c, known := f.cold[claim.Server]; known && c.Episode == claim.Episode {
 		c.Claimed = true
 		f.cold[claim.Server] = c
-		f.log.add(f.mark, claim.Server)
+		f.serverChanges.add(f.changeRevision, claim.Server)
 	}
 }
 
-// listed takes over what a list of the store tells. A list tells what there is, not what
+// applyListedCold takes over what a list of the store tells. A list tells what there is, not what
 // has been, so nothing of it was witnessed.
-func (f *follower) listed(now time.Time, s Snapshot) {
+func (f *storeWatcher) applyListedCold(now time.Time, s Snapshot) {
 	for id, c := range f.cold {
 		c.Witnessed = false
 		f.cold[id] = c
 	}
 	for _, server := range s.Servers {
 		id := server.ID
-		if cold := s.Cold[id]; cold > 0 {
+		if cold := s.ColdFor[id]; cold > 0 {
 			c := f.cold[id]
 			if known := !c.until().IsZero(); !known || !now.Before(c.until()) {
 				c.Clear = now
 			}
 			told := now.Add(cold)
-			if f.settling(now) {
+			if f.reconciling(now) {
 				told = latest(told, c.Told) // it may have become cold again since the copy
 			}
 			c.Told = told
@@ -158,20 +158,20 @@
 		}
 	}
 	for hall, revision := range s.Evacuated {
-		if e, already := f.halls[hall]; !already || e.Revision != revision {
+		if e, already := f.evacuations[hall]; !already || e.Revision != revision {
 			f.evacuate(now, HallEvacuated{Hall: hall, Revision: revision})
 		}
 	}
-	for hall := range f.halls {
-		if _, still := s.Evacuated[hall]; !still && !f.settling(now) {
-			f.takeBack(now, hall)
+	for hall := range f.evacuations {
+		if _, still := s.Evacuated[hall]; !still && !f.reconciling(now) {
+			f.endEvacuation(now, hall)
 		}
 	}
 }
 
-// takeWarmth takes over what another gateway knows. It is of a later revision, so it
+// applyPeerCold takes over what another gateway knows. It is of a later revision, so it
 // replaces what was known here; only a longer coldness stays.
-func (f *follower) takeWarmth(now time.Time, h handover) {
+func (f *storeWatcher) applyPeerCold(now time.Time, h peerView) {
 	told := map[string]bool{}
 	for _, s := range h.snapshot.Servers {
 		told[s.ID] = true
@@ -184,26 +184,26 @@
 	}
 	for id, c := range h.cold {
 		c.Assumed = latest(c.Assumed, f.cold[id].Assumed)
-		if f.settling(now) {
+		if f.reconciling(now) {
 			c.Told = latest(c.Told, f.cold[id].Told)
 		}
 		f.cold[id] = c
 	}
-	for hall := range f.halls {
-		if _, still := h.halls[hall]; !still && !f.settling(now) {
-			f.takeBack(now, hall)
+	for hall := range f.evacuations {
+		if _, still := h.evacuations[hall]; !still && !f.reconciling(now) {
+			f.endEvacuation(now, hall)
 		}
 	}
-	for hall, e := range h.halls {
-		if old, already := f.halls[hall]; already && old.Since.Before(e.Since) {
+	for hall, e := range h.evacuations {
+		if old, already := f.evacuations[hall]; already && old.Since.Before(e.Since) {
 			e.Since = old.Since
 		}
-		f.halls[hall] = e
+		f.evacuations[hall] = e
 	}
 }
 
-// evacuatedDocument is an evacuation on its way to another gateway.
-type evacuatedDocument struct {
+// evacuationDocument is an evacuation on its way to another gateway.
+type evacuationDocument struct {
 	Revision catalog.Revision `json:"revision"`
 	AgeMS    int64            `json:"age_ms"`
 }
@@ -219,14 +219,14 @@
 	Claimed   bool           `json:"claimed,omitempty"`
 }
 
-// addWarmth adds what a view tells of halls and of servers that are cold, or whose episode
+// addCold adds what a view tells of halls and of servers that are cold, or whose episode
 // others can't know.
-func (d *viewDocument) addWarmth(now time.Time, v *View, told func(server string) bool) {
+func (d *viewDocument) addCold(now time.Time, v *View, told func(server string) bool) {
 	for hall, e := range v.Evacuated {
 		if d.Evacuated == nil {
-			d.Evacuated = map[string]evacuatedDocument{}
+			d.Evacuated = map[string]evacuationDocument{}
 		}
-		d.Evacuated[hall] = evacuatedDocument{Revision: e.Revision, AgeMS: now.Sub(e.Since).Milliseconds()}
+		d.Evacuated[hall] = evacuationDocument{Revision: e.Revision, AgeMS: now.Sub(e.Since).Milliseconds()}
 	}
 	for id, c := range v.Cold {
 		if !told(id) || !now.Before(c.until()) && c.Episode.Number() == 0 {
@@ -236,20 +236,20 @@
 			d.Cold = map[string]coldDocument{}
 		}
 		d.Cold[id] = coldDocument{
-			ToldMS: ahead(now, c.Told), AssumedMS: ahead(now, c.Assumed), ClearMS: age(now, c.Clear),
+			ToldMS: millisUntil(now, c.Told), AssumedMS: millisUntil(now, c.Assumed), ClearMS: millisSince(now, c.Clear),
 			Episode: c.Episode, Witnessed: c.Witnessed, Claimed: c.Claimed,
 		}
 	}
 }
 
-// warmth returns what a view document that has arrived tells.
-func (d viewDocument) warmth(now time.Time) (halls map[string]evacuation, cold map[string]coldness) {
-	halls, cold = map[string]evacuation{}, map[string]coldness{}
+// decodeCold returns what a view document that has arrived tells.
+func (d viewDocument) decodeCold(now time.Time) (halls map[string]evacuation, cold map[string]coldState) {
+	halls, cold = map[string]evacuation{}, map[string]coldState{}
 	for hall, e := range d.Evacuated {
-		halls[hall] = evacuation{Revision: e.Revision, Since: before(now, e.AgeMS)}
+		halls[hall] = evacuation{Revision: e.Revision, Since: timeAgo(now, e.AgeMS)}
 	}
 	for id, c := range d.Cold {
-		k := coldness{Episode: c.Episode, Witnessed: c.Witnessed, Claimed: c.Claimed}
+		k := coldState{Episode: c.Episode, Witnessed: c.Witnessed, Claimed: c.Claimed}
 		if c.ToldMS > 0 {
 			k.Told = now.Add(time.Duration(c.ToldMS) * time.Millisecond)
 		}
@@ -257,20 +257,20 @@
 			k.Assumed = now.Add(time.Duration(c.AssumedMS) * time.Millisecond)
 		}
 		if c.ClearMS != nil {
-			k.Clear = before(now, *c.ClearMS)
+			k.Clear = timeAgo(now, *c.ClearMS)
 		}
 		cold[id] = k
 	}
 	return halls, cold
 }
 
-// ahead returns how far a time lies ahead, in milliseconds, rounded up.
-func ahead(now, at time.Time) int64 {
+// millisUntil returns how far a time lies millisUntil, in milliseconds, rounded up.
+func millisUntil(now, at time.Time) int64 {
 	return max((at.Sub(now) + time.Millisecond - 1).Milliseconds(), 0)
 }
 
-// age returns how long ago a time was, in milliseconds; nil: there is no such time.
-func age(now, at time.Time) *int64 {
+// millisSince returns how long ago a time was, in milliseconds; nil: there is no such time.
+func millisSince(now, at time.Time) *int64 {
 	if at.IsZero() {
 		return nil
 	}
@@ -278,6 +278,6 @@
 	return &ms
 }
 
-func before(now time.Time, ageMS int64) time.Time {
+func timeAgo(now time.Time, ageMS int64) time.Time {
 	return now.Add(-time.Duration(ageMS) * time.Millisecond)
 }
--- a/gateway/warmup/warmup.go
+++ b/gateway/warmup/warmup.go
@@ -21,7 +21,7 @@
 //	}
 //
 // What the bound rests on: a claim is written once; what is sent leaves within
-// [SendWithin] of its decision; an episode's claims are used only when nobody sends by
+// [MaxSendDelay] of its decision; an episode's claims are used only when nobody sends by
 // those of the one before ([Server.Clear]). What it does not cover: a gateway that has
 // not heard that a server is cold sends it what it would send a warm one. Limits.Extra is
 // left for that.
@@ -39,12 +39,12 @@
 )
 
 const (
-	// SendWithin is the time in which a request leaves after it was decided on. A process
+	// MaxSendDelay is the time in which a request leaves after it was decided on. A process
 	// that was stopped between the two must not send it later, together with others.
-	SendWithin = 200 * time.Millisecond
+	MaxSendDelay = 200 * time.Millisecond
 	// Window is the span in which decisions are counted, so that what leaves in any second
 	// is bounded.
-	Window = time.Second + SendWithin
+	Window = time.Second + MaxSendDelay
 	// Gateways hear within this time that a server is cold or that its hall is evacuated;
 	// a holder of a server that was warm before sends nothing until then.
 	settleFor = time.Second
@@ -87,14 +87,14 @@
 // Server is a cold server.
 type Server struct {
 	Claim
-	Hall   string
-	Limits Limits
-	Until  time.Time // it is warm from then on
-	Clear  time.Time // since then it gets nothing from gateways that know that it is cold, or evacuated; zero: it never got anything
-	// Witnessed is true if the episode's beginning was seen. Who has not seen it may name
+	Hall      string
+	Limits    Limits
+	ColdUntil time.Time // it is warm from then on
+	IdleSince time.Time // since then it gets nothing from gateways that know that it is cold, or evacuated; zero: it never got anything
+	// StartObserved is true if the episode's beginning was seen. Who has not seen it may name
 	// the episode wrongly, and claims nothing.
-	Witnessed bool
-	Claimed   bool // by some gateway
+	StartObserved bool
+	Claimed       bool // by some gateway
 }
 
 // Outcome is how a claim ended.
@@ -119,14 +119,14 @@
 	sent   []time.Time // decisions of the last Window
 }
 
-// Guard decides what a gateway sends to cold servers.
-type Guard struct{ servers map[string]*state }
+// Limiter decides what a gateway sends to cold servers.
+type Limiter struct{ servers map[string]*state }
 
-// NewGuard returns a guard that knows of no cold server.
-func NewGuard() *Guard { return &Guard{servers: map[string]*state{}} }
+// NewLimiter returns a guard that knows of no cold server.
+func NewLimiter() *Limiter { return &Limiter{servers: map[string]*state{}} }
 
 // Set replaces the servers that are cold. What is held stays held in the same episode.
-func (g *Guard) Set(now time.Time, list []Server) {
+func (g *Limiter) Set(now time.Time, list []Server) {
 	kept := make(map[string]*state, len(list))
 	for _, s := range list {
 		old := g.servers[s.Server]
@@ -140,38 +140,38 @@
 }
 
 // Servers returns the servers that Set has named.
-func (g *Guard) Servers() []string { return slices.Collect(maps.Keys(g.servers)) }
+func (g *Limiter) Servers() []string { return slices.Collect(maps.Keys(g.servers)) }
 
 // Cold tells whether a server is cold.
-func (g *Guard) Cold(now time.Time, server string) bool {
+func (g *Limiter) Cold(now time.Time, server string) bool {
 	s := g.servers[server]
-	return s != nil && now.Before(s.Until)
+	return s != nil && now.Before(s.ColdUntil)
 }
 
-// OpenAt returns when a server may get the next request from this gateway; that is in the
+// NextSendAt returns when a server may get the next request from this gateway; that is in the
 // past if it may get one now.
-func (g *Guard) OpenAt(now time.Time, server string) time.Time {
+func (g *Limiter) NextSendAt(now time.Time, server string) time.Time {
 	s := g.servers[server]
-	if s == nil || !now.Before(s.Until) {
+	if s == nil || !now.Before(s.ColdUntil) {
 		return time.Time{}
 	}
 	allowance := s.Limits.Allowance()
-	if !s.held || !s.Witnessed || allowance == 0 {
-		return s.Until
+	if !s.held || !s.StartObserved || allowance == 0 {
+		return s.ColdUntil
 	}
 	var at time.Time
-	if !s.Clear.IsZero() {
-		at = s.Clear.Add(settleFor + Window)
+	if !s.IdleSince.IsZero() {
+		at = s.IdleSince.Add(settleFor + Window)
 	}
 	s.trim(now)
 	if n := len(s.sent); n >= allowance {
 		at = latest(at, s.sent[n-allowance].Add(Window))
 	}
-	return earliest(at, s.Until)
+	return earliest(at, s.ColdUntil)
 }
 
-// Sent notes that a request to a server was decided on.
-func (g *Guard) Sent(now time.Time, server string) {
+// RecordSend notes that a request to a server was decided on.
+func (g *Limiter) RecordSend(now time.Time, server string) {
 	if s := g.servers[server]; s != nil {
 		s.trim(now)
 		s.sent = append(s.sent, now)
@@ -187,12 +187,12 @@
 	s.sent = s.sent[n:]
 }
 
-// Due returns the claims to write now. rank tells how many live gateways come before this
+// DueClaims returns the claims to write now. rank tells how many live gateways come before this
 // one for a server; wanted whether this gateway has requests for it.
-func (g *Guard) Due(now time.Time, wanted func(server string) bool, rank func(s Server) int) []Claim {
+func (g *Limiter) DueClaims(now time.Time, wanted func(server string) bool, rank func(s Server) int) []Claim {
 	var list []Claim
 	for id, s := range g.servers {
-		if s.held || s.asked || s.Claimed && !s.unsure || !s.Witnessed || s.tries >= mostTries || !now.Before(s.Until) {
+		if s.held || s.asked || s.Claimed && !s.unsure || !s.StartObserved || s.tries >= mostTries || !now.Before(s.ColdUntil) {
 			continue
 		}
 		if !s.ranked {
@@ -209,8 +209,8 @@
 	return list
 }
 
-// Settle takes over how a claim ended.
-func (g *Guard) Settle(now time.Time, c Claim, o Outcome) {
+// ResolveClaim takes over how a claim ended.
+func (g *Limiter) ResolveClaim(now time.Time, c Claim, o Outcome) {
 	s := g.servers[c.Server]
 	if s == nil || s.Claim != c {
 		return
--- a/gateway/warmup/warmup_test.go
+++ b/gateway/warmup/warmup_test.go
@@ -14,7 +14,7 @@
 var limits = warmup.Limits{PerSecond: 7, Factor: 1.5, Extra: 5}
 
 func cold(change func(*warmup.Server)) warmup.Server {
-	s := warmup.Server{Claim: warmup.Claim{Server: "i-1"}, Limits: limits, Until: start.Add(3 * time.Second), Witnessed: true}
+	s := warmup.Server{Claim: warmup.Claim{Server: "i-1"}, Limits: limits, ColdUntil: start.Add(3 * time.Second), StartObserved: true}
 	if change != nil {
 		change(&s)
 	}
@@ -57,22 +57,22 @@
 		{"the allowance sent", cold(nil), true, 10, 0, warmup.Window},
 		{"a window later", cold(nil), true, 10, warmup.Window, 0},
 		{"warm", cold(nil), false, 0, 3 * time.Second, 0},
-		{"it got requests until now", cold(func(s *warmup.Server) { s.Clear = start }), true, 0, 0, time.Second + warmup.Window},
-		{"it got requests before its hall was evacuated", cold(func(s *warmup.Server) { s.Clear = start.Add(-3 * time.Second) }), true, 0, 0, 0},
-		{"the episode's beginning was not seen", cold(func(s *warmup.Server) { s.Witnessed = false }), true, 0, 0, 3 * time.Second},
+		{"it got requests until now", cold(func(s *warmup.Server) { s.IdleSince = start }), true, 0, 0, time.Second + warmup.Window},
+		{"it got requests before its hall was evacuated", cold(func(s *warmup.Server) { s.IdleSince = start.Add(-3 * time.Second) }), true, 0, 0, 0},
+		{"the episode's beginning was not seen", cold(func(s *warmup.Server) { s.StartObserved = false }), true, 0, 0, 3 * time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := warmup.NewGuard()
+			g := warmup.NewLimiter()
 			g.Set(start, []warmup.Server{test.server})
 			if test.won {
-				g.Settle(start, test.server.Claim, warmup.Won)
+				g.ResolveClaim(start, test.server.Claim, warmup.Won)
 			}
 			for range test.sent {
-				g.Sent(start, "i-1")
+				g.RecordSend(start, "i-1")
 			}
 			now := start.Add(test.after)
-			require.Equal(t, test.want, max(g.OpenAt(now, "i-1").Sub(now), 0))
+			require.Equal(t, test.want, max(g.NextSendAt(now, "i-1").Sub(now), 0))
 		})
 	}
 }
@@ -92,22 +92,22 @@
 		{"second in rank, when the first one would have claimed it", cold(nil), 1, true, 250 * time.Millisecond, true},
 		{"no requests for it", cold(nil), 0, false, 0, false},
 		{"claimed by another one", cold(func(s *warmup.Server) { s.Claimed = true }), 0, true, 0, false},
-		{"its episode's beginning was not seen", cold(func(s *warmup.Server) { s.Witnessed = false }), 0, true, 0, false},
-		{"warm", cold(func(s *warmup.Server) { s.Until = start }), 0, true, 0, false},
+		{"its episode's beginning was not seen", cold(func(s *warmup.Server) { s.StartObserved = false }), 0, true, 0, false},
+		{"warm", cold(func(s *warmup.Server) { s.ColdUntil = start }), 0, true, 0, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := warmup.NewGuard()
+			g := warmup.NewLimiter()
 			g.Set(start, []warmup.Server{test.server})
 			rank := func(warmup.Server) int { return test.rank }
 			wanted := func(string) bool { return test.wanted }
-			list := g.Due(start, wanted, rank)
+			list := g.DueClaims(start, wanted, rank)
 			if test.after > 0 {
 				require.Empty(t, list)
-				list = g.Due(start.Add(test.after), wanted, rank)
+				list = g.DueClaims(start.Add(test.after), wanted, rank)
 			}
 			require.Equal(t, test.due, len(list) == 1)
-			require.Empty(t, g.Due(start.Add(test.after), wanted, rank), "one claim at a time")
+			require.Empty(t, g.DueClaims(start.Add(test.after), wanted, rank), "one claim at a time")
 		})
 	}
 }
@@ -115,15 +115,15 @@
 // TestUnknownClaims are tried again, also when a watch says meanwhile that somebody holds
 // the server: that may be this process.
 func TestUnknownClaims(t *testing.T) {
-	g := warmup.NewGuard()
+	g := warmup.NewLimiter()
 	s := cold(nil)
 	g.Set(start, []warmup.Server{s})
 	now := start
 	tries := 0
-	for now.Before(s.Until) {
-		for _, c := range g.Due(now, always, first) {
+	for now.Before(s.ColdUntil) {
+		for _, c := range g.DueClaims(now, always, first) {
 			tries++
-			g.Settle(now, c, warmup.Unknown)
+			g.ResolveClaim(now, c, warmup.Unknown)
 			s.Claimed = true
 			g.Set(now, []warmup.Server{s})
 		}
@@ -134,32 +134,32 @@
 
 // TestEpisodes: what is held is held in its episode only.
 func TestEpisodes(t *testing.T) {
-	g := warmup.NewGuard()
+	g := warmup.NewLimiter()
 	s := cold(nil)
 	g.Set(start, []warmup.Server{s})
-	g.Settle(start, s.Claim, warmup.Won)
-	s.Until = s.Until.Add(time.Second)
+	g.ResolveClaim(start, s.Claim, warmup.Won)
+	s.ColdUntil = s.ColdUntil.Add(time.Second)
 	g.Set(start, []warmup.Server{s})
-	require.False(t, g.OpenAt(start, "i-1").After(start), "news of the same episode")
+	require.False(t, g.NextSendAt(start, "i-1").After(start), "news of the same episode")
 	s.Episode = 7
 	g.Set(start, []warmup.Server{s})
-	require.Equal(t, s.Until, g.OpenAt(start, "i-1"))
-	g.Settle(start, warmup.Claim{Server: "i-1"}, warmup.Won)
-	require.Equal(t, s.Until, g.OpenAt(start, "i-1"), "an answer to the claim of the episode before")
+	require.Equal(t, s.ColdUntil, g.NextSendAt(start, "i-1"))
+	g.ResolveClaim(start, warmup.Claim{Server: "i-1"}, warmup.Won)
+	require.Equal(t, s.ColdUntil, g.NextSendAt(start, "i-1"), "an answer to the claim of the episode before")
 }
 
 // TestHolderKeepsTheBound: whatever moments a holder is asked at, what it decides in any
 // Window is bounded, so what leaves in any second is.
 func TestHolderKeepsTheBound(t *testing.T) {
-	g := warmup.NewGuard()
-	s := cold(func(s *warmup.Server) { s.Until = start.Add(10 * time.Second) })
+	g := warmup.NewLimiter()
+	s := cold(func(s *warmup.Server) { s.ColdUntil = start.Add(10 * time.Second) })
 	g.Set(start, []warmup.Server{s})
-	g.Settle(start, s.Claim, warmup.Won)
+	g.ResolveClaim(start, s.Claim, warmup.Won)
 	var sent []time.Time
-	for now := start; now.Before(s.Until); now = now.Add(7 * time.Millisecond) {
+	for now := start; now.Before(s.ColdUntil); now = now.Add(7 * time.Millisecond) {
 		for range 3 {
-			if !g.OpenAt(now, "i-1").After(now) {
-				g.Sent(now, "i-1")
+			if !g.NextSendAt(now, "i-1").After(now) {
+				g.RecordSend(now, "i-1")
 				sent = append(sent, now)
 			}
 		}
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -157,7 +157,7 @@
 		r.book.breaks("what is kept of suspects can't be read: %v", err)
 	}
 	for key, k := range kept {
-		if len(k.Servers) >= quarantine.MostEnds && !fatal[key.String()] {
+		if len(k.Servers) >= quarantine.CrashThreshold && !fatal[key.String()] {
 			r.book.breaks("%s is barred and ended no server: %s", key, k.Asks)
 		}
 	}
@@ -169,10 +169,10 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	f := b.fatalOf(body)
-	if len(f.ends) < quarantine.MostEnds {
+	if len(f.ends) < quarantine.CrashThreshold {
 		return len(f.ends), 0
 	}
-	known := f.ends[quarantine.MostEnds-1].Add(fatalNews)
+	known := f.ends[quarantine.CrashThreshold-1].Add(fatalNews)
 	for _, at := range f.arrived {
 		if at.After(known) {
 			late++
