--- a/gateway/desk_rollout.go
+++ b/gateway/desk_rollout.go
@@ -119,7 +119,7 @@
 	}
 	switch {
 	case s.state == rollout.RolledBack && s.work != nil:
-		s.work.TakeBack()
+		s.work.Revert()
 	case s.state == rollout.Complete && s.ended.IsZero() && seen:
 		s.ended = now
 	}
@@ -179,7 +179,7 @@
 		if s.work == nil || s.state == rollout.Complete {
 			continue
 		}
-		s.work.Look(now, fresh)
+		s.work.Advance(now, fresh)
 		if s.chosen != s.work.TargetServers(len(s.target)) {
 			s.withhold()
 		}
@@ -286,7 +286,7 @@
 	case s.work == nil || len(s.target) == 0:
 		return d.balancer.Place(now, a)
 	}
-	if s.work.Turn() {
+	if s.work.TryTarget() {
 		a.Withheld = s.fromTarget
 		if decision := d.balancer.Place(now, a); s.takes(decision) {
 			return decision
@@ -321,7 +321,7 @@
 	if s.work == nil || s.state == rollout.Complete {
 		return
 	}
-	s.work.Sent(s.fromOthers[a.Server.ID])
+	s.work.RecordSent(s.fromOthers[a.Server.ID])
 	s.answers[a.ID] = &judged{server: a.Server.ID, sent: now, usual: a.NominalLatency, waiting: a.QueueTime}
 }
 
@@ -347,7 +347,7 @@
 			a.RelativeLatency = max(j.first-j.waiting, 0).Seconds() / j.usual.Seconds()
 		}
 	}
-	s.work.Answer(uint32(hashString(m.route)), uint32(hashString(j.server)), s.fromOthers[j.server], a)
+	s.work.RecordAnswer(uint32(hashString(m.route)), uint32(hashString(j.server)), s.fromOthers[j.server], a)
 }
 
 // The least status of an answer by which a server says that it has failed.
@@ -404,7 +404,7 @@
 			for _, a := range r.Answers {
 				report[rollout.CountKey{Target: a.Target, Route: a.Route, Server: a.Server}] = rollout.Count{Answers: a.Answers, Failed: a.Failed, Slow: a.Slow}
 			}
-			s.work.Hear(from, report, min(rollout.Stage(r.Stage), rollout.Reverted), timeAgo(now, int64(r.AgeMs)))
+			s.work.MergeReport(from, report, min(rollout.Stage(r.Stage), rollout.Reverted), timeAgo(now, int64(r.AgeMs)))
 		}
 	}
 }
--- a/gateway/rollout/count.go
+++ b/gateway/rollout/count.go
@@ -62,8 +62,8 @@
 	return &counter{counts: Report{}, first: map[uint32]*usual{}, pause: map[uint32]*usual{}}
 }
 
-// Answer counts an answer of a server.
-func (r *Rollout) Answer(route, server uint32, fromTarget bool, a Answer) {
+// RecordAnswer counts an answer of a server.
+func (r *Rollout) RecordAnswer(route, server uint32, fromTarget bool, a Answer) {
 	r.seen.add(route, server, fromTarget, a)
 }
 
--- a/gateway/rollout/judge.go
+++ b/gateway/rollout/judge.go
@@ -65,17 +65,17 @@
 
 func newJudge() judge { return judge{reports: map[string]Report{}, ended: Report{}} }
 
-// Hear takes over what another gateway has counted so far, its stage, and since when it knows of
+// MergeReport takes over what another gateway has counted so far, its stage, and since when it knows of
 // the order: who has just started learns from the others how old it is. What another one has
 // taken back this one takes back, too. If it is further, this one needs no more evidence to
 // follow.
-func (r *Rollout) Hear(from string, report Report, stage Stage, since time.Time) {
+func (r *Rollout) MergeReport(from string, report Report, stage Stage, since time.Time) {
 	if since.Before(r.OrderedAt) {
 		r.OrderedAt = since
 	}
 	r.judge.hear(from, report)
 	if stage == Reverted {
-		r.TakeBack()
+		r.Revert()
 		return
 	}
 	r.furthest = max(r.furthest, stage)
--- a/gateway/rollout/rollout.go
+++ b/gateway/rollout/rollout.go
@@ -171,14 +171,14 @@
 	return min(max(n, least), all)
 }
 
-// Turn tells whether the next request should try the target.
-func (r *Rollout) Turn() bool {
+// TryTarget tells whether the next request should try the target.
+func (r *Rollout) TryTarget() bool {
 	share := r.TargetShare()
 	return share > 0 && r.credit+share >= 1
 }
 
-// Sent notes where a request went.
-func (r *Rollout) Sent(toTarget bool) {
+// RecordSent notes where a request went.
+func (r *Rollout) RecordSent(toTarget bool) {
 	r.credit += r.TargetShare()
 	if toTarget {
 		r.credit--
@@ -186,9 +186,9 @@
 	r.credit = min(max(r.credit, -1), 1)
 }
 
-// Look takes the next step; fresh tells whether this gateway has fresh news of the others and
+// Advance takes the next step; fresh tells whether this gateway has fresh news of the others and
 // of the operators.
-func (r *Rollout) Look(now time.Time, fresh bool) {
+func (r *Rollout) Advance(now time.Time, fresh bool) {
 	r.fresh = fresh
 	if r.stage == Reverted {
 		return
@@ -203,7 +203,7 @@
 		r.proven = now
 	}
 	if r.bad = r.judge.verdict(r.stage, now.Sub(r.proven) < earlyFor); r.bad != nil {
-		r.TakeBack()
+		r.Revert()
 		return
 	}
 	enough := r.furthest > r.stage || answers >= manyAnswers || answers >= leastAnswers && now.Sub(r.proven) >= r.part(leastProof)
@@ -217,8 +217,8 @@
 	}
 }
 
-// TakeBack lets the target get nothing more, since another gateway or the operators say so.
-func (r *Rollout) TakeBack() { r.stage, r.moved = Reverted, time.Time{} }
+// Revert lets the target get nothing more, since another gateway or the operators say so.
+func (r *Rollout) Revert() { r.stage, r.moved = Reverted, time.Time{} }
 
 // part returns a part of the order's duration.
 func (r *Rollout) part(of float64) time.Duration {
--- a/gateway/rollout/rollout_test.go
+++ b/gateway/rollout/rollout_test.go
@@ -102,15 +102,15 @@
 				p.gateways[i] = r
 			}
 			for range int(p.perStep + p.draw.Float64()) {
-				toTarget := r.Turn()
-				r.Sent(toTarget)
+				toTarget := r.TryTarget()
+				r.RecordSent(toTarget)
 				route := 1 + p.draw.IntN(3)
 				v, server := p.baseline, p.draw.IntN(p.servers)
 				if toTarget {
 					v, server = p.target, p.draw.IntN(r.TargetServers(p.servers))
 				}
 				a := p.answer(v, age, route, server, share)
-				r.Answer(uint32(route), uint32(server), toTarget, a)
+				r.RecordAnswer(uint32(route), uint32(server), toTarget, a)
 				if age < p.order.Duration {
 					p.all++
 				}
@@ -121,7 +121,7 @@
 			if p.draw.Float64() < 0.05 {
 				under = append(under, told{now.Add(time.Duration(p.draw.Float64() * float64(300*time.Millisecond))), fmt.Sprint(i), maps.Clone(r.Report()), r.Stage()})
 			}
-			r.Look(now, true)
+			r.Advance(now, true)
 			if r.Evidence() != nil && p.back == 0 {
 				p.back, p.why = age, r.Evidence()
 			}
@@ -140,7 +140,7 @@
 			}
 			for i, r := range p.gateways {
 				if fmt.Sprint(i) != t.from && p.draw.Float64() < 0.95 {
-					r.Hear(t.from, t.report, t.stage, start)
+					r.MergeReport(t.from, t.report, t.stage, start)
 				}
 			}
 		}
@@ -215,10 +215,10 @@
 	all, got := 0, 0
 	for gateway := range 300 {
 		r := rollout.New(order, start)
-		r.Look(start, true)
+		r.Advance(start, true)
 		for range 10 + gateway {
-			toTarget := r.Turn()
-			r.Sent(toTarget)
+			toTarget := r.TryTarget()
+			r.RecordSent(toTarget)
 			all++
 			if toTarget {
 				got++
@@ -234,10 +234,10 @@
 func TestNoFreshNewsNoExposure(t *testing.T) {
 	r := rollout.New(rollout.Order{Target: "v2", Duration: time.Minute}, start)
 	turns := func(fresh bool) (n int) {
-		r.Look(start, fresh)
+		r.Advance(start, fresh)
 		for range 1000 {
-			toTarget := r.Turn()
-			r.Sent(toTarget)
+			toTarget := r.TryTarget()
+			r.RecordSent(toTarget)
 			if toTarget {
 				n++
 			}
--- a/gateway/rollout_test.go
+++ b/gateway/rollout_test.go
@@ -150,7 +150,7 @@
 		{"no fresh news", rolloutRecord{Order: orderOf(7), Since: now}, func(d *dispatcher) { d.viewFresh = func(time.Time) bool { return false } }, 1000, 0},
 		{"another gateway has taken it back", rolloutRecord{Order: orderOf(7), Since: now}, func(d *dispatcher) {
 			r := rollout.New(orderOf(7), now)
-			r.TakeBack()
+			r.Revert()
 			told, _ := reportOf(now, r)
 			d.applyUpdate(now, peer.Update{From: "b", Alive: true, Rollouts: []*peerpb.Rollout{told}})
 		}, 1000, 0},
