--- a/gateway/budget/budget.go
+++ b/gateway/budget/budget.go
@@ -1,59 +1,59 @@
-// Package budget bounds how often the fleet sends requests again. A service may get,
-// in any window, a share of its requests and a fixed number more as repeats, over all
-// gateways together. Each gateway spends only what its own requests earn and an even
-// part of the fixed number, so nothing has to be agreed.
+// Package budget limits how often the fleet retries requests. In any window a service may
+// have retries for a fraction of its requests, plus a fixed number, over all gateways
+// together. Each gateway spends only what its own requests earn and an even part of the
+// fixed number, so that no coordination is needed.
 //
 // # Usage
 //
-//	b := budget.New(budget.Limits{Ratio: 0.2, Extra: 58, Window: 10 * time.Second})
-//	b.Request(now, service)
-//	if b.Take(now, service, gateways) { … send again … }
+//	b := budget.New(budget.Limits{Ratio: 0.2, FixedRetries: 58, Window: 10 * time.Second}, time.Now())
+//	b.RecordRequest(now, service)
+//	if b.Take(now, service, gateways) { … retry … }
 //
-// A gateway that has just started spends nothing of the fixed number for one window:
-// the process before it may have spent it all. The package takes no lock and reads no
-// clock; a Budget belongs to one goroutine.
+// In its first window a gateway gets its part of the fixed number only gradually, since a
+// previous process on the host may have spent it all. The package does no locking and does
+// not read the clock; a Budget must be used by one goroutine only.
 package budget
 
 import "time"
 
-// Limits are the bounds over the fleet.
+// Limits are the limits for the whole fleet.
 type Limits struct {
-	Ratio        float64       // repeats for each request of the window
-	FixedRetries float64       // repeats in a window besides
-	Window       time.Duration // any span of this length
+	Ratio        float64       // retries per request in the window
+	FixedRetries float64       // additional retries per window
+	Window       time.Duration // any time span of this length
 }
 
-// Reserves keep the sum over the fleet below the bound although gateways count
-// windows that differ a little and may not know of each other yet.
+// Fractions of the limits that are used. The rest keeps the fleet below its limits although
+// the gateways' windows differ a little and gateways may not know of each other yet.
 const (
-	ratioUse = 0.8
-	extraUse = 0.5
+	ratioFraction = 0.8
+	fixedFraction = 0.5
 )
 
-// Budget counts requests and repeats by service.
+// Budget counts requests and retries by service.
 type Budget struct {
 	limits   Limits
 	started  time.Time
 	services map[string]*history
 }
 
-// New returns a budget of a process that started at that time.
+// New returns the budget of a process that started at the given time.
 func New(l Limits, started time.Time) *Budget {
 	return &Budget{limits: l, started: started, services: map[string]*history{}}
 }
 
-// history holds the times of a service's requests and repeats of the last window.
+// history holds the times of a service's requests and retries in the last window.
 type history struct {
 	requests []time.Time
-	repeats  []time.Time
+	retries  []time.Time
 }
 
 func (h *history) trim(since time.Time) {
-	h.requests = after(h.requests, since)
-	h.repeats = after(h.repeats, since)
+	h.requests = trimBefore(h.requests, since)
+	h.retries = trimBefore(h.retries, since)
 }
 
-func after(times []time.Time, since time.Time) []time.Time {
+func trimBefore(times []time.Time, since time.Time) []time.Time {
 	n := 0
 	for n < len(times) && times[n].Before(since) {
 		n++
@@ -77,28 +77,28 @@
 	h.requests = append(h.requests, now)
 }
 
-// Take takes one repeat from the budget, or tells that none is left. gateways is how
-// many share it, this one included.
+// Take takes one retry from the budget and reports whether one was left. gateways is the
+// number of gateways that share the budget, including this one.
 func (b *Budget) Take(now time.Time, service string, gateways int) bool {
 	h := b.history(now, service)
-	if float64(len(h.repeats)+1) > b.allowed(now, h, gateways) {
+	if float64(len(h.retries)+1) > b.maxRetries(now, h, gateways) {
 		return false
 	}
-	h.repeats = append(h.repeats, now)
+	h.retries = append(h.retries, now)
 	return true
 }
 
-// Remaining returns how many repeats are left for a service.
+// Remaining returns the number of retries left for a service.
 func (b *Budget) Remaining(now time.Time, service string, gateways int) float64 {
 	h := b.history(now, service)
-	return b.allowed(now, h, gateways) - float64(len(h.repeats))
+	return b.maxRetries(now, h, gateways) - float64(len(h.retries))
 }
 
-func (b *Budget) allowed(now time.Time, h *history, gateways int) float64 {
-	earned := ratioUse * b.limits.Ratio * float64(len(h.requests))
-	part := extraUse * b.limits.FixedRetries / float64(max(gateways, 1))
+func (b *Budget) maxRetries(now time.Time, h *history, gateways int) float64 {
+	earned := ratioFraction * b.limits.Ratio * float64(len(h.requests))
+	fixed := fixedFraction * b.limits.FixedRetries / float64(max(gateways, 1))
 	if age := now.Sub(b.started); age < b.limits.Window {
-		part *= float64(age) / float64(b.limits.Window)
+		fixed *= float64(age) / float64(b.limits.Window)
 	}
-	return earned + part
+	return earned + fixed
 }
--- a/gateway/budget/budget_test.go
+++ b/gateway/budget/budget_test.go
@@ -14,7 +14,7 @@
 	limits = budget.Limits{Ratio: 0.2, FixedRetries: 60, Window: 10 * time.Second}
 )
 
-// spend takes as many repeats as there are.
+// spend takes retries until none is left and returns their number.
 func spend(b *budget.Budget, now time.Time, gateways int) int {
 	n := 0
 	for b.Take(now, "s", gateways) {
@@ -34,7 +34,7 @@
 	}{
 		{"just started", 0, 0, 1, 0, 0},
 		{"just started, with requests", 0, 100, 1, 20, 15},
-		{"old, alone", time.Minute, 0, 1, 60, 20},
+		{"old, single gateway", time.Minute, 0, 1, 60, 20},
 		{"old, one of six", time.Minute, 0, 6, 10, 4},
 		{"old, one of six, with requests", time.Minute, 100, 6, 30, 18},
 	}
@@ -49,14 +49,14 @@
 			require.LessOrEqual(t, got, test.most)
 			require.GreaterOrEqual(t, got, test.least)
 			require.Zero(t, spend(b, now, test.gateways))
-			require.Positive(t, spend(b, now.Add(limits.Window+time.Second), test.gateways), "the window has passed")
+			require.Positive(t, spend(b, now.Add(limits.Window+time.Second), test.gateways), "outside the window")
 		})
 	}
 }
 
-// TestRestartsSpendNoMore: a fleet whose gateways all start again at once spends no
-// more than its bound in any window, although each has forgotten what it spent.
-func TestRestartsSpendNoMore(t *testing.T) {
+// TestRestartsStayWithinLimits: a fleet whose gateways all restart at once stays within its
+// limit in every window, although each gateway has lost its history.
+func TestRestartsStayWithinLimits(t *testing.T) {
 	const gateways = 6
 	var spent []time.Time
 	fleet := make([]*budget.Budget, gateways)
@@ -72,7 +72,7 @@
 			}
 			known := gateways
 			if now.Sub(restart) < time.Second && !now.Before(restart) {
-				known = 1 // the others are not known yet
+				known = 1 // the other gateways are not known yet
 			}
 			for fleet[i].Take(now, "s", known) {
 				spent = append(spent, now)
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestServicesAreApart(t *testing.T) {
+func TestServicesAreSeparate(t *testing.T) {
 	b := budget.New(limits, start)
 	now := start.Add(time.Minute)
 	spend(b, now, 1)
--- a/gateway/placement/backlog_test.go
+++ b/gateway/placement/backlog_test.go
@@ -10,69 +10,69 @@
 	"opalbridge.dev/gateway/placement"
 )
 
-// wait is how long a tiny request would wait at the only server.
+// wait returns the queue time of a minimal request at the only server.
 func wait(b *placement.Balancer, now time.Time) time.Duration {
 	policy := placement.DefaultPolicy()
 	a := b.Place(now, &placement.Request{Service: "s", Hall: "h", PromptTokens: 1}).(placement.Assign)
-	return a.Predicted - policy.FirstStep
+	return a.Predicted - policy.FirstEventDelay
 }
 
-// TestBacklogIsSeen: a server that is far behind what was believed is known to be so
-// after one event, whoever sent the request.
-func TestBacklogIsSeen(t *testing.T) {
+// TestFirstEventCorrectsBacklog: a server that is further behind than modeled is corrected by
+// a single first event, whichever gateway sent the request.
+func TestFirstEventCorrectsBacklog(t *testing.T) {
 	const work = 100 * time.Millisecond
-	firstStep := placement.DefaultPolicy().FirstStep
-	b := engines(1)
+	firstEventDelay := placement.DefaultPolicy().FirstEventDelay
+	b := newBalancer(1)
 	var positions []time.Duration
 	for range 10 {
 		positions = append(positions, b.RecordSent(start, placement.Load{Server: "i-00", Work: work}, true))
 	}
 	require.InDelta(t, 10*work, wait(b, start), float64(time.Millisecond))
-	// The server stood still for a second; then the third request gets its first event.
-	now := start.Add(time.Second + 300*time.Millisecond + firstStep)
-	require.Less(t, wait(b, now), time.Millisecond, "by the sends alone all would be done")
-	left, miss := b.RecordFirstEvent(now, "i-00", positions[2])
-	require.Equal(t, 7*work, left)
-	require.Positive(t, miss)
-	require.InDelta(t, 7*work-firstStep, wait(b, now), float64(time.Millisecond))
-	// Seeing the same again adds nothing.
-	b.RecordBacklog(now, "i-00", left)
-	require.InDelta(t, 7*work-firstStep, wait(b, now), float64(time.Millisecond))
+	// The server stalls for a second, then the third request gets its first event.
+	now := start.Add(time.Second + 300*time.Millisecond + firstEventDelay)
+	require.Less(t, wait(b, now), time.Millisecond, "by RecordSent alone the backlog would be empty")
+	remaining, modelError := b.RecordFirstEvent(now, "i-00", positions[2])
+	require.Equal(t, 7*work, remaining)
+	require.Positive(t, modelError)
+	require.InDelta(t, 7*work-firstEventDelay, wait(b, now), float64(time.Millisecond))
+	// Recording the same backlog again changes nothing.
+	b.RecordBacklog(now, "i-00", remaining)
+	require.InDelta(t, 7*work-firstEventDelay, wait(b, now), float64(time.Millisecond))
 }
 
-// TestOverdueRequestsShowABacklog: a first event that does not come tells as well.
-func TestOverdueRequestsShowABacklog(t *testing.T) {
+// TestOverdueRequestRaisesBacklog: a first event that does not come also shows a backlog.
+func TestOverdueRequestRaisesBacklog(t *testing.T) {
 	const work = 100 * time.Millisecond
-	b := engines(1)
+	b := newBalancer(1)
 	first := b.RecordSent(start, placement.Load{Server: "i-00", Work: work}, true)
 	b.RecordSent(start, placement.Load{Server: "i-00", Work: 5 * work}, false)
 	now := start.Add(2 * time.Second)
 	require.Less(t, wait(b, now), time.Millisecond)
-	left, miss := b.RecordOverdue(now, "i-00", first)
-	require.Equal(t, 5*work, left)
-	require.Positive(t, miss)
+	remaining, modelError := b.RecordOverdue(now, "i-00", first)
+	require.Equal(t, 5*work, remaining)
+	require.Positive(t, modelError)
 	require.InDelta(t, 5*work, wait(b, now), float64(time.Millisecond))
-	_, miss = b.RecordOverdue(now, "i-00", first)
-	require.Zero(t, miss, "known already")
+	_, modelError = b.RecordOverdue(now, "i-00", first)
+	require.Zero(t, modelError, "already known")
 }
 
-// TestPaceIsLearned: a server that takes four times as long gets predictions that say
-// so, and is believed to be as fast as the others some time after.
-func TestPaceIsLearned(t *testing.T) {
-	const slower = 4
-	b := engines(1)
+// TestSlowdownIsLearned: a server that takes four times as long gets predictions to match, and
+// recovers once it is as fast as the others again.
+func TestSlowdownIsLearned(t *testing.T) {
+	const slowdown = 4
+	b := newBalancer(1)
 	now := start
 	var positions []time.Duration
-	for range 40 { // all are there from the start, so that the server never rests
+	for range 40 { // all are queued from the start, so that the server is never idle
 		positions = append(positions, b.RecordSent(start, placement.Load{Server: "i-00", Work: 50 * time.Millisecond}, false))
 	}
 	for _, p := range positions {
-		now = now.Add(slower * 50 * time.Millisecond)
+		now = now.Add(slowdown * 50 * time.Millisecond)
 		b.RecordFirstEvent(now, "i-00", p)
 	}
-	ask := &placement.Request{Service: "s", Hall: "h", PromptTokens: 17000}
-	usual := engines(1).Place(now, ask).(placement.Assign).Predicted
-	require.Greater(t, b.Place(now, ask).(placement.Assign).Predicted, 3*usual)
+	req := &placement.Request{Service: "s", Hall: "h", PromptTokens: 17000}
+	normal := newBalancer(1).Place(now, req).(placement.Assign).Predicted
+	require.Greater(t, b.Place(now, req).(placement.Assign).Predicted, 3*normal)
 
 	positions = positions[:0]
 	for range 200 {
@@ -82,33 +82,34 @@
 		now = now.Add(50 * time.Millisecond)
 		b.RecordFirstEvent(now, "i-00", p)
 	}
-	require.InDelta(t, usual, b.Place(now, ask).(placement.Assign).Predicted, float64(60*time.Millisecond))
+	require.InDelta(t, normal, b.Place(now, req).(placement.Assign).Predicted, float64(60*time.Millisecond))
 }
 
-// TestIdleTimeIsNotSlowness: a server that had nothing to do for a while is not slow.
-func TestIdleTimeIsNotSlowness(t *testing.T) {
-	b := engines(1)
+// TestIdleTimeIsNotSlowdown: time during which a server had nothing to do does not count as
+// slowness.
+func TestIdleTimeIsNotSlowdown(t *testing.T) {
+	b := newBalancer(1)
 	now := start
 	for range 20 {
 		p := b.RecordSent(now, placement.Load{Server: "i-00", Work: 100 * time.Millisecond}, true)
 		b.RecordFirstEvent(now.Add(150*time.Millisecond), "i-00", p)
 		now = now.Add(2 * time.Second)
 	}
-	ask := &placement.Request{Service: "s", Hall: "h", PromptTokens: 17000}
-	require.Equal(t, engines(1).Place(now, ask).(placement.Assign).Predicted, b.Place(now, ask).(placement.Assign).Predicted)
+	req := &placement.Request{Service: "s", Hall: "h", PromptTokens: 17000}
+	require.Equal(t, newBalancer(1).Place(now, req).(placement.Assign).Predicted, b.Place(now, req).(placement.Assign).Predicted)
 }
 
-// copying is an engine whose servers take cached parts of prompts from one another.
-func copying(string) *catalog.Engine {
+// copyEngine returns an engine whose servers copy cached parts of prompts from one another.
+func copyEngine(string) *catalog.Engine {
 	return &catalog.Engine{Slots: 64, KVTokens: 500000, BytesPerToken: 163840, LinkMbps: 550000}
 }
 
-// TestCopies: a shared part that is held somewhere is copied rather than read again, and
-// only when its server is busy.
-func TestCopies(t *testing.T) {
+// TestCacheCopy: a shared part that a server caches is copied rather than recomputed, and only
+// when that server is busy.
+func TestCacheCopy(t *testing.T) {
 	type row struct {
 		name   string
-		load   time.Duration // on the server that holds the part
+		load   time.Duration // on the server that caches the part
 		change func(list []catalog.Server, a *placement.Request, holder string)
 		copies bool
 	}
@@ -120,7 +121,7 @@
 				list[i].Leaving = list[i].ID == holder
 			}
 		}, true},
-		{"holder has failed this request", 0, func(_ []catalog.Server, a *placement.Request, holder string) {
+		{"holder has already failed the request", 0, func(_ []catalog.Server, a *placement.Request, holder string) {
 			a.Exclude = []string{holder}
 		}, false},
 	}
@@ -128,15 +129,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := placement.NewBalancer(placement.DefaultPolicy())
 			list := servers(9)
-			b.SetServers(start, list, copying)
-			first := put(b, start, long(7)).(placement.Assign)
-			require.Empty(t, first.CopyFrom, "nobody holds it yet")
+			b.SetServers(start, list, copyEngine)
+			first := place(b, start, longRequest(7)).(placement.Assign)
+			require.Empty(t, first.CopyFrom, "no server caches it yet")
 			now := start.Add(time.Second)
 			b.RecordSent(now, placement.Load{Server: first.Server.ID, Work: test.load}, false)
-			a := long(7)
+			a := longRequest(7)
 			if test.change != nil {
 				test.change(list, a, first.Server.ID)
-				b.SetServers(now, list, copying)
+				b.SetServers(now, list, copyEngine)
 			}
 			second := b.Place(now, a).(placement.Assign)
 			if !test.copies {
@@ -145,29 +146,29 @@
 			}
 			require.NotEqual(t, first.Server.ID, second.Server.ID)
 			require.Equal(t, first.Server.Address, second.CopyFrom)
-			require.Less(t, second.Load.Work, first.Load.Work/2, "the shared part is not read")
+			require.Less(t, second.Load.Work, first.Load.Work/2, "the shared part is not recomputed")
 		})
 	}
 }
 
-// TestRestingServersAreNoSource: a copy from a server that can't be reached would hang.
-func TestRestingServersAreNoSource(t *testing.T) {
+// TestNoCopyFromEjectedServer: a copy from a server that can't be reached would hang.
+func TestNoCopyFromEjectedServer(t *testing.T) {
 	b := placement.NewBalancer(placement.DefaultPolicy())
-	b.SetServers(start, servers(9), copying)
-	first := put(b, start, long(7)).(placement.Assign)
+	b.SetServers(start, servers(9), copyEngine)
+	first := place(b, start, longRequest(7)).(placement.Assign)
 	b.RecordEnd(start, first.Server.ID, false, placement.Unreachable)
-	second := b.Place(start, long(7)).(placement.Assign)
+	second := b.Place(start, longRequest(7)).(placement.Assign)
 	require.NotEqual(t, first.Server.ID, second.Server.ID)
 	require.Empty(t, second.CopyFrom)
 }
 
-// TestAlikeServersShare: gateways that decide at the same moment, without knowing of
-// each other, do not all choose the same idle server.
-func TestAlikeServersShare(t *testing.T) {
+// TestSimilarServersShareLoad: gateways that decide concurrently and do not know of each other
+// do not all choose the same idle server.
+func TestSimilarServersShareLoad(t *testing.T) {
 	chosen := map[string]int{}
-	for draw := range uint64(100) {
-		a := &placement.Request{Service: "s", Hall: "h", PromptTokens: 500, Objective: time.Second, TieBreak: draw * 0x9e3779b97f4a7c15}
-		chosen[engines(9).Place(start, a).(placement.Assign).Server.ID]++
+	for tieBreak := range uint64(100) {
+		a := &placement.Request{Service: "s", Hall: "h", PromptTokens: 500, Objective: time.Second, TieBreak: tieBreak * 0x9e3779b97f4a7c15}
+		chosen[newBalancer(9).Place(start, a).(placement.Assign).Server.ID]++
 	}
 	require.Len(t, chosen, 9)
 	for id, n := range chosen {
@@ -175,10 +176,10 @@
 	}
 }
 
-// TestSlownessIsForgotten: a server that was slow and then got no requests is tried again,
-// or it would idle for good.
-func TestSlownessIsForgotten(t *testing.T) {
-	b := engines(1)
+// TestSlowdownDecays: a slow server that then gets no requests is tried again; otherwise it
+// would stay idle forever.
+func TestSlowdownDecays(t *testing.T) {
+	b := newBalancer(1)
 	now := start
 	var positions []time.Duration
 	for range 40 {
@@ -188,9 +189,9 @@
 		now = now.Add(250 * time.Millisecond)
 		b.RecordFirstEvent(now, "i-00", p)
 	}
-	ask := &placement.Request{Service: "s", Hall: "h", PromptTokens: 17000}
-	usual := engines(1).Place(now, ask).(placement.Assign).Predicted
-	require.Greater(t, b.Place(now, ask).(placement.Assign).Predicted, 3*usual)
-	later := b.Place(now.Add(20*time.Second), ask).(placement.Assign).Predicted
-	require.InDelta(t, usual, later, float64(20*time.Millisecond))
+	req := &placement.Request{Service: "s", Hall: "h", PromptTokens: 17000}
+	normal := newBalancer(1).Place(now, req).(placement.Assign).Predicted
+	require.Greater(t, b.Place(now, req).(placement.Assign).Predicted, 3*normal)
+	later := b.Place(now.Add(20*time.Second), req).(placement.Assign).Predicted
+	require.InDelta(t, normal, later, float64(20*time.Millisecond))
 }
--- a/gateway/placement/cache.go
+++ b/gateway/placement/cache.go
@@ -2,82 +2,82 @@
 
 import "time"
 
-// cache is what is believed of a server's cache of prompts, in which the least recently
-// used parts give way. A part is held until as many tokens have come after its last use
-// as the cache holds.
-type cache struct {
-	size  int // tokens; 0: nothing is kept
-	taken int // tokens that came so far
-	parts map[uint64]part
+// prefixCache estimates the contents of a server's prompt cache, which evicts the least
+// recently used parts. A part is retained until as many tokens have been added since its
+// last use as the cache holds.
+type prefixCache struct {
+	capacity    int // in tokens; 0: nothing is cached
+	totalTokens int // tokens added so far
+	parts       map[uint64]cachedPart
 }
 
-// part is a cached piece of a prompt.
-type part struct {
-	used  int       // cache.taken at its last use
-	ready time.Time // when it will have been read
+// cachedPart is a cached part of a prompt.
+type cachedPart struct {
+	lastUse int       // totalTokens at its last use
+	readyAt time.Time // when its prefill ends
 }
 
-// use notes a request's parts, which will be held once they are read, and the tokens
-// that it adds.
-func (c *cache) use(parts []uint64, tokens int, ready time.Time) {
-	c.taken += tokens
+// add records a request's parts, which are cached once their prefill ends at ready, and the
+// number of tokens that the request adds.
+func (c *prefixCache) add(parts []uint64, tokens int, ready time.Time) {
+	c.totalTokens += tokens
 	for _, h := range parts {
 		p, known := c.parts[h]
-		if !known || !c.holds(p) {
-			p.ready = ready
+		if !known || !c.retains(p) {
+			p.readyAt = ready
 		}
-		p.used = c.taken
+		p.lastUse = c.totalTokens
 		c.parts[h] = p
 	}
 }
 
-// hold notes parts that are held. When they were used last is not known, so they count
-// as half-way to giving way.
-func (c *cache) hold(parts []uint64, now time.Time) {
+// addReported records parts that the server has reported. Their last use is unknown, so
+// they count as halfway to eviction.
+func (c *prefixCache) addReported(parts []uint64, now time.Time) {
 	for _, h := range parts {
 		if _, known := c.parts[h]; !known {
-			c.parts[h] = part{used: c.taken - c.size/2, ready: now}
+			c.parts[h] = cachedPart{lastUse: c.totalTokens - c.capacity/2, readyAt: now}
 		}
 	}
 }
 
-func (c *cache) holds(p part) bool { return c.taken-p.used < c.size }
+func (c *prefixCache) retains(p cachedPart) bool { return c.totalTokens-p.lastUse < c.capacity }
 
-// prompt returns how many tokens of a request's prompt the cache holds or will hold when
-// the server comes to it, and how many tokens of shared parts it would have to read.
-func (c *cache) prompt(a *Request) (held, missing int) {
-	broken := false
-	for i, p := range a.Parts {
+// match returns how many tokens of a request's prompt are cached or will be when the server
+// begins to process it, and how many tokens of shared parts are not.
+func (c *prefixCache) match(req *Request) (cached, missing int) {
+	missed := false
+	for i, p := range req.Parts {
 		known, found := c.parts[p.Hash]
-		if !broken && found && c.holds(known) {
-			held += p.Tokens
+		if !missed && found && c.retains(known) {
+			cached += p.Tokens
 			continue
 		}
-		broken = true // a part counts only if all before it are held
-		if i < len(a.Parts)-1 {
+		missed = true // a part counts only if all parts before it are cached
+		if i < len(req.Parts)-1 {
 			missing += p.Tokens
 		}
 	}
-	return min(held, a.PromptTokens), missing
+	return min(cached, req.PromptTokens), missing
 }
 
-// ready returns how many tokens of a request's prompt can be copied from the cache now.
-func (c *cache) ready(now time.Time, a *Request) int {
-	held := 0
-	for _, p := range a.Parts {
+// readyTokens returns how many tokens of a request's prompt can be copied from the cache now.
+func (c *prefixCache) readyTokens(now time.Time, req *Request) int {
+	cached := 0
+	for _, p := range req.Parts {
 		known, found := c.parts[p.Hash]
-		if !found || !c.holds(known) || now.Before(known.ready) {
+		if !found || !c.retains(known) || now.Before(known.readyAt) {
 			break
 		}
-		held += p.Tokens
+		cached += p.Tokens
 	}
-	return min(held, a.PromptTokens)
+	return min(cached, req.PromptTokens)
 }
 
-// forget drops the parts that are held no more.
-func (c *cache) forget() {
+// prune removes the parts that are no longer retained.
+func (c *prefixCache) prune() {
 	for h, p := range c.parts {
-		if !c.holds(p) {
+		if !c.retains(p) {
 			delete(c.parts, h)
 		}
 	}
--- a/gateway/placement/cache_test.go
+++ b/gateway/placement/cache_test.go
@@ -10,50 +10,50 @@
 	"opalbridge.dev/gateway/placement"
 )
 
-// smallCache is an engine whose memory holds two long prompts.
+// smallCache returns an engine whose memory holds two long prompts.
 func smallCache(string) *catalog.Engine {
 	return &catalog.Engine{Slots: 64, KVTokens: 40000, BytesPerToken: 163840, LinkMbps: 550000}
 }
 
-// TestLeastRecentlyUsedGivesWay: what a cache holds depends on what came after, not on
-// how long ago it was.
-func TestLeastRecentlyUsedGivesWay(t *testing.T) {
+// TestLeastRecentlyUsedEviction: what a cache retains depends on what was added since, not on
+// the time passed.
+func TestLeastRecentlyUsedEviction(t *testing.T) {
 	tests := []struct {
 		name  string
-		after []uint64      // requests that come after the first one
-		wait  time.Duration // until the last one
+		after []uint64      // requests after the first one
+		wait  time.Duration // before the last one
 		held  bool
 	}{
 		{"at once", nil, time.Second, true},
 		{"an hour later", nil, time.Hour, true},
-		{"one more since", []uint64{1}, time.Second, true},
-		{"many more since", []uint64{1, 2, 3, 4}, time.Second, false},
-		{"many more, but used between", []uint64{1, 7, 2, 7, 3, 7}, time.Second, true},
+		{"one other request since", []uint64{1}, time.Second, true},
+		{"many others since", []uint64{1, 2, 3, 4}, time.Second, false},
+		{"many others, but used in between", []uint64{1, 7, 2, 7, 3, 7}, time.Second, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := placement.NewBalancer(placement.DefaultPolicy())
 			b.SetServers(start, servers(1), smallCache)
 			now := start
-			cold := put(b, now, long(7)).(placement.Assign).Load.Work
+			cold := place(b, now, longRequest(7)).(placement.Assign).Load.Work
 			for _, key := range test.after {
 				now = now.Add(time.Second)
-				put(b, now, long(key))
+				place(b, now, longRequest(key))
 			}
 			b.PruneCaches()
-			work := b.Place(now.Add(test.wait), long(7)).(placement.Assign).Load.Work
+			work := b.Place(now.Add(test.wait), longRequest(7)).(placement.Assign).Load.Work
 			require.Equal(t, test.held, work < cold/2)
 		})
 	}
 }
 
-// TestUnreadPartsAreNoSource: a part can't be copied before it has been read.
-func TestUnreadPartsAreNoSource(t *testing.T) {
+// TestNoCopyBeforePrefill: a part can't be copied before its prefill has ended.
+func TestNoCopyBeforePrefill(t *testing.T) {
 	b := placement.NewBalancer(placement.DefaultPolicy())
-	b.SetServers(start, servers(9), copying)
-	first := put(b, start, long(7)).(placement.Assign)
+	b.SetServers(start, servers(9), copyEngine)
+	first := place(b, start, longRequest(7)).(placement.Assign)
 	patient := func() *placement.Request {
-		a := long(7)
+		a := longRequest(7)
 		a.Objective = 0
 		return a
 	}
@@ -64,16 +64,17 @@
 	require.Equal(t, first.Server.Address, later.CopyFrom)
 }
 
-// TestHolds: what a server told of its cache counts, until other prompts take its place.
-func TestHolds(t *testing.T) {
-	b := engines(1)
-	a := long(7)
+// TestReportedParts: parts that a server reports count as cached until other prompts evict
+// them.
+func TestReportedParts(t *testing.T) {
+	b := newBalancer(1)
+	a := longRequest(7)
 	cold := b.Place(start, a).(placement.Assign).Load.Work
 	b.RecordCached(start, "i-00", []uint64{a.Parts[0].Hash})
-	b.RecordCached(start, "i-99", []uint64{a.Parts[0].Hash}) // has gone meanwhile
+	b.RecordCached(start, "i-99", []uint64{a.Parts[0].Hash}) // the server has gone in the meantime
 	require.Less(t, b.Place(start, a).(placement.Assign).Load.Work, cold/2)
 	for i := range uint64(40) {
-		put(b, start.Add(time.Duration(i)*time.Second), long(1000+i))
+		place(b, start.Add(time.Duration(i)*time.Second), longRequest(1000+i))
 	}
 	require.Equal(t, cold, b.Place(start.Add(time.Minute), a).(placement.Assign).Load.Work)
 }
--- a/gateway/placement/engine.go
+++ b/gateway/placement/engine.go
@@ -5,112 +5,114 @@
 	"time"
 )
 
-// This file holds what is learned of a service's engines, whose speed nobody announces.
-// The policy's figures are only where it starts.
+// This file estimates the speed of a service's engines, which is not configured. The policy's
+// figures are only the initial values.
 
 const (
-	// Fewer servers can't tell a slow service from a slow server: then each server's own
-	// pace serves. One odd server among three doesn't move their median.
-	leastServers = 3
-	// The median is taken anew this often. A server tells its pace some 20 times a second.
-	speedEvery = 50 * time.Millisecond
-	// A first event that comes later than predicted moves the belief up by half of this
-	// share of it, an earlier one down, so that half of them are late. The share falls with
-	// the requests seen.
-	firstMove = 0.2
-	leastMove = 0.03
-	halfMove  = 10 // requests after which a move is half of the first one
-	// After so many first events a belief is told to others, and those of others are not
-	// taken over any more.
-	learnedAfter = 60
-	// Requests that are read in a shorter time than this share of the first step tell of
-	// the first step, the others of the reading.
-	shortReading = 0.5
-	// Bounds of what is believed, so that it can come back.
-	leastPace      = 0.02
-	mostPace       = 50.0
-	leastFirstStep = 2 * time.Millisecond
-	mostFirstStep  = time.Second
+	// With fewer servers a slow service can't be told from a slow server, so that only the
+	// slowdown of each server is used. One outlier among three does not move the median.
+	minServers = 3
+	// The median is recomputed at most this often. A server gives some 20 observations per
+	// second.
+	medianInterval = 50 * time.Millisecond
+	// A first event that comes later than predicted raises an estimate by half of this fraction,
+	// an earlier one lowers it, so that the estimate approaches the median. The step shrinks as
+	// samples are added.
+	initialStep     = 0.2
+	minStep         = 0.03
+	halfStepSamples = 10 // samples after which the step is half of the initial one
+	// With so many samples an estimate is sent to other gateways, and theirs no longer replace
+	// it.
+	minLearnedSamples = 60
+	// Requests whose prefill takes less than this fraction of the first event delay update that
+	// delay; all others update the prefill slowdown.
+	shortPrefillFraction = 0.5
+	// Bounds of the estimates, from which they can recover.
+	minSlowdown        = 0.02
+	maxSlowdown        = 50.0
+	minFirstEventDelay = 2 * time.Millisecond
+	maxFirstEventDelay = time.Second
 )
 
-// speed is how fast a service's engines are believed to be.
+// speed is the estimated speed of a service's engines.
 type speed struct {
-	reading   estimate  // how much longer reading takes than the policy says
-	firstStep estimate  // seconds from the end of reading to the first event
-	usual     float64   // the median of what the servers' paces are by their progress
-	settled   time.Time // when usual was computed
+	prefillSlowdown estimate  // prefill time over the time that the policy gives
+	firstEventDelay estimate  // seconds from the end of prefill to the first event
+	medianSlowdown  float64   // median of the servers' observed slowdowns
+	medianAt        time.Time // when medianSlowdown was computed
 }
 
-// estimate is a figure that moves until as many observations lie above it as below.
+// estimate tracks a median: it moves until as many samples lie above it as below.
 type estimate struct {
-	value float64
-	seen  int // observations
+	value   float64
+	samples int
 }
 
-// learn moves the estimate towards an observation above or below it.
-func (e *estimate) learn(above bool, least, most float64) {
-	move := max(firstMove*halfMove/float64(halfMove+e.seen), leastMove) / 2
-	e.seen++
+// update moves the estimate up if a sample was above it, else down, within the bounds.
+func (e *estimate) update(above bool, lo, hi float64) {
+	step := max(initialStep*halfStepSamples/float64(halfStepSamples+e.samples), minStep) / 2
+	e.samples++
 	if above {
-		e.value *= 1 + move
+		e.value *= 1 + step
 	} else {
-		e.value /= 1 + move
+		e.value /= 1 + step
 	}
-	e.value = min(max(e.value, least), most)
+	e.value = min(max(e.value, lo), hi)
 }
 
-// first returns the time from the end of reading to the first event.
-func (v *speed) first() time.Duration { return seconds(v.firstStep.value) }
+// firstEventTime returns the time from the end of prefill to the first event.
+func (v *speed) firstEventTime() time.Duration { return seconds(v.firstEventDelay.value) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// speedOf returns what is known of a service's engines.
+// speedOf returns the estimate for a service's engines, creating it if needed.
 func (b *Balancer) speedOf(service string) *speed {
 	v := b.speeds[service]
 	if v == nil {
-		v = &speed{reading: estimate{value: 1}, firstStep: estimate{value: b.policy.FirstStep.Seconds()}, usual: 1}
+		v = &speed{prefillSlowdown: estimate{value: 1}, firstEventDelay: estimate{value: b.policy.FirstEventDelay.Seconds()}, medianSlowdown: 1}
 		b.speeds[service] = v
 	}
 	return v
 }
 
-// learnUsual takes the median of what the servers' paces are now. A server of which
-// nothing was seen lately counts as usual, so a few slow ones stay apart.
-func (b *Balancer) learnUsual(now time.Time, service string) {
+// updateMedian recomputes the median of the servers' observed slowdowns. A server without
+// recent observations counts as being at the median, so that a few slow servers do not move
+// it.
+func (b *Balancer) updateMedian(now time.Time, service string) {
 	group := b.services[service]
 	v := b.speedOf(service)
-	if len(group) < leastServers || now.Sub(v.settled) < speedEvery {
+	if len(group) < minServers || now.Sub(v.medianAt) < medianInterval {
 		return
 	}
-	v.settled = now
-	paces := make([]float64, len(group))
+	v.medianAt = now
+	slowdowns := make([]float64, len(group))
 	for i, s := range group {
-		paces[i] = s.progressPace(now)
+		slowdowns[i] = s.observedSlowdown(now)
 	}
-	slices.Sort(paces)
-	v.usual = min(max(paces[len(paces)/2], leastPace), mostPace)
+	slices.Sort(slowdowns)
+	v.medianSlowdown = min(max(slowdowns[len(slowdowns)/2], minSlowdown), maxSlowdown)
 }
 
-// RecordLatency tells how long an own request took to its first event, and what was predicted
-// when it was sent: for waiting and for its own reading.
-func (b *Balancer) RecordLatency(server string, took, waiting, reading time.Duration) {
+// RecordLatency records the time that a request of this gateway took to its first event,
+// with the queue time and prefill time predicted when it was sent.
+func (b *Balancer) RecordLatency(server string, took, queueTime, prefillTime time.Duration) {
 	s := b.servers[server]
 	if s == nil || s.engine == nil {
 		return
 	}
 	v := s.speed
-	predicted := waiting + reading
-	late := took > predicted+v.first()
-	if predicted < scale(v.first(), shortReading) {
-		v.firstStep.learn(late, leastFirstStep.Seconds(), mostFirstStep.Seconds())
+	predicted := queueTime + prefillTime
+	late := took > predicted+v.firstEventTime()
+	if predicted < scale(v.firstEventTime(), shortPrefillFraction) {
+		v.firstEventDelay.update(late, minFirstEventDelay.Seconds(), maxFirstEventDelay.Seconds())
 		return
 	}
-	if len(b.services[s.Service]) >= leastServers {
-		v.reading.learn(late, leastPace, mostPace)
+	if len(b.services[s.Service]) >= minServers {
+		v.prefillSlowdown.update(late, minSlowdown, maxSlowdown)
 	}
 }
 
-// ServiceOf returns the service of a server; empty: it is not known.
+// ServiceOf returns the service of a server, or "" if the server is unknown.
 func (b *Balancer) ServiceOf(server string) string {
 	if s := b.servers[server]; s != nil {
 		return s.Server.Service
@@ -118,29 +120,29 @@
 	return ""
 }
 
-// ServerCount returns how many servers a service has.
+// ServerCount returns the number of servers of a service.
 func (b *Balancer) ServerCount(service string) int { return len(b.services[service]) }
 
-// Speed is what is believed of a service's engines.
+// Speed is the estimated speed of a service's engines.
 type Speed struct {
-	PrefillSlowdown float64       // how much longer reading takes than [Policy] says
-	FirstEventDelay time.Duration // from the end of reading to the first event
-	Learned         bool          // from many first events, or from another gateway that saw them
+	PrefillSlowdown float64       // prefill time over the time that [Policy] gives
+	FirstEventDelay time.Duration // from the end of prefill to the first event
+	Learned         bool          // based on enough samples, here or at another gateway
 }
 
-// SetSpeed takes over what another gateway has learned of a service's engines, unless this
-// one has learned it itself.
+// SetSpeed takes over another gateway's estimate for a service's engines, unless this gateway
+// has enough samples of its own.
 func (b *Balancer) SetSpeed(service string, s Speed) {
 	v := b.speedOf(service)
-	if v.reading.seen >= learnedAfter {
+	if v.prefillSlowdown.samples >= minLearnedSamples {
 		return
 	}
-	v.reading = estimate{value: min(max(s.PrefillSlowdown, leastPace), mostPace), seen: learnedAfter}
-	v.firstStep = estimate{value: min(max(s.FirstEventDelay, leastFirstStep), mostFirstStep).Seconds(), seen: learnedAfter}
+	v.prefillSlowdown = estimate{value: min(max(s.PrefillSlowdown, minSlowdown), maxSlowdown), samples: minLearnedSamples}
+	v.firstEventDelay = estimate{value: min(max(s.FirstEventDelay, minFirstEventDelay), maxFirstEventDelay).Seconds(), samples: minLearnedSamples}
 }
 
-// Speed returns what is believed of a service's engines.
+// Speed returns the estimate for a service's engines.
 func (b *Balancer) Speed(service string) Speed {
 	v := b.speedOf(service)
-	return Speed{PrefillSlowdown: v.reading.value, FirstEventDelay: v.first(), Learned: v.reading.seen >= learnedAfter}
+	return Speed{PrefillSlowdown: v.prefillSlowdown.value, FirstEventDelay: v.firstEventTime(), Learned: v.prefillSlowdown.samples >= minLearnedSamples}
 }
--- a/gateway/placement/observe.go
+++ b/gateway/placement/observe.go
@@ -5,80 +5,82 @@
 	"time"
 )
 
-// RecordSent tells that a gateway has sent a request; own tells whether it was this one. It
-// returns the request's position: all the work that was sent to the server so far.
-// Loads on servers that are not known are passed over.
-func (b *Balancer) RecordSent(now time.Time, l Load, own bool) (position time.Duration) {
+// RecordSent records that a gateway has sent a request; local reports whether it was this
+// gateway. It returns the request's position, which is the total work sent to the server so
+// far. Loads of unknown servers are ignored.
+func (b *Balancer) RecordSent(now time.Time, l Load, local bool) (position time.Duration) {
 	s := b.servers[l.Server]
 	if s == nil {
 		return 0
 	}
-	if own {
-		s.running++
-		s.pause.send(now)
+	if local {
+		s.localRunning++
+		s.backoff.recordSent(now)
 	}
 	if s.busyUntil.Before(now) {
 		s.busyUntil = now
 	}
-	s.sent += l.Work
-	s.busyUntil = s.busyUntil.Add(s.atPace(now, l.Work))
-	s.cache.use(l.Parts, l.CacheTokens, s.busyUntil)
-	return s.sent
+	s.sentWork += l.Work
+	s.busyUntil = s.busyUntil.Add(s.timeFor(now, l.Work))
+	s.cache.add(l.Parts, l.CacheTokens, s.busyUntil)
+	return s.sentWork
 }
 
-// RecordCached tells which parts of prompts a server has in its cache, beside those that were
-// sent there. When they were used last is not known, so they count as old by half.
+// RecordCached records parts of prompts that a server has reported to be in its cache, in
+// addition to those sent there. Their last use is unknown, so they count as halfway to
+// eviction.
 func (b *Balancer) RecordCached(now time.Time, server string, parts []uint64) {
 	s := b.servers[server]
 	if s == nil {
 		return
 	}
-	s.cache.hold(parts, now)
+	s.cache.addReported(parts, now)
 }
 
-// RecordFirstEvent tells that a server has made the first event of an own request. Servers read
-// prompts in order of arrival, so what was sent after it is what they have still to
-// read. It returns that, and by how much the model was wrong.
-func (b *Balancer) RecordFirstEvent(now time.Time, server string, position time.Duration) (left, miss time.Duration) {
+// RecordFirstEvent records that a server has sent the first event of a request of this
+// gateway. Servers process prompts in order of arrival, so the work sent after the request
+// is the remaining backlog. It returns that backlog and the error of the model.
+func (b *Balancer) RecordFirstEvent(now time.Time, server string, position time.Duration) (remaining, modelError time.Duration) {
 	s := b.servers[server]
 	if s == nil {
 		return 0, 0
 	}
-	left = max(s.sent-position, 0)
-	return left, b.RecordBacklog(now, server, left)
+	remaining = max(s.sentWork-position, 0)
+	return remaining, b.RecordBacklog(now, server, remaining)
 }
 
-// RecordBacklog tells how much work a server has still to do, as an event there has shown. It
-// returns by how much the model was wrong.
-func (b *Balancer) RecordBacklog(now time.Time, server string, left time.Duration) (miss time.Duration) {
+// RecordBacklog records the remaining work of a server, as shown by a first event there. It
+// returns the error of the model.
+func (b *Balancer) RecordBacklog(now time.Time, server string, remaining time.Duration) (modelError time.Duration) {
 	s := b.servers[server]
 	if s == nil {
 		return 0
 	}
-	if s.learnPace(now, left) {
-		b.learnUsual(now, s.Service)
+	if s.updateSlowdown(now, remaining) {
+		b.updateMedian(now, s.Service)
 	}
-	until := now.Add(s.atPace(now, left) - s.speed.first())
-	miss = until.Sub(latest(s.busyUntil, now))
+	until := now.Add(s.timeFor(now, remaining) - s.speed.firstEventTime())
+	modelError = until.Sub(latest(s.busyUntil, now))
 	s.busyUntil = until
-	return miss
+	return modelError
 }
 
-// RecordOverdue tells that an own request at a position should have had its first event and
-// did not, so the server is at least so far behind. It returns as [Balancer.RecordFirstEvent] does.
-func (b *Balancer) RecordOverdue(now time.Time, server string, position time.Duration) (left, miss time.Duration) {
+// RecordOverdue records that the first event of a request of this gateway is overdue, so
+// that the server's backlog is at least the work sent after it. The results are as for
+// [Balancer.RecordFirstEvent].
+func (b *Balancer) RecordOverdue(now time.Time, server string, position time.Duration) (remaining, modelError time.Duration) {
 	s := b.servers[server]
 	if s == nil {
 		return 0, 0
 	}
-	left = max(s.sent-position, 0)
-	until := now.Add(s.atPace(now, left))
-	miss = until.Sub(latest(s.busyUntil, now))
-	if miss <= 0 {
-		return left, 0
+	remaining = max(s.sentWork-position, 0)
+	until := now.Add(s.timeFor(now, remaining))
+	modelError = until.Sub(latest(s.busyUntil, now))
+	if modelError <= 0 {
+		return remaining, 0
 	}
 	s.busyUntil = until
-	return left, miss
+	return remaining, modelError
 }
 
 func latest(a, b time.Time) time.Time {
@@ -88,128 +90,129 @@
 	return b
 }
 
-// atPace returns the time that the server takes for work.
-func (s *server) atPace(now time.Time, work time.Duration) time.Duration {
-	return scale(work, s.pace(now))
+// timeFor returns the time that the server takes for nominal work.
+func (s *server) timeFor(now time.Time, work time.Duration) time.Duration {
+	return scale(work, s.slowdown(now))
 }
 
-// pace is how much longer than the policy says this server takes. What was learned of it
-// fades to what its service's servers take, so that a server that was slow is tried again.
-func (s *server) pace(now time.Time) float64 {
-	return s.speed.reading.value * s.progressPace(now) / s.speed.usual
+// slowdown returns the server's processing time relative to the policy's. Observations decay
+// towards the service's median, so that a server that was slow is tried again.
+func (s *server) slowdown(now time.Time) float64 {
+	return s.speed.prefillSlowdown.value * s.observedSlowdown(now) / s.speed.medianSlowdown
 }
 
-// progressPace is the pace by the server's progress alone.
-func (s *server) progressPace(now time.Time) float64 {
-	keep := s.paceKept(now)
-	usual := s.speed.usual
-	prior := pacePrior.Seconds() / usual // work that takes pacePrior
-	ratio := (s.paceTook*keep + pacePrior.Seconds()) / (s.paceWork*keep + prior)
-	return min(max(ratio, fastestPace*usual), slowestPace*usual)
+// observedSlowdown returns the slowdown by the server's own progress only.
+func (s *server) observedSlowdown(now time.Time) float64 {
+	decay := s.observationDecay(now)
+	median := s.speed.medianSlowdown
+	prior := slowdownPrior.Seconds() / median // work that takes slowdownPrior
+	ratio := (s.observedTime*decay + slowdownPrior.Seconds()) / (s.observedWork*decay + prior)
+	return min(max(ratio, minRelativeSlowdown*median), maxRelativeSlowdown*median)
 }
 
-// paceKept is the weight that is left of what was learned of the pace.
-func (s *server) paceKept(now time.Time) float64 {
-	return math.Exp2(-float64(now.Sub(s.progress.at)) / float64(paceHalfLife))
+// observationDecay returns the remaining weight of earlier observations.
+func (s *server) observationDecay(now time.Time) float64 {
+	return math.Exp2(-float64(now.Sub(s.progress.at)) / float64(slowdownHalfLife))
 }
 
-// learnPace compares two moments at which it was known how far the server had got. If
-// all the work that it did between them was there at the first one, it has worked all
-// the time between. It returns whether that told something.
-func (s *server) learnPace(now time.Time, left time.Duration) bool {
-	done := s.sent - left
+// updateSlowdown compares the progress at two moments. If all work done between them was
+// already queued at the first one, the server was busy all the time, and the time taken
+// shows its slowdown. It reports whether there was such an observation.
+func (s *server) updateSlowdown(now time.Time, remaining time.Duration) bool {
+	done := s.sentWork - remaining
 	last := s.progress
-	if done-last.done < leastPaceWork {
+	if done-last.done < minSlowdownWork {
 		return false
 	}
-	keep := s.paceKept(now)
-	s.paceTook *= keep
-	s.paceWork *= keep
-	s.progress = progress{at: now, done: done, sent: s.sent}
+	decay := s.observationDecay(now)
+	s.observedTime *= decay
+	s.observedWork *= decay
+	s.progress = progress{at: now, done: done, sent: s.sentWork}
 	if last.at.IsZero() || done > last.sent {
 		return false
 	}
-	s.paceTook += now.Sub(last.at).Seconds()
-	s.paceWork += (done - last.done).Seconds()
+	s.observedTime += now.Sub(last.at).Seconds()
+	s.observedWork += (done - last.done).Seconds()
 	return true
 }
 
-// progress is how far a server had got at a moment.
+// progress is the progress of a server at a moment.
 type progress struct {
 	at   time.Time
-	done time.Duration // of the work sent to it
-	sent time.Duration // at that moment
+	done time.Duration // total work done
+	sent time.Duration // total work sent by then
 }
 
 // Outcome says how a request ended at its server.
 type Outcome int
 
-// The ends of requests.
+// Outcomes of requests.
 const (
 	Served      Outcome = iota
-	Failed              // an error of the server's own, a broken or wrong answer
-	Unreachable         // no connection came up
-	Rejected            // the server turned it away
-	Abandoned           // the caller left or the gateway gave up; it tells nothing of the server
+	Failed              // server error, or a broken or invalid answer
+	Unreachable         // no connection could be established
+	Rejected            // the server turned the request away
+	Abandoned           // the caller left or the gateway gave up; says nothing about the server
 	NotSent             // the gateway did not send it after all
 )
 
-// RecordEnd tells that an own request has left its server.
+// RecordEnd records that a request of this gateway has ended at its server.
 func (b *Balancer) RecordEnd(now time.Time, server string, sent bool, e Outcome) {
 	s := b.servers[server]
 	if s == nil {
 		return
 	}
 	if sent {
-		s.running = max(s.running-1, 0)
+		s.localRunning = max(s.localRunning-1, 0)
 	}
-	s.fade(now)
+	s.decayFailures(now)
 	switch e {
 	case Served:
 		s.successes++
-		s.rest = 0
+		s.ejection = 0
 	case Failed:
 		s.failures++
 	case Unreachable:
-		s.letRest(now)
+		s.eject(now)
 	case Rejected:
-		s.pause.refuse(now)
+		s.backoff.recordRejected(now)
 	case Abandoned, NotSent:
 	}
 }
 
-// RecordSilence tells that a server owes a first event for long and gives no sign of life.
+// RecordSilence records that a first event is long overdue at a server that shows no sign of
+// life, and ejects the server.
 func (b *Balancer) RecordSilence(now time.Time, server string) {
-	if s := b.servers[server]; s != nil && now.After(s.resting) {
-		s.fade(now)
-		s.letRest(now)
+	if s := b.servers[server]; s != nil && now.After(s.ejectedUntil) {
+		s.decayFailures(now)
+		s.eject(now)
 	}
 }
 
-// letRest keeps work from a server for a while, longer each time.
-func (s *server) letRest(now time.Time) {
+// eject keeps work from a server for a while, with exponential backoff.
+func (s *server) eject(now time.Time) {
 	s.failures++
-	s.rest = min(max(2*s.rest, firstRest), longestRest)
-	s.resting = now.Add(s.rest)
+	s.ejection = min(max(2*s.ejection, minEjection), maxEjection)
+	s.ejectedUntil = now.Add(s.ejection)
 }
 
-// SetRemoteRunning tells how many requests of other gateways are at a server.
+// SetRemoteRunning sets the number of requests that other gateways have at a server.
 func (b *Balancer) SetRemoteRunning(server string, running int) {
 	if s := b.servers[server]; s != nil {
-		s.others = running
+		s.remoteRunning = running
 	}
 }
 
-// AddRemoteRunning tells that other gateways have so many requests more at a server, or fewer.
-func (b *Balancer) AddRemoteRunning(server string, more int) {
+// AddRemoteRunning changes the number of requests that other gateways have at a server.
+func (b *Balancer) AddRemoteRunning(server string, delta int) {
 	if s := b.servers[server]; s != nil {
-		s.others = max(s.others+more, 0)
+		s.remoteRunning = max(s.remoteRunning+delta, 0)
 	}
 }
 
-// PruneCaches drops the parts that no server holds any more, to bound memory.
+// PruneCaches removes evicted parts from the cache models, to bound memory.
 func (b *Balancer) PruneCaches() {
 	for _, s := range b.servers {
-		s.cache.forget()
+		s.cache.prune()
 	}
 }
--- a/gateway/placement/placement.go
+++ b/gateway/placement/placement.go
@@ -1,23 +1,24 @@
-// Package placement decides which backend server serves a request, or that none can
-// serve it in time. It keeps a small model of each server: how much prompt it has
-// still to read, what runs there, which parts of prompts it holds in its cache, and
-// how often it failed lately.
+// Package placement decides which backend server serves a request, or that no server can
+// serve it in time. It keeps a model of each server: its prefill backlog, the requests in
+// flight there, the prompt prefixes in its cache, and its recent failure rate.
 //
 // # Usage
 //
-//	b := placement.NewBoard(placement.DefaultPolicy())
-//	b.SetServers(now, servers)
-//	switch d := b.Place(now, ask).(type) {
-//	case placement.Assign: // send it to d.Server, then b.Sent(now, d.Load)
-//	case placement.Refuse: // tell the caller to come back after d.RetryAfter
-//	case placement.None:   // no server of the service is known
+//	b := placement.NewBalancer(placement.DefaultPolicy())
+//	b.SetServers(now, servers, engineOf)
+//	switch d := b.Place(now, request).(type) {
+//	case placement.Assign:   // send it to d.Server, then call b.RecordSent(now, d.Load, true)
+//	case placement.Hold:     // queue it and ask again soon
+//	case placement.Refuse:   // tell the caller to retry after d.RetryAfter
+//	case placement.NoServer: // no server of the service takes work
 //	}
 //
-// What other gateways send is told by [Balancer.RecordSent] too, so that all see the same
-// load a few milliseconds apart. A wrong model costs time, never a promise.
+// Requests that other gateways send are reported through [Balancer.RecordSent] as well, so
+// that all gateways see the same load within a few milliseconds. An error in the model costs
+// latency, never correctness.
 //
-// The package takes no lock, does no input or output and reads no clock: every call
-// says what time it is. A Board belongs to one goroutine.
+// The package does no locking and no I/O and does not read the clock: every call passes the
+// current time. A Balancer must be used by one goroutine only.
 package placement
 
 import (
@@ -29,7 +30,7 @@
 	"opalbridge.dev/gateway/catalog"
 )
 
-// Part is a piece of a prompt that requests may share, named by a hash of its ID.
+// Part is a segment of a prompt that requests may share, identified by a hash of its ID.
 type Part struct {
 	Hash   uint64
 	Tokens int
@@ -39,53 +40,53 @@
 type Request struct {
 	Service       string
 	Account       string
-	Parts         []Part          // of the prompt, in order; the last one is the caller's own
-	PromptTokens  int             // tokens of the whole prompt
-	OutputTokens  int             // tokens the answer is expected to have
-	Objective     time.Duration   // what is left, since the caller's first try, of the time in which the first event is in time; below 0: it is late; 0: none
-	CallerTimeout time.Duration   // what is left of the time in which the caller waits for the first event
-	Remaining     time.Duration   // what is left of the time in which an answer is of use at all
-	HoldReason    Reason          // why it was held so far
-	Waited        time.Duration   // for how long
-	OverShare     bool            // the account has got its share of the fleet
-	Capped        bool            // it got so much more than others that press that it gets no more
-	ShareRatio    float64         // what it got over an even share of all that was given; 0: unknown
-	Exclude       []string        // servers that have been tried
-	Withheld      map[string]bool // servers that get none of its kind now; shared, not changed
-	Regions       catalog.Regions // in which it may be served
-	Hall          string          // of the gateway
-	TieBreak      uint64          // random, to choose among servers that are as good
-}
-
-// Decision is what [Balancer.Place] decides.
+	Parts         []Part          // of the prompt, in order; the last one belongs to this request alone
+	PromptTokens  int             // length of the whole prompt
+	OutputTokens  int             // expected length of the answer
+	Objective     time.Duration   // time left until the first event is late, counted from the caller's first attempt; negative: already late; 0: no objective
+	CallerTimeout time.Duration   // time left until the caller stops waiting for the first event
+	Remaining     time.Duration   // time left until an answer is of no use to the caller
+	HoldReason    Reason          // why it has been held so far
+	Waited        time.Duration   // time it has been held
+	OverShare     bool            // the account has used up its fair share of the fleet
+	Capped        bool            // the account is so far ahead of a backlogged account that it gets no surplus capacity
+	ShareRatio    float64         // tokens admitted for the account over an even share of all admitted tokens; 0: unknown
+	Exclude       []string        // servers already tried
+	Withheld      map[string]bool // servers withheld from requests of this kind; shared, must not be modified
+	Regions       catalog.Regions // regions in which it may be served
+	Hall          string          // hall of the gateway
+	TieBreak      uint64          // random; chooses among servers of similar cost
+}
+
+// Decision is the result of [Balancer.Place].
 type Decision interface{ decision() }
 
-// Assign gives the request to a server.
+// Assign sends the request to a server.
 type Assign struct {
 	Server           catalog.Server
 	Load             Load
-	Predicted        time.Duration // until the first event
-	QueueTime        time.Duration // of that, until the server comes to it
-	PrefillTime      time.Duration // of that, to read what its cache does not hold
-	NominalLatency   time.Duration // from when the server comes to it until the first event, at a server of the usual pace
-	SharedMissTokens int           // tokens of shared parts that its cache does not hold
-	CopyFrom         string        // address of a server whose cache holds more of the prompt; empty: none
-	ID               uint64        // names the request to whoever keeps the board
-	SendBefore       time.Time     // the request must not leave later than this; zero: whenever it can
+	Predicted        time.Duration // time until the first event
+	QueueTime        time.Duration // of Predicted: until the server begins to process the prompt
+	PrefillTime      time.Duration // of Predicted: prefill of the part of the prompt that is not cached
+	NominalLatency   time.Duration // prefill and first event at a server of median speed, without queueing
+	SharedMissTokens int           // tokens of shared parts that are not in the server's cache
+	CopyFrom         string        // address of a server that caches more of the prompt; empty: none
+	ID               uint64        // set by the caller of Place to identify the assignment
+	SendBefore       time.Time     // the request must not be sent later than this; zero: no limit
 }
 
-// Refuse means that no server can serve the request in time.
+// Refuse means that the request is not served now and the caller should retry later.
 type Refuse struct {
 	RetryAfter time.Duration
-	Predicted  time.Duration // until the first event, at the best server
+	Predicted  time.Duration // time until the first event at the best server
 	Reason     Reason
 }
 
-// Hold means that the request is kept until servers have room for it, and others go
-// first: ask again soon.
+// Hold means that the request should wait for capacity while other requests go first.
+// The caller asks again soon.
 type Hold struct {
-	Predicted   time.Duration // until the first event, at the best server now
-	PrefillTime time.Duration // of that, to read what its cache does not hold
+	Predicted   time.Duration // time until the first event at the best server now
+	PrefillTime time.Duration // of Predicted: prefill of the part of the prompt that is not cached
 	Reason      Reason
 }
 
@@ -97,15 +98,15 @@
 func (Hold) decision()     {}
 func (NoServer) decision() {}
 
-// Load is what a request puts on a server.
+// Load is the load that a request puts on a server.
 type Load struct {
-	Server      string        // incarnation
-	Work        time.Duration // to read the part of the prompt that is not cached there
-	Parts       []uint64      // parts of the prompt, in order
-	CacheTokens int           // that its cache takes up for the request: what it does not hold yet, and the answer
+	Server      string        // ID of the server's lifetime
+	Work        time.Duration // prefill time of the part of the prompt that is not cached there
+	Parts       []uint64      // hashes of the prompt's parts, in order
+	CacheTokens int           // cache space taken: uncached prompt tokens and the answer
 }
 
-// Balancer is the model of all servers.
+// Balancer models all servers and places requests on them.
 type Balancer struct {
 	policy   Policy
 	servers  map[string]*server
@@ -114,7 +115,7 @@
 	regions  map[string]string    // by hall
 }
 
-// NewBalancer returns a board without servers.
+// NewBalancer returns a Balancer without servers.
 func NewBalancer(p Policy) *Balancer {
 	return &Balancer{policy: p, servers: map[string]*server{}, services: map[string][]*server{}, speeds: map[string]*speed{}}
 }
@@ -122,197 +123,198 @@
 // server is the model of one server.
 type server struct {
 	catalog.Server
-	hash      uint64 // of its ID
-	engine    *catalog.Engine
-	speed     *speed        // of its service's engines
-	busyUntil time.Time     // when it will have read all prompts sent to it
-	sent      time.Duration // work sent to it so far
-	progress  progress      // when it was last seen how far it has got
-	paceTook  float64       // seconds that it took for paceWork, which fades
-	paceWork  float64       // seconds of work, which fades
-	cache     cache         // parts of prompts
-	running   int           // requests of this gateway, from sending to the end
-	others    int           // requests of the other gateways
-	failures  float64       // weight of recent failures, which fades
-	successes float64       // weight of recent successes, which fades
-	faded     time.Time
-	resting   time.Time // no work before then: it can't be reached
-	closed    time.Time // no work before then: it is cold
-	rest      time.Duration
-	pause     pause
-	left      bool // it has said that it leaves, and no entry says so yet
-}
-
-// SetServers replaces the servers that exist; engines tells a service's engine, nil
-// for a plain one. What is known of servers that stay is kept.
+	idHash           uint64 // hash of its ID
+	engine           *catalog.Engine
+	speed            *speed        // shared by all servers of its service
+	busyUntil        time.Time     // when its prefill backlog will be empty
+	sentWork         time.Duration // total work sent to it
+	progress         progress      // at the last update of its slowdown
+	observedTime     float64       // decaying sum of the seconds taken for observedWork
+	observedWork     float64       // decaying sum of seconds of nominal work
+	cache            prefixCache   // prompt parts
+	localRunning     int           // requests of this gateway in flight
+	remoteRunning    int           // requests of the other gateways in flight
+	failures         float64       // decaying count of failures
+	successes        float64       // decaying count of successes
+	decayedAt        time.Time
+	ejectedUntil     time.Time // unreachable; gets no work before this time
+	closedUntil      time.Time // cold; gets no work before this time
+	ejection         time.Duration
+	backoff          backoff
+	announcedLeaving bool // it has announced that it leaves, but its entry does not say so yet
+}
+
+// SetServers replaces the set of servers. engine returns a service's engine, or nil for a
+// plain service. The state of servers that remain is kept.
 func (b *Balancer) SetServers(now time.Time, list []catalog.Server, engine func(service string) *catalog.Engine) {
 	kept := map[string]*server{}
 	b.services = map[string][]*server{}
 	for _, s := range list {
 		m := b.servers[s.ID]
 		if m == nil {
-			m = &server{hash: hashID(s.ID), cache: cache{parts: map[uint64]part{}}, busyUntil: now, faded: now}
+			m = &server{idHash: hashID(s.ID), cache: prefixCache{parts: map[uint64]cachedPart{}}, busyUntil: now, decayedAt: now}
 		}
 		m.Server, m.engine, m.speed = s, engine(s.Service), b.speedOf(s.Service)
-		m.cache.size = b.policy.cacheSize(m.engine)
+		m.cache.capacity = b.policy.cacheSize(m.engine)
 		kept[s.ID] = m
 		b.services[s.Service] = append(b.services[s.Service], m)
 	}
 	b.servers = kept
 	for _, group := range b.services {
-		slices.SortFunc(group, func(a, c *server) int { return cmp.Compare(a.ID, c.ID) })
+		slices.SortFunc(group, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
 	}
 }
 
-// Place decides where a request goes. It changes nothing; tell [Balancer.RecordSent] when the
-// request goes out.
-func (b *Balancer) Place(now time.Time, a *Request) Decision {
-	open, next := b.open(now, a)
-	if len(open) == 0 {
-		return b.placeLater(now, a, next)
+// Place decides where a request goes. It changes no state; call [Balancer.RecordSent] when
+// the request is sent.
+func (b *Balancer) Place(now time.Time, req *Request) Decision {
+	servers, next := b.available(now, req)
+	if len(servers) == 0 {
+		return b.placeUnavailable(now, req, next)
 	}
-	if open[0].engine == nil {
-		return b.placePlain(now, a, open)
+	if servers[0].engine == nil {
+		return b.placePlain(now, req, servers)
 	}
-	return b.placeEngine(now, a, open)
+	return b.placeEngine(now, req, servers)
 }
 
-// opening is when the first of the servers takes work that take none now, and why it
-// doesn't. Its zero value: there are none.
-type opening struct {
+// availability is the earliest time at which one of the servers that take no work now does
+// so again, and why it takes none. The zero value means that there is no such server.
+type availability struct {
 	at     time.Time
 	reason Reason
 }
 
-// sooner takes over when a server takes work.
-func (o *opening) sooner(at time.Time, r Reason) {
-	if o.at.IsZero() || at.Before(o.at) {
-		*o = opening{at, r}
+// earliest moves the availability to the given time if that is earlier.
+func (c *availability) earliest(at time.Time, r Reason) {
+	if c.at.IsZero() || at.Before(c.at) {
+		*c = availability{at, r}
 	}
 }
 
-// placeLater decides on a request for which no server takes work now.
-func (b *Balancer) placeLater(now time.Time, a *Request, next opening) Decision {
+// placeUnavailable decides on a request for which no server takes work now.
+func (b *Balancer) placeUnavailable(now time.Time, req *Request, next availability) Decision {
 	if next.at.IsZero() {
 		return NoServer{}
 	}
 	wait := next.at.Sub(now)
-	if next.reason == BackingOff && b.waitsFor(a, wait) {
+	if next.reason == BackingOff && b.canWait(req, wait) {
 		return Hold{Predicted: wait, Reason: BackingOff}
 	}
 	return Refuse{RetryAfter: max(wait, b.policy.MinRetryAfter), Reason: next.reason}
 }
 
-// open returns the servers of the service that take work; those that could not be reached
-// are left out unless all could not. Cold ones and those that asked for rest are left out
-// always; next tells when the first of them takes work.
-func (b *Balancer) open(now time.Time, a *Request) (open []*server, next opening) {
-	var awake, resting []*server
-	for _, s := range b.services[a.Service] {
-		if !b.may(a, s) {
+// available returns the servers of the service that take work. Ejected servers are left out
+// unless all are ejected; cold servers and those that back off are always left out. next is
+// when the first of these takes work again.
+func (b *Balancer) available(now time.Time, req *Request) (available []*server, next availability) {
+	var up, ejected []*server
+	for _, s := range b.services[req.Service] {
+		if !b.eligible(req, s) {
 			continue
 		}
-		if now.Before(s.closed) {
-			next.sooner(s.closed, Cold)
+		if now.Before(s.closedUntil) {
+			next.earliest(s.closedUntil, Cold)
 			continue
 		}
-		if s.pause.allowed != 0 {
-			if opens := s.pause.opens(now, s.places()); now.Before(opens) {
-				next.sooner(opens, BackingOff)
+		if s.backoff.allowed != 0 {
+			if at := s.backoff.nextSend(now, s.slots()); now.Before(at) {
+				next.earliest(at, BackingOff)
 				continue
 			}
 		}
-		if now.Before(s.resting) {
-			resting = append(resting, s)
+		if now.Before(s.ejectedUntil) {
+			ejected = append(ejected, s)
 			continue
 		}
-		awake = append(awake, s)
+		up = append(up, s)
 	}
-	if len(awake) > 0 {
-		return awake, next
+	if len(up) > 0 {
+		return up, next
 	}
-	return resting, next
+	return ejected, next
 }
 
-// MarkLeaving tells that a server has said that it leaves. It holds until the server's entry has
-// gone; who replaces the servers knows of it by then.
+// MarkLeaving records that a server has announced that it leaves. It applies until the
+// server's entry is removed; by then SetServers reflects it.
 func (b *Balancer) MarkLeaving(server string) {
 	if s := b.servers[server]; s != nil {
-		s.left = true
+		s.announcedLeaving = true
 	}
 }
 
-// may tells whether a request may go to a server, now or later.
-func (b *Balancer) may(a *Request, s *server) bool {
-	return !s.Leaving && !s.left && !s.Evacuated && !a.Withheld[s.ID] && b.allowed(a, s) && !slices.Contains(a.Exclude, s.ID)
+// eligible reports whether a request may go to a server, now or later.
+func (b *Balancer) eligible(req *Request, s *server) bool {
+	return !s.Leaving && !s.announcedLeaving && !s.Evacuated && !req.Withheld[s.ID] && b.inAllowedRegion(req, s) && !slices.Contains(req.Exclude, s.ID)
 }
 
-// allowed tells whether a request may be served where a server is.
-func (b *Balancer) allowed(a *Request, s *server) bool {
-	return a.Regions == nil || a.Regions.Allow(b.regions[s.Hall])
+// inAllowedRegion reports whether a request may be served in a server's region.
+func (b *Balancer) inAllowedRegion(req *Request, s *server) bool {
+	return req.Regions == nil || req.Regions.Allow(b.regions[s.Hall])
 }
 
-// SetRegions tells in which region each hall is.
+// SetRegions sets the region of each hall.
 func (b *Balancer) SetRegions(byHall map[string]string) { b.regions = byHall }
 
-// CloseUntil keeps work from a server until a time. It replaces what was said before; a time
-// that has passed opens it.
+// CloseUntil keeps a cold server from getting work until the given time, replacing any
+// earlier time. A time in the past opens the server.
 func (b *Balancer) CloseUntil(server string, until time.Time) {
 	if s := b.servers[server]; s != nil {
-		s.closed = until
+		s.closedUntil = until
 	}
 }
 
-// placePlain takes the server with the most room, the own hall first.
-func (b *Balancer) placePlain(now time.Time, a *Request, open []*server) Decision {
+// placePlain chooses the server with the lowest relative load, preferring the gateway's
+// hall.
+func (b *Balancer) placePlain(now time.Time, req *Request, servers []*server) Decision {
 	cost := func(s *server) float64 {
-		c := float64(s.running+s.others) / float64(max(s.Capacity, 1))
+		c := float64(s.localRunning+s.remoteRunning) / float64(max(s.Capacity, 1))
 		c += b.policy.PlainFailureCost * s.failureRate(now)
-		if s.Hall != a.Hall {
-			c += b.policy.OtherHallCost
+		if s.Hall != req.Hall {
+			c += b.policy.PlainCrossHallCost
 		}
 		return c
 	}
-	best := slices.MinFunc(open, func(x, y *server) int { return cmp.Compare(cost(x), cost(y)) })
+	best := slices.MinFunc(servers, func(x, y *server) int { return cmp.Compare(cost(x), cost(y)) })
 	return Assign{Server: best.Server, Load: Load{Server: best.ID}}
 }
 
-func (b *Balancer) placeEngine(now time.Time, a *Request, open []*server) Decision {
-	best := b.best(now, a, open)
-	r := b.reason(now, a, best)
-	if r == OverShare && a.ShareRatio <= b.policy.IdleAhead {
-		if o, ok := b.idle(now, a, open); ok {
-			best, r = o, InTime
+func (b *Balancer) placeEngine(now time.Time, req *Request, servers []*server) Decision {
+	best := b.cheapest(now, req, servers)
+	r := b.deferReason(now, req, best)
+	if r == OverShare && req.ShareRatio <= b.policy.MaxIdleShareRatio {
+		if c, ok := b.cheapestIdle(now, req, servers); ok {
+			best, r = c, InTime
 		}
 	}
 	if r != InTime {
-		if b.holds(a, best, r) {
-			return Hold{Predicted: best.predicted, PrefillTime: best.reading, Reason: r}
+		if b.shouldHold(req, best, r) {
+			return Hold{Predicted: best.predicted, PrefillTime: best.prefillTime, Reason: r}
 		}
-		return Refuse{RetryAfter: b.comeBack(a, best, r), Predicted: best.predicted, Reason: r}
+		return Refuse{RetryAfter: b.retryAfter(req, best, r), Predicted: best.predicted, Reason: r}
 	}
-	load := Load{Server: best.server.ID, Work: best.work, Parts: hashes(a.Parts), CacheTokens: best.added + a.OutputTokens}
-	assign := Assign{Server: best.server.Server, Load: load, Predicted: best.predicted, QueueTime: best.waiting, PrefillTime: best.reading, SharedMissTokens: best.reread}
-	assign.NominalLatency = best.work + best.server.speed.first()
-	if best.from != nil {
-		assign.CopyFrom = best.from.Address
+	load := Load{Server: best.server.ID, Work: best.work, Parts: partHashes(req.Parts), CacheTokens: best.uncachedTokens + req.OutputTokens}
+	assign := Assign{Server: best.server.Server, Load: load, Predicted: best.predicted, QueueTime: best.queueTime, PrefillTime: best.prefillTime, SharedMissTokens: best.sharedMissTokens}
+	assign.NominalLatency = best.work + best.server.speed.firstEventTime()
+	if best.copyFrom != nil {
+		assign.CopyFrom = best.copyFrom.Address
 	}
 	return assign
 }
 
-// InFlight returns how many requests of all gateways a server has.
+// InFlight returns the number of requests that all gateways have at a server.
 func (b *Balancer) InFlight(server string) int {
 	s := b.servers[server]
 	if s == nil {
 		return 0
 	}
-	return s.running + s.others
+	return s.localRunning + s.remoteRunning
 }
 
-// Reason tells why a request should not be sent to its best server now.
+// Reason says why a request should not be sent to its best server now.
 type Reason string
 
-// The reasons.
+// Reasons for holding or refusing a request.
 const (
 	InTime     Reason = "" // it should be sent
 	OverShare  Reason = "account over its share"
@@ -321,62 +323,64 @@
 	BackingOff Reason = "all servers have asked for rest"
 )
 
-// reason tells whether and why a request should not be sent to its best server.
-func (b *Balancer) reason(now time.Time, a *Request, best option) Reason {
-	if a.Objective == 0 {
+// deferReason returns why a request should not be sent to its best server now, or InTime.
+func (b *Balancer) deferReason(now time.Time, req *Request, best candidate) Reason {
+	if req.Objective == 0 {
 		return InTime
 	}
-	if a.OverShare && a.HoldReason != TooLate && (a.Capped || !b.spare(now, a, best)) {
+	if req.OverShare && req.HoldReason != TooLate && (req.Capped || !b.hasSurplus(now, req, best)) {
 		return OverShare
 	}
 	switch {
-	case best.predicted <= b.limit(a), best.waiting <= b.policy.LateWait:
-		return InTime // one that is late delays others by little
-	case a.HoldReason == TooLate && best.predicted > a.CallerTimeout-b.policy.LastMoment:
-		return InTime // having waited, it is served at the last moment rather than never
+	case best.predicted <= b.latencyLimit(req), best.queueTime <= b.policy.MaxLateWait:
+		return InTime // with so short a queue, a late request hardly delays others
+	case req.HoldReason == TooLate && best.predicted > req.CallerTimeout-b.policy.TimeoutMargin:
+		return InTime // after being held, serve it late rather than let the caller time out
 	}
 	return TooLate
 }
 
-// holds tells whether a request is held. One beyond its account's share waits a moment
-// for a server to run dry; one that is late waits as long as its caller does.
-func (b *Balancer) holds(a *Request, best option, r Reason) bool {
-	if a.Capped {
-		return false // no server that runs dry is for it
+// shouldHold reports whether a request is held rather than refused. A request beyond its
+// account's share is held briefly for an idle server; a late one for as long as its caller
+// waits.
+func (b *Balancer) shouldHold(req *Request, best candidate, r Reason) bool {
+	if req.Capped {
+		return false // an idle server would not be given to it
 	}
-	if a.OverShare && a.HoldReason != TooLate {
-		return r == OverShare && a.Waited < b.policy.SurplusHold(a) && best.predicted <= b.limit(a)
+	if req.OverShare && req.HoldReason != TooLate {
+		return r == OverShare && req.Waited < b.policy.SurplusHold(req) && best.predicted <= b.latencyLimit(req)
 	}
-	return best.predicted < a.CallerTimeout
+	return best.predicted < req.CallerTimeout
 }
 
-// spare tells whether a server has room for a request beyond its account's share: it
-// hardly waits, and has places to spare unless the account is far behind the others.
-func (b *Balancer) spare(now time.Time, a *Request, best option) bool {
-	return b.places(a, best.server) && best.waiting <= b.spareWait(now, a)
+// hasSurplus reports whether a server has surplus capacity for a request beyond its
+// account's share: the queue is short, and enough slots are free unless the account is far
+// behind the others.
+func (b *Balancer) hasSurplus(now time.Time, req *Request, best candidate) bool {
+	return b.hasSurplusSlots(req, best.server) && best.queueTime <= b.maxSurplusWait(now, req)
 }
 
-// places tells whether a server has places to spare for a request beyond its account's
-// share.
-func (b *Balancer) places(a *Request, s *server) bool {
-	taken := float64(s.running+s.others) / float64(max(s.engine.Slots, 1))
-	return a.ShareRatio <= b.policy.FarBehind || taken <= b.policy.SparePlaces
+// hasSurplusSlots reports whether a server has enough free slots for a request beyond its
+// account's share.
+func (b *Balancer) hasSurplusSlots(req *Request, s *server) bool {
+	occupancy := float64(s.localRunning+s.remoteRunning) / float64(max(s.engine.Slots, 1))
+	return req.ShareRatio <= b.policy.LowShareRatio || occupancy <= b.policy.MaxSurplusOccupancy
 }
 
-// spareWait is the longest wait at which an account that has got its share is served
-// with what others leave. One that got less than an even part of that is served nearly
-// as if it were within its share; the others get idle servers, or while many are idle such
-// as hardly wait.
-func (b *Balancer) spareWait(now time.Time, a *Request) time.Duration {
-	wait := scale(b.policy.BehindWait, max(1-a.ShareRatio, 0))
-	if wait < b.policy.IdleWait && b.idleShare(now, a.Service) >= b.policy.IdleShare {
-		return b.policy.IdleWait
+// maxSurplusWait returns the longest queue time at which an account that has used up its
+// share gets surplus capacity. An account with less than an even part of the surplus is
+// served almost as if it were within its share. Others get idle servers only, or, while
+// many servers are idle, servers with a very short queue.
+func (b *Balancer) maxSurplusWait(now time.Time, req *Request) time.Duration {
+	wait := scale(b.policy.MaxSurplusWait, max(1-req.ShareRatio, 0))
+	if wait < b.policy.MaxIdleSurplusWait && b.idleFraction(now, req.Service) >= b.policy.MinIdleFraction {
+		return b.policy.MaxIdleSurplusWait
 	}
 	return wait
 }
 
-// idleShare returns the share of a service's servers that have nothing to read.
-func (b *Balancer) idleShare(now time.Time, service string) float64 {
+// idleFraction returns the fraction of a service's servers that have no prefill backlog.
+func (b *Balancer) idleFraction(now time.Time, service string) float64 {
 	idle := 0
 	for _, s := range b.services[service] {
 		if !s.busyUntil.After(now) {
@@ -386,46 +390,47 @@
 	return float64(idle) / float64(max(len(b.services[service]), 1))
 }
 
-// limit is the longest predicted time to the first event at which a request is sent.
-func (b *Balancer) limit(a *Request) time.Duration {
-	return scale(a.Objective, b.policy.LimitShare)
+// latencyLimit returns the longest predicted time to the first event at which a request is
+// sent.
+func (b *Balancer) latencyLimit(req *Request) time.Duration {
+	return scale(req.Objective, b.policy.ObjectiveFraction)
 }
 
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(by * float64(d)) }
 
-// comeBack returns when a caller should ask again: when the wait will have gone down,
-// or when the account's window will have moved on. Callers wait up to a third of the
-// time they have left.
-func (b *Balancer) comeBack(a *Request, best option, r Reason) time.Duration {
-	after := max(best.predicted-b.limit(a), b.policy.MinRetryAfter)
+// retryAfter returns when the caller should retry: when the queue will have shortened or the
+// account's share window will have moved on. Callers wait for at most a third of their
+// remaining time, so it stays below that.
+func (b *Balancer) retryAfter(req *Request, best candidate, r Reason) time.Duration {
+	delay := max(best.predicted-b.latencyLimit(req), b.policy.MinRetryAfter)
 	if r == OverShare {
-		after = max(after, b.policy.ShareRetryAfter)
+		delay = max(delay, b.policy.MinShareRetryAfter)
 	}
-	if a.Remaining > 0 {
-		after = min(after, a.Remaining/4)
+	if req.Remaining > 0 {
+		delay = min(delay, req.Remaining/4)
 	}
-	return max(after, 10*time.Millisecond)
+	return max(delay, 10*time.Millisecond)
 }
 
-// fade lets what was seen of failures lose weight.
-func (s *server) fade(now time.Time) {
-	age := now.Sub(s.faded)
+// decayFailures applies the exponential decay of the failure and success counts.
+func (s *server) decayFailures(now time.Time) {
+	age := now.Sub(s.decayedAt)
 	if age <= 0 {
 		return
 	}
-	keep := math.Exp2(-float64(age) / float64(failureHalfLife))
-	s.failures *= keep
-	s.successes *= keep
-	s.faded = now
+	decay := math.Exp2(-float64(age) / float64(failureHalfLife))
+	s.failures *= decay
+	s.successes *= decay
+	s.decayedAt = now
 }
 
-// failureRate returns the share of recent requests that failed; a server of which
-// little is known counts as sound.
+// failureRate returns the recent failure rate. A server with little history counts as
+// healthy.
 func (s *server) failureRate(now time.Time) float64 {
-	s.fade(now)
+	s.decayFailures(now)
 	rate := s.failures / (s.failures + s.successes + failurePrior)
-	if rate < forgivenRate {
-		return 0 // or an idle server with an old failure would never be tried again
+	if rate < ignoredFailureRate {
+		return 0 // otherwise an idle server with one old failure would never be tried again
 	}
 	return rate
 }
--- a/gateway/placement/placement_test.go
+++ b/gateway/placement/placement_test.go
@@ -25,73 +25,73 @@
 	return list
 }
 
-func engines(n int) *placement.Balancer {
+func newBalancer(n int) *placement.Balancer {
 	b := placement.NewBalancer(placement.DefaultPolicy())
 	b.SetServers(start, servers(n), engine)
 	return b
 }
 
-// long is a request with a large shared part.
-func long(key uint64) *placement.Request {
+// longRequest returns a request with a large shared part.
+func longRequest(key uint64) *placement.Request {
 	return &placement.Request{
 		Service: "s", Hall: "h", PromptTokens: 17000, OutputTokens: 100, Objective: 800 * time.Millisecond, Remaining: 12 * time.Second, CallerTimeout: 3200 * time.Millisecond,
 		Parts: []placement.Part{{Hash: key, Tokens: 13300}, {Hash: key ^ 0xffff, Tokens: 3700}},
 	}
 }
 
-// put places a request and books it.
-func put(b *placement.Balancer, now time.Time, a *placement.Request) placement.Decision {
+// place places a request and records it as sent.
+func place(b *placement.Balancer, now time.Time, a *placement.Request) placement.Decision {
 	d := b.Place(now, a)
 	if assign, ok := d.(placement.Assign); ok {
-		b.RecordSent(now, assign.Load, false) // it takes no place: these tests are about reading
+		b.RecordSent(now, assign.Load, false) // not own, so that it takes no slot: these tests are about prefill
 	}
 	return d
 }
 
-func TestSharedPartKeepsItsServer(t *testing.T) {
-	b := engines(9)
-	first := put(b, start, long(7)).(placement.Assign)
+func TestSharedPrefixAffinity(t *testing.T) {
+	b := newBalancer(9)
+	first := place(b, start, longRequest(7)).(placement.Assign)
 	for i := range 5 {
 		now := start.Add(time.Duration(i+1) * time.Second)
-		next := put(b, now, long(7)).(placement.Assign)
+		next := place(b, now, longRequest(7)).(placement.Assign)
 		require.Equal(t, first.Server.ID, next.Server.ID)
-		require.Less(t, next.Load.Work, first.Load.Work/2, "the shared part must not be read again")
+		require.Less(t, next.Load.Work, first.Load.Work/2, "the shared part must not be recomputed")
 	}
 }
 
-func TestCopiesAreFew(t *testing.T) {
-	b := engines(9)
+func TestSharedPrefixUsesFewServers(t *testing.T) {
+	b := newBalancer(9)
 	used := map[string]bool{}
 	for range 40 {
-		if a, ok := put(b, start, long(7)).(placement.Assign); ok {
+		if a, ok := place(b, start, longRequest(7)).(placement.Assign); ok {
 			used[a.Server.ID] = true
 		}
 	}
-	require.LessOrEqual(t, len(used), placement.DefaultPolicy().Homes)
+	require.LessOrEqual(t, len(used), placement.DefaultPolicy().AffinityServers)
 }
 
-func TestHomesHardlyMove(t *testing.T) {
+func TestAffinityIsStable(t *testing.T) {
 	const keys = 200
-	before, after := engines(9), placement.NewBalancer(placement.DefaultPolicy())
+	before, after := newBalancer(9), placement.NewBalancer(placement.DefaultPolicy())
 	after.SetServers(start, servers(9)[:8], engine)
 	moved := 0
 	for k := range uint64(keys) {
-		a := before.Place(start, long(k*7919)).(placement.Assign)
-		c := after.Place(start, long(k*7919)).(placement.Assign)
+		a := before.Place(start, longRequest(k*7919)).(placement.Assign)
+		c := after.Place(start, longRequest(k*7919)).(placement.Assign)
 		if a.Server.ID != c.Server.ID {
 			moved++
-			require.Equal(t, "i-08", a.Server.ID, "only the parts of the server that has gone may move")
+			require.Equal(t, "i-08", a.Server.ID, "only the parts of the removed server may move")
 		}
 	}
 	require.Positive(t, moved)
 }
 
-func TestShortPromptsFillIdleServers(t *testing.T) {
-	b := engines(2)
+func TestShortPromptsUseIdleServers(t *testing.T) {
+	b := newBalancer(2)
 	for range 3 {
-		put(b, start, long(7))
+		place(b, start, longRequest(7))
 	}
-	busy := b.Place(start, long(7))
+	busy := b.Place(start, longRequest(7))
 	short := &placement.Request{Service: "s", Hall: "h", PromptTokens: 1000, Objective: 600 * time.Millisecond,
 		Parts: []placement.Part{{Hash: 1, Tokens: 200}, {Hash: 2, Tokens: 800}}}
 	a := b.Place(start, short).(placement.Assign)
@@ -113,21 +113,21 @@
 		name   string
 		load   int // units of 100 ms on every server
 		change func(a *placement.Request)
-		reason placement.Reason // "": it is assigned
-		held   bool             // it is not refused at once
+		reason placement.Reason // "": assigned
+		held   bool             // held rather than refused
 	}{
 		{"idle", 0, func(*placement.Request) {}, "", false},
 		{"late everywhere", 8, func(*placement.Request) {}, placement.TooLate, true},
-		{"later than its caller waits", 30, func(*placement.Request) {}, placement.TooLate, false},
+		{"later than the caller's timeout", 30, func(*placement.Request) {}, placement.TooLate, false},
 		{"late already, idle", 0, func(a *placement.Request) { a.Objective = -time.Second }, "", false},
 		{"late already, busy", 2, func(a *placement.Request) { a.Objective = -time.Second }, placement.TooLate, true},
-		{"held since it is late, at the last moment", 8, func(a *placement.Request) {
+		{"held as late, close to the caller's timeout", 8, func(a *placement.Request) {
 			a.Objective, a.HoldReason, a.Waited, a.CallerTimeout = -time.Second, placement.TooLate, 2*time.Second, 1100*time.Millisecond
 		}, "", false},
 		{"no objective", 30, func(a *placement.Request) { a.Objective = 0 }, "", false},
 		{"over its share, idle", 0, func(a *placement.Request) { a.OverShare, a.ShareRatio = true, 3 }, "", false},
 		{"over its share, servers busy", 1, func(a *placement.Request) { a.OverShare, a.ShareRatio = true, 1 }, placement.OverShare, true},
-		{"over its share, held a moment", 1, func(a *placement.Request) {
+		{"over its share, held briefly", 1, func(a *placement.Request) {
 			a.OverShare, a.ShareRatio, a.HoldReason, a.Waited = true, 1, placement.OverShare, 200*time.Millisecond
 		}, placement.OverShare, false},
 		{"over its share, late everywhere", 8, func(a *placement.Request) { a.OverShare, a.ShareRatio = true, 1 }, placement.OverShare, false},
@@ -139,9 +139,9 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := engines(9)
+			b := newBalancer(9)
 			fill(b, test.load)
-			a := long(7)
+			a := longRequest(7)
 			test.change(a)
 			switch d := b.Place(start, a).(type) {
 			case placement.Assign:
@@ -153,7 +153,7 @@
 				require.False(t, test.held)
 				require.Equal(t, test.reason, d.Reason)
 				require.Positive(t, d.RetryAfter)
-				require.LessOrEqual(t, d.RetryAfter, a.Remaining/3, "callers do not wait longer")
+				require.LessOrEqual(t, d.RetryAfter, a.Remaining/3, "callers wait no longer")
 			default:
 				t.Fatalf("decision %T", d)
 			}
@@ -161,12 +161,12 @@
 	}
 }
 
-// TestPlacesToSpare: a request beyond its account's share gets no server of which more than
-// half of the places are taken, unless its account is far behind the others.
-func TestPlacesToSpare(t *testing.T) {
+// TestSurplusOccupancy: a request beyond its account's share gets no server with more than
+// half of its slots in use, unless its account is far behind the others.
+func TestSurplusOccupancy(t *testing.T) {
 	tests := []struct {
 		name    string
-		running int // of 64 places
+		running int // of 64 slots
 		over    bool
 		ahead   float64
 		want    placement.Decision
@@ -178,35 +178,35 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := engines(3)
+			b := newBalancer(3)
 			for _, s := range servers(3) {
 				b.SetRemoteRunning(s.ID, test.running)
 			}
-			a := long(7)
+			a := longRequest(7)
 			a.OverShare, a.ShareRatio = test.over, test.ahead
 			require.IsType(t, test.want, b.Place(start, a))
 		})
 	}
 }
 
-// TestIdleWait: while half of the servers have nothing to read, a request beyond its
-// account's share may wait a little for the one that holds its shared part.
-func TestIdleWait(t *testing.T) {
+// TestIdleSurplusWait: while half of the servers are idle, a request beyond its account's
+// share may wait briefly for the server that caches its shared part.
+func TestIdleSurplusWait(t *testing.T) {
 	tests := []struct {
 		name   string
-		holder time.Duration // work at the server that holds the part
-		other  time.Duration // work at the other one
+		holder time.Duration // work at the server that caches the part
+		other  time.Duration // work at the other server
 		want   placement.Decision
 	}{
 		{"both idle", 0, 0, placement.Assign{}},
-		{"the holder hardly waits", 15 * time.Millisecond, 0, placement.Assign{}},
-		{"the holder waits", 40 * time.Millisecond, 0, placement.Hold{}},
-		{"both are busy", 15 * time.Millisecond, time.Millisecond, placement.Hold{}},
+		{"short queue at the holder", 15 * time.Millisecond, 0, placement.Assign{}},
+		{"long queue at the holder", 40 * time.Millisecond, 0, placement.Hold{}},
+		{"both busy", 15 * time.Millisecond, time.Millisecond, placement.Hold{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := engines(2)
-			a := long(7)
+			b := newBalancer(2)
+			a := longRequest(7)
 			b.RecordCached(start, "i-00", []uint64{a.Parts[0].Hash})
 			b.RecordSent(start, placement.Load{Server: "i-00", Work: test.holder}, false)
 			b.RecordSent(start, placement.Load{Server: "i-01", Work: test.other}, false)
@@ -220,21 +220,21 @@
 	}
 }
 
-// TestNoRefusalWhileIdle: whatever the request, an idle service takes it.
+// TestNoRefusalWhileIdle: an idle service accepts any request.
 func TestNoRefusalWhileIdle(t *testing.T) {
 	for _, over := range []bool{false, true} {
 		for _, prompt := range []int{10, 1000, 17000, 60000, 400000} {
-			a := long(uint64(prompt))
+			a := longRequest(uint64(prompt))
 			a.PromptTokens, a.OverShare, a.ShareRatio = prompt, over, 1.5
-			require.IsType(t, placement.Assign{}, engines(9).Place(start, a))
+			require.IsType(t, placement.Assign{}, newBalancer(9).Place(start, a))
 		}
 	}
 }
 
-// TestIdleServersBeyondTheShare: a request beyond its account's share goes to an idle
-// server where its own is busy, if that has hardly any shared part to read again and the
-// account got no more than an even part of what was given.
-func TestIdleServersBeyondTheShare(t *testing.T) {
+// TestSurplusOnIdleServers: a request beyond its account's share goes to an idle server when
+// its affinity server is busy, provided that it has little to recompute there and the account
+// got no more than an even part of what was admitted.
+func TestSurplusOnIdleServers(t *testing.T) {
 	short := func() *placement.Request {
 		return &placement.Request{
 			Service: "s", Hall: "h", PromptTokens: 1460, OutputTokens: 100, Objective: 600 * time.Millisecond, Remaining: 15 * time.Second, CallerTimeout: 5 * time.Second,
@@ -243,36 +243,36 @@
 	}
 	tests := []struct {
 		name string
-		ask  func() *placement.Request
-		busy int // servers that have something to read, the request's own one first
+		req  func() *placement.Request
+		busy int // servers with a backlog, the request's affinity server first
 		sent bool
 	}{
-		{"a short one, its server busy", short, 1, true},
-		{"a short one, all busy", short, 9, false},
-		{"a short one of an account that got more than others", func() *placement.Request {
+		{"short, affinity server busy", short, 1, true},
+		{"short, all busy", short, 9, false},
+		{"short, account ahead of others", func() *placement.Request {
 			a := short()
 			a.ShareRatio = 1.2
 			return a
 		}, 1, false},
-		{"a long one, its server busy", func() *placement.Request {
-			a := long(7)
+		{"long, affinity server busy", func() *placement.Request {
+			a := longRequest(7)
 			a.OverShare, a.ShareRatio = true, 0.9
 			return a
 		}, 1, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := engines(9)
-			own := put(b, start, test.ask()).(placement.Assign).Server.ID
+			b := newBalancer(9)
+			own := place(b, start, test.req()).(placement.Assign).Server.ID
 			now := start.Add(2 * time.Second)
-			// So little that the request's own server is still the cheapest for it.
+			// Little enough that the affinity server is still the cheapest.
 			b.RecordSent(now, placement.Load{Server: own, Work: 40 * time.Millisecond}, false)
 			for _, s := range servers(9)[:test.busy] {
 				if s.ID != own && test.busy > 1 {
 					b.RecordSent(now, placement.Load{Server: s.ID, Work: 200 * time.Millisecond}, false)
 				}
 			}
-			assign, ok := b.Place(now, test.ask()).(placement.Assign)
+			assign, ok := b.Place(now, test.req()).(placement.Assign)
 			require.Equal(t, test.sent, ok)
 			if ok {
 				require.NotEqual(t, own, assign.Server.ID)
@@ -285,27 +285,27 @@
 func TestFailingServersGetLess(t *testing.T) {
 	b := placement.NewBalancer(placement.DefaultPolicy())
 	b.SetServers(start, servers(3), plain)
-	ask := &placement.Request{Service: "s", Hall: "h"}
-	bad := b.Place(start, ask).(placement.Assign).Server.ID
+	req := &placement.Request{Service: "s", Hall: "h"}
+	bad := b.Place(start, req).(placement.Assign).Server.ID
 	for range 5 {
 		b.RecordEnd(start, bad, false, placement.Failed)
 	}
-	require.NotEqual(t, bad, b.Place(start, ask).(placement.Assign).Server.ID)
+	require.NotEqual(t, bad, b.Place(start, req).(placement.Assign).Server.ID)
 	later := start.Add(time.Minute)
-	require.Equal(t, bad, b.Place(later, ask).(placement.Assign).Server.ID, "it is tried again")
+	require.Equal(t, bad, b.Place(later, req).(placement.Assign).Server.ID, "it is tried again")
 }
 
-func TestUnreachableServersRest(t *testing.T) {
+func TestUnreachableServersAreEjected(t *testing.T) {
 	b := placement.NewBalancer(placement.DefaultPolicy())
 	b.SetServers(start, servers(2), plain)
-	ask := &placement.Request{Service: "s", Hall: "h"}
+	req := &placement.Request{Service: "s", Hall: "h"}
 	b.RecordEnd(start, "i-00", false, placement.Unreachable)
-	require.Equal(t, "i-01", b.Place(start, ask).(placement.Assign).Server.ID)
+	require.Equal(t, "i-01", b.Place(start, req).(placement.Assign).Server.ID)
 	b.RecordEnd(start, "i-01", false, placement.Unreachable)
-	require.IsType(t, placement.Assign{}, b.Place(start, ask), "if all rest, one is tried")
+	require.IsType(t, placement.Assign{}, b.Place(start, req), "if all are ejected, one is tried")
 }
 
-func TestWhoIsLeftOut(t *testing.T) {
+func TestIneligibleServers(t *testing.T) {
 	b := placement.NewBalancer(placement.DefaultPolicy())
 	list := servers(3)
 	list[0].Leaving = true
@@ -319,7 +319,8 @@
 	require.Equal(t, placement.NoServer{}, b.Place(start, &placement.Request{Service: "other"}))
 }
 
-// TestEvacuatedAndColdServers get nothing, and who meets only such ones is told so.
+// TestEvacuatedAndColdServers: evacuated and cold servers get no requests, and a request is
+// refused as cold when they are the only ones.
 func TestEvacuatedAndColdServers(t *testing.T) {
 	soon := start.Add(700 * time.Millisecond)
 	tests := []struct {
@@ -368,9 +369,9 @@
 	}
 }
 
-// TestHomes: a request that is bound to regions goes nowhere else, not for a copy of a
-// cached part either.
-func TestHomes(t *testing.T) {
+// TestRegions: a request that is bound to regions goes nowhere else, and does not cause copies
+// from elsewhere either.
+func TestRegions(t *testing.T) {
 	tests := []struct {
 		name    string
 		regions catalog.Regions
@@ -381,7 +382,7 @@
 		{"two regions", catalog.Regions{"north", "south"}, []string{"i-00", "i-01"}},
 		{"nowhere", catalog.Regions{}, nil},
 	}
-	copying := func(string) *catalog.Engine {
+	copyEngine := func(string) *catalog.Engine {
 		return &catalog.Engine{Slots: 64, KVTokens: 500000, BytesPerToken: 160000, LinkMbps: 500000}
 	}
 	for _, test := range tests {
@@ -390,7 +391,7 @@
 			b.SetRegions(map[string]string{"n": "north", "s": "south"})
 			list := servers(3)
 			list[0].Hall, list[1].Hall, list[2].Hall = "n", "s", "unknown"
-			b.SetServers(start, list, copying)
+			b.SetServers(start, list, copyEngine)
 			b.RecordCached(start, "i-02", []uint64{1})
 			got := map[string]bool{}
 			for n := range 30 {
@@ -414,22 +415,22 @@
 	}
 }
 
-// TestCollapseEnds: after a burst far beyond what the servers can read, requests are
-// in time again within seconds and shared parts are still where they were.
-func TestCollapseEnds(t *testing.T) {
-	b := engines(3)
+// TestRecoveryAfterOverload: after a burst far beyond the servers' capacity, requests meet
+// their objective again within seconds, and shared parts are still cached where they were.
+func TestRecoveryAfterOverload(t *testing.T) {
+	b := newBalancer(3)
 	const parts = 12
 	now := start
-	for i := range 600 { // ten seconds at three times the rate that can be read
+	for i := range 600 { // ten seconds at three times the sustainable rate
 		now = now.Add(16 * time.Millisecond)
-		put(b, now, long(uint64(i%parts)*7919))
+		place(b, now, longRequest(uint64(i%parts)*7919))
 	}
 	now = now.Add(time.Second)
 	refused, work := 0, time.Duration(0)
 	const calm = 60
 	for i := range calm {
 		now = now.Add(100 * time.Millisecond)
-		a, ok := put(b, now, long(uint64(i%parts)*7919)).(placement.Assign)
+		a, ok := place(b, now, longRequest(uint64(i%parts)*7919)).(placement.Assign)
 		if !ok {
 			refused++
 			continue
@@ -437,25 +438,25 @@
 		work += a.Load.Work
 	}
 	require.Zero(t, refused)
-	require.Less(t, work/calm, 150*time.Millisecond, "shared parts must not be read again")
+	require.Less(t, work/calm, 150*time.Millisecond, "shared parts must not be recomputed")
 }
 
-// BenchmarkPlace places requests whose shared parts some servers hold, at servers of which
-// half have something to read.
+// BenchmarkPlace places requests whose shared parts are cached at some servers, with half of
+// the servers busy.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{12, 60, 180, 10000} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			board := engines(n)
+			balancer := newBalancer(n)
 			const parts = 3
 			for i := range n * parts {
-				d := board.Place(start, long(uint64(i)<<20))
+				d := balancer.Place(start, longRequest(uint64(i)<<20))
 				if assign, ok := d.(placement.Assign); ok {
-					board.RecordSent(start, assign.Load, false)
+					balancer.RecordSent(start, assign.Load, false)
 				}
 			}
 			now := start.Add(500 * time.Millisecond)
 			for i := 0; b.Loop(); i++ {
-				board.Place(now, long(uint64(i%(n*parts))<<20))
+				balancer.Place(now, longRequest(uint64(i%(n*parts))<<20))
 			}
 		})
 	}
--- a/gateway/placement/spread_test.go
+++ b/gateway/placement/spread_test.go
@@ -12,20 +12,19 @@
 	"opalbridge.dev/gateway/placement"
 )
 
-// spread plays a load that servers bear easily for ten seconds, and returns the work of each
-// server, the hall's first ones first, and how many requests were refused.
+// spread generates ten seconds of a load that the servers can easily process.
 type spread struct {
 	perSecond int
-	hall      func(draw *rand.Rand) string
-	ask       func(draw *rand.Rand, a *placement.Request)
+	hall      func(rng *rand.Rand) string
+	req       func(rng *rand.Rand, a *placement.Request)
 }
 
 var spreadHalls = []string{"a", "b", "c"}
 
 const spreadServers = 39
 
-func (s spread) play(regions map[string]string) (work []time.Duration, refused int) {
-	draw := rand.New(rand.NewPCG(3, 4))
+func (s spread) run(regions map[string]string) (work []time.Duration, refused int) {
+	rng := rand.New(rand.NewPCG(3, 4))
 	b := placement.NewBalancer(placement.DefaultPolicy())
 	b.SetRegions(regions)
 	var list []catalog.Server
@@ -43,9 +42,9 @@
 		now = now.Add(time.Second / time.Duration(s.perSecond))
 		a := placement.Request{
 			Service: "m", OutputTokens: 100, Objective: 800 * time.Millisecond, CallerTimeout: 3 * time.Second, Remaining: 15 * time.Second,
-			Hall: s.hall(draw), TieBreak: draw.Uint64(),
+			Hall: s.hall(rng), TieBreak: rng.Uint64(),
 		}
-		s.ask(draw, &a)
+		s.req(rng, &a)
 		for _, p := range a.Parts {
 			a.PromptTokens += p.Tokens
 		}
@@ -69,47 +68,47 @@
 	return sum, most
 }
 
-// TestSessionsSpreadBesideACommonBeginning: prompts of many sessions begin with one of three
-// short texts. A server that held such a text was taken to hold the prompt's beginning, so new
-// sessions went there whatever their own part, and stayed: 14 of 39 servers read without a
-// pause, while the others read a tenth of the time, and streams beside the reading paused for over
-// half a second.
-func TestSessionsSpreadBesideACommonBeginning(t *testing.T) {
+// TestSessionsWithCommonPrefixSpread: prompts of many sessions begin with one of three short
+// texts. A server that cached such a text was taken to cache the whole prefix, so that new
+// sessions went there whatever their own part, and stayed: 14 of 39 servers did prefill
+// without a break while the others did so a tenth of the time, and streams on the busy servers
+// paused for over half a second.
+func TestSessionsWithCommonPrefixSpread(t *testing.T) {
 	s := spread{
 		perSecond: 60,
-		hall:      func(draw *rand.Rand) string { return spreadHalls[draw.IntN(3)] },
-		ask: func(draw *rand.Rand, a *placement.Request) {
-			session := uint64(100 + draw.IntN(380))
-			a.Parts = []placement.Part{{Hash: 1 + session%3, Tokens: 512}, {Hash: session, Tokens: 4870}, {Hash: draw.Uint64(), Tokens: 6600}}
+		hall:      func(rng *rand.Rand) string { return spreadHalls[rng.IntN(3)] },
+		req: func(rng *rand.Rand, a *placement.Request) {
+			session := uint64(100 + rng.IntN(380))
+			a.Parts = []placement.Part{{Hash: 1 + session%3, Tokens: 512}, {Hash: session, Tokens: 4870}, {Hash: rng.Uint64(), Tokens: 6600}}
 		},
 	}
-	work, refused := s.play(nil)
+	work, refused := s.run(nil)
 	sum, most := total(work)
 	require.Zero(t, refused)
-	require.Less(t, most, 3*sum/spreadServers, "work of the busiest server, by the mean: %v", work)
+	require.Less(t, most, 3*sum/spreadServers, "work of the busiest server against the mean: %v", work)
 	for i, w := range work {
 		require.Greater(t, w, sum/spreadServers/4, "server %d", i)
 	}
 }
 
-// TestOneHallsCallersReachOtherHalls: nearly all callers come to one hall. Its own servers were
-// taken until they were late, while those of the other halls, a millisecond away, had nothing to
-// do, and accounts beyond their share were refused since their best server was busy.
-func TestOneHallsCallersReachOtherHalls(t *testing.T) {
+// TestLoadOfOneHallSpreads: nearly all callers come to one hall. Its own servers were used
+// until they were late while those of the other halls, a millisecond away, were idle, and
+// accounts beyond their share were refused because their best server was busy.
+func TestLoadOfOneHallSpreads(t *testing.T) {
 	s := spread{
 		perSecond: 500,
-		hall: func(draw *rand.Rand) string {
-			if draw.Float64() < 0.9 {
+		hall: func(rng *rand.Rand) string {
+			if rng.Float64() < 0.9 {
 				return "a"
 			}
-			return spreadHalls[1+draw.IntN(2)]
+			return spreadHalls[1+rng.IntN(2)]
 		},
-		ask: func(draw *rand.Rand, a *placement.Request) {
-			a.Parts = []placement.Part{{Hash: 1 + draw.Uint64N(20), Tokens: 200}, {Hash: draw.Uint64(), Tokens: 1500}}
+		req: func(rng *rand.Rand, a *placement.Request) {
+			a.Parts = []placement.Part{{Hash: 1 + rng.Uint64N(20), Tokens: 200}, {Hash: rng.Uint64(), Tokens: 1500}}
 		},
 	}
 	perHall := func(regions map[string]string) (own, others time.Duration) {
-		work, refused := s.play(regions)
+		work, refused := s.run(regions)
 		require.Zero(t, refused)
 		for i, w := range work {
 			if i < spreadServers/3 {
@@ -120,13 +119,13 @@
 		}
 		return own, others
 	}
-	// A server that reads without a rest lets the streams beside the reading pause.
+	// Prefill without a break would interrupt the streams on the same server.
 	const most = spreadServers / 3 * 10 * time.Second * 9 / 10
 	own, others := perHall(nil)
 	require.Less(t, own, most, "own %v, another hall's %v", own, others)
 	require.Less(t, own, 4*others, "own %v, another hall's %v", own, others)
 
-	// A line between regions is narrow: it is crossed only when own servers are far behind.
+	// Bandwidth between regions is scarce: it is used only when the local servers are far behind.
 	own, others = perHall(map[string]string{"a": "here", "b": "there", "c": "there"})
 	require.Greater(t, own, 3*others, "own %v, another region's %v", own, others)
 }
--- a/gateway/rollout/count.go
+++ b/gateway/rollout/count.go
@@ -6,128 +6,127 @@
 	"time"
 )
 
-// Answer is how a server answered a request.
+// Answer describes how a server answered a request.
 type Answer struct {
-	Failed bool // by the server itself
-	// RelativeLatency is the time to the first byte, or the whole time of an answer that is no stream,
-	// over what it should have taken; 0: not known.
+	Failed bool // server error
+	// RelativeLatency is the time to the first byte, or the total time if the answer is not a
+	// stream, relative to the expected time; 0: unknown.
 	RelativeLatency float64
-	// EventInterval is the mean time between a stream's events; 0: it is no stream, or too short.
+	// EventInterval is the mean time between a stream's events; 0: not a stream, or too short.
 	EventInterval time.Duration
 }
 
-// Count is how many answers there were, and how many of them were bad.
+// Count is the number of answers, and how many of them were bad.
 type Count struct {
 	Answers uint32
 	Failed  uint32
-	Slow    uint32 // and did not fail
+	Slow    uint32 // excluding failed ones
 }
 
 func (c Count) bad() uint32 { return c.Failed + c.Slow }
 
-// less returns the count without what was counted before; a gateway that starts again counts
-// from 0.
-func (c Count) less(before Count) Count {
-	if c.Answers < before.Answers {
+// minus returns the count less an earlier one. A gateway that restarts counts from 0 again.
+func (c Count) minus(earlier Count) Count {
+	if c.Answers < earlier.Answers {
 		return c
 	}
-	return Count{c.Answers - before.Answers, c.Failed - min(before.Failed, c.Failed), c.Slow - min(before.Slow, c.Slow)}
+	return Count{c.Answers - earlier.Answers, c.Failed - min(earlier.Failed, c.Failed), c.Slow - min(earlier.Slow, c.Slow)}
 }
 
 func (c Count) plus(d Count) Count {
 	return Count{c.Answers + d.Answers, c.Failed + d.Failed, c.Slow + d.Slow}
 }
 
-// CountKey names whose answers are counted.
+// CountKey identifies a group of answers that are counted together.
 type CountKey struct {
-	Target bool   // by servers of the target; else of the baseline
-	Route  uint32 // hash of its name
-	Server uint32 // hash of its ID; only of the target's
+	Target bool   // by a server of the target version; otherwise of the baseline
+	Route  uint32 // hash of the route's name
+	Server uint32 // hash of the server's ID; set only for the target version
 }
 
-// Report is what a gateway has counted so far, by cell.
+// Report holds all answers that a gateway has counted so far.
 type Report map[CountKey]Count
 
-// A value beyond this many times the usual one of its route is slow.
+// Values above this multiple of the route's median are slow.
 const slowFactor = 2.5
 
-// counter counts what a gateway sees itself.
+// counter counts the answers that this gateway receives.
 type counter struct {
-	counts Report
-	first  map[uint32]*usual // by route
-	pause  map[uint32]*usual
+	counts   Report
+	latency  map[uint32]*runningMedian // by route
+	interval map[uint32]*runningMedian
 }
 
 func newCounter() *counter {
-	return &counter{counts: Report{}, first: map[uint32]*usual{}, pause: map[uint32]*usual{}}
+	return &counter{counts: Report{}, latency: map[uint32]*runningMedian{}, interval: map[uint32]*runningMedian{}}
 }
 
-// RecordAnswer counts an answer of a server.
+// RecordAnswer counts a server's answer.
 func (r *Rollout) RecordAnswer(route, server uint32, fromTarget bool, a Answer) {
-	r.seen.add(route, server, fromTarget, a)
+	r.counter.add(route, server, fromTarget, a)
 }
 
-// Report returns what this gateway has counted. It is not to be changed.
-func (r *Rollout) Report() Report { return r.seen.counts }
+// Report returns what this gateway has counted. The caller must not modify it.
+func (r *Rollout) Report() Report { return r.counter.counts }
 
 func (c *counter) add(route, server uint32, fromTarget bool, a Answer) {
-	cell := CountKey{Target: fromTarget, Route: route}
+	key := CountKey{Target: fromTarget, Route: route}
 	if fromTarget {
-		cell.Server = server
+		key.Server = server
 	}
-	first, pause := usualOf(c.first, route), usualOf(c.pause, route)
-	n := c.counts[cell]
+	latency, interval := medianFor(c.latency, route), medianFor(c.interval, route)
+	n := c.counts[key]
 	n.Answers++
 	switch {
 	case a.Failed:
 		n.Failed++
-	case first.slow(a.RelativeLatency), pause.slow(a.EventInterval.Seconds()):
+	case latency.isSlow(a.RelativeLatency), interval.isSlow(a.EventInterval.Seconds()):
 		n.Slow++
 	}
-	c.counts[cell] = n
+	c.counts[key] = n
 	if !fromTarget && !a.Failed {
-		first.add(a.RelativeLatency)
-		pause.add(a.EventInterval.Seconds())
+		latency.add(a.RelativeLatency)
+		interval.add(a.EventInterval.Seconds())
 	}
 }
 
-// usual knows what is usual of a value: the median of the latest ones.
-type usual struct {
-	latest []float64
-	next   int
-	median float64 // 0: too few are known
+// runningMedian is the median of the latest samples of a value.
+type runningMedian struct {
+	samples []float64
+	next    int
+	median  float64 // 0: too few samples
 }
 
-// Values that usual keeps, and how many it needs.
+// Limits on the number of samples.
 const (
-	usualOfLatest = 33
-	usualLeast    = 7
+	medianWindow     = 33
+	minMedianSamples = 7
 )
 
-func usualOf(m map[uint32]*usual, route uint32) *usual {
-	u := m[route]
-	if u == nil {
-		u = &usual{}
-		m[route] = u
+func medianFor(medians map[uint32]*runningMedian, route uint32) *runningMedian {
+	m := medians[route]
+	if m == nil {
+		m = &runningMedian{}
+		medians[route] = m
 	}
-	return u
+	return m
 }
 
-func (u *usual) slow(v float64) bool { return u.median > 0 && v > slowFactor*u.median }
+func (m *runningMedian) isSlow(v float64) bool { return m.median > 0 && v > slowFactor*m.median }
 
-func (u *usual) add(v float64) {
+func (m *runningMedian) add(v float64) {
 	if v <= 0 {
 		return
 	}
-	if len(u.latest) < usualOfLatest {
-		u.latest = append(u.latest, v)
+	if len(m.samples) < medianWindow {
+		m.samples = append(m.samples, v)
 	} else {
-		u.latest[u.next] = v
-		u.next = (u.next + 1) % usualOfLatest
+		m.samples[m.next] = v
+		m.next = (m.next + 1) % medianWindow
 	}
-	if len(u.latest) >= usualLeast {
-		sorted := slices.Clone(u.latest)
+	if len(m.samples) >= minMedianSamples {
+		sorted := slices.Clone(m.samples)
 		slices.SortFunc(sorted, cmp.Compare[float64])
-		u.median = sorted[len(sorted)/2]
+		m.median = sorted[len(sorted)/2]
 	}
 }
--- a/gateway/rollout/rollout.go
+++ b/gateway/rollout/rollout.go
@@ -1,39 +1,38 @@
-// Package rollout moves a service's traffic to servers of a new version, or takes it back.
-// A few requests go to the new version first (the canary). Their answers are compared with
-// those that the version in use (the baseline) gives in the same seconds. If the new version
-// is worse, it gets nothing more; if not, it gets a larger part, and then all.
+// Package rollout moves a service's traffic to servers of a new version, or back. The new
+// version first gets a small fraction of the requests (canary), and its answers are compared
+// with those of the current version (baseline) in the same seconds. If the new version is
+// worse, it gets no more requests; otherwise it gets a larger fraction, and then all.
 //
 // # Usage
 //
 //	r := rollout.New(order, since)
-//	if r.Turn() { … }                    // the next request should try the new version
-//	r.Sent(toTarget)                     // where it went
-//	r.Answer(route, server, toTarget, a) // what came of it
-//	r.Hear(from, report, stage, since)   // what another gateway has seen
-//	r.Look(now, fresh)                   // takes the next step; then see r.Stage and r.Bad
+//	if r.TryTarget() { … }                            // try to send the next request to the new version
+//	r.RecordSent(toTarget)                            // where it was sent
+//	r.RecordAnswer(route, server, toTarget, a)        // how it was answered
+//	r.MergeReport(from, report, stage, since)         // another gateway's report
+//	r.Advance(now, fresh)                             // takes the next step; see r.Stage and r.Evidence
 //
-// # The bound on what a bad version gets
+// # Exposure bound
 //
-// Nothing is agreed between gateways. Each sends to the new version at most a part of its own
-// requests for the service, and the part is the same for all, so the sum over any number of
-// gateways is at most that part of all requests: also when some start, stop, are cut off or
-// know nothing of each other. What all have seen of answers is summed from reports, which hold
-// totals, so that a lost or repeated one does no harm. Who has no fresh news sends nothing to a
-// version that is not in full use yet.
+// Gateways do not coordinate. Each sends at most a fraction of its own requests for the
+// service to the new version. The fraction is the same at all gateways, so that it bounds the
+// fleet's exposure for any number of them, even when some start, stop, are partitioned or do
+// not know of each other. Reports of answers hold cumulative counts, so that a lost or
+// repeated report does no harm. A gateway without fresh information sends nothing to the new
+// version until that is in full use.
 //
 // # Verdicts
 //
-// The versions are compared by answers of the same seconds, so that what troubles all servers is
-// held against neither.
+// Answers of the same seconds are compared, so that a problem that affects all servers counts
+// against neither version.
 //
-// An answer is bad if it is a server's failure or takes several times as long as usual for its
-// route. A version is worse if, on some route or on all together, its answers are bad more
-// often by a margin, and by far more than chance would have it. A server that fails for a
-// reason of its own is no fault of its version: the better half of the servers has to be worse
-// as well.
+// An answer is bad if it is a server error or takes several times as long as usual for its
+// route. A version is worse if, on some route or over all routes, its rate of bad answers is
+// higher by a margin and the difference is far beyond noise. Single bad servers are not held
+// against their version: the better half of its servers has to be worse as well.
 //
-// The package takes no lock, does no input or output and reads no clock. A Rollout belongs to
-// one goroutine.
+// The package does no locking and no I/O and does not read the clock. A Rollout must be used
+// by one goroutine only.
 package rollout
 
 import (
@@ -42,23 +41,23 @@
 	"opalbridge.dev/gateway/catalog"
 )
 
-// Order is what the operators want.
+// Order is an operator's request to roll out a version.
 type Order struct {
 	Service  string
-	Target   string // version to which the traffic is to move
+	Target   string // version that should get the traffic
 	Duration time.Duration
-	Revision catalog.Revision // of the store; names the order
+	Revision catalog.Revision // of the store; identifies the order
 }
 
-// State is how far a roll-out is, as the operators are told.
+// State is the state of a roll-out as reported to operators.
 type State int
 
-// The states.
+// States of a roll-out.
 const (
-	Unknown    State = iota // nobody has said yet
-	InProgress              // both versions serve
-	Complete                // only the target serves; the other servers may end
-	RolledBack              // the target serves nothing
+	Unknown    State = iota // not reported yet
+	InProgress              // both versions get requests
+	Complete                // only the target gets requests; the other servers may be stopped
+	RolledBack              // the target gets no requests
 )
 
 // String implements fmt.Stringer.
@@ -66,14 +65,15 @@
 	return [...]string{"unknown", "in progress", "complete", "rolled back"}[s]
 }
 
-// Status is what the operators are told of an order.
+// Status is the reported state of an order.
 type Status struct {
 	State    State
 	Target   string
-	Revision catalog.Revision // of the store, at which it was written; 0: it was not
+	Revision catalog.Revision // of the store when it was written; 0: not written
 }
 
-// StateFor returns the state if the status is of an order, else Unknown: it is of an earlier one.
+// StateFor returns the state of the given order, or Unknown if the status belongs to an earlier
+// one.
 func (s Status) StateFor(o Order) State {
 	if s.Target != o.Target || s.Revision < o.Revision {
 		return Unknown
@@ -84,72 +84,72 @@
 // Stage is a step of a roll-out.
 type Stage int
 
-// The stages.
+// Stages of a roll-out.
 const (
 	Canary   Stage = iota // few requests go to the target
-	Expand                // a larger part
-	Full                  // all
-	Reverted              // none: the target is worse
+	Expand                // a larger fraction goes to the target
+	Full                  // all requests go to the target
+	Reverted              // none do: the target is worse
 )
 
 // String implements fmt.Stringer.
 func (s Stage) String() string { return [...]string{"canary", "expand", "move", "back"}[s] }
 
-// The stages' parts of requests, and when they begin, in parts of the order's duration. A
-// version that turns bad with the last moment before Move has got 5 in 100 of all that is asked
-// in the duration; the platform's bound is 10. What is left of the time is for streams that run
-// at the old servers.
+// Fractions of requests that the stages send to the target, and the times when the stages
+// begin, as fractions of the order's duration. A version that turns bad just before Full has
+// received 5% of all requests in the duration; the platform's limit is 10%. The rest of the
+// duration is left for streams that still run at the old servers.
 const (
 	canaryShare = 0.05
 	expandShare = 0.3
-	expandFrom  = 0.55
-	moveFrom    = 0.62
+	expandAfter = 0.55
+	fullAfter   = 0.62
 )
 
-// A stage is left only with this much evidence: so many answers of the target, some of them so
-// long ago, in parts of the duration, or many.
+// Observations required to leave a stage: minAnswers answers of the target, the first of them
+// minObservation of the duration ago, or sufficientAnswers answers.
 const (
-	leastAnswers = 30
-	leastProof   = 0.2
-	manyAnswers  = 200
+	minAnswers        = 30
+	minObservation    = 0.2
+	sufficientAnswers = 200
 )
 
-// The target's servers that take requests have all answered some by this time after the first.
-const earlyFor = 2 * time.Second
+// All target servers that take requests have answered some by this time after the first answer.
+const earlyPeriod = 2 * time.Second
 
-// Rollout is an order at work.
+// Rollout is the execution of an order.
 type Rollout struct {
 	Order
-	OrderedAt time.Time // when it was given, as far as is known
+	OrderedAt time.Time // time of the order, as far as known
 	stage     Stage
-	// The furthest that another gateway is.
-	furthest Stage
-	bad      *Evidence
-	fresh    bool
-	// Requests that the target may still get, below 2; grows by the stage's part with each
-	// request.
-	credit float64
-	seen   *counter
-	judge  judge
-	proven time.Time // when the target's first answer was known; zero: there is none
-	moved  time.Time // since when all goes to the target; zero: not yet
+	// Latest stage of any other gateway.
+	maxRemoteStage Stage
+	evidence       *Evidence
+	fresh          bool
+	// Number of requests that may be sent to the target, from -1 to 1. Each request adds the
+	// stage's fraction.
+	credit        float64
+	counter       *counter
+	analyzer      analyzer
+	firstAnswerAt time.Time // when the first answer of the target was seen; zero: none yet
+	fullSince     time.Time // since when all requests go to the target; zero: they do not
 }
 
-// New returns an order's roll-out; since is when it was given.
+// New returns the roll-out of an order that was given at the time since.
 func New(o Order, since time.Time) *Rollout {
-	return &Rollout{Order: o, OrderedAt: since, seen: newCounter(), judge: newJudge()}
+	return &Rollout{Order: o, OrderedAt: since, counter: newCounter(), analyzer: newAnalyzer()}
 }
 
-// Stage returns the present stage.
+// Stage returns the current stage.
 func (r *Rollout) Stage() Stage { return r.stage }
 
-// FullSince returns since when all requests go to the target; zero: they do not.
-func (r *Rollout) FullSince() time.Time { return r.moved }
+// FullSince returns since when all requests go to the target, or zero if they do not.
+func (r *Rollout) FullSince() time.Time { return r.fullSince }
 
-// Evidence returns what has shown this gateway that the target is worse; nil: nothing has.
-func (r *Rollout) Evidence() *Evidence { return r.bad }
+// Evidence returns what has shown this gateway that the target is worse, or nil.
+func (r *Rollout) Evidence() *Evidence { return r.evidence }
 
-// TargetShare returns the part of requests that goes to the target.
+// TargetShare returns the fraction of requests that goes to the target.
 func (r *Rollout) TargetShare() float64 {
 	switch {
 	case r.stage == Full:
@@ -163,21 +163,21 @@
 	}
 }
 
-// TargetServers returns how many of the target's servers take requests, so that each gets as many as
-// it will at the end: some versions are bad only under load.
-func (r *Rollout) TargetServers(all int) int {
-	const least = 4 // so that one that fails by itself is told from its version
-	n := int(float64(all)*r.TargetShare() + 0.999)
-	return min(max(n, least), all)
+// TargetServers returns how many of all target servers take requests. Each gets as much load
+// as it will in the end, since some versions fail only under load.
+func (r *Rollout) TargetServers(total int) int {
+	const minTargets = 4 // to tell a bad server from a bad version
+	n := int(float64(total)*r.TargetShare() + 0.999)
+	return min(max(n, minTargets), total)
 }
 
-// TryTarget tells whether the next request should try the target.
+// TryTarget reports whether the next request should try the target.
 func (r *Rollout) TryTarget() bool {
 	share := r.TargetShare()
 	return share > 0 && r.credit+share >= 1
 }
 
-// RecordSent notes where a request went.
+// RecordSent records whether a request was sent to the target.
 func (r *Rollout) RecordSent(toTarget bool) {
 	r.credit += r.TargetShare()
 	if toTarget {
@@ -186,41 +186,42 @@
 	r.credit = min(max(r.credit, -1), 1)
 }
 
-// Advance takes the next step; fresh tells whether this gateway has fresh news of the others and
-// of the operators.
+// Advance takes the next step. fresh reports whether this gateway has fresh information from
+// the other gateways and the operators.
 func (r *Rollout) Advance(now time.Time, fresh bool) {
 	r.fresh = fresh
 	if r.stage == Reverted {
 		return
 	}
-	if !r.judge.due(now) {
+	if !r.analyzer.due(now) {
 		return
 	}
-	r.judge.hear(own, r.Report())
-	r.judge.look(now)
-	answers := r.judge.answers
-	if answers > 0 && r.proven.IsZero() {
-		r.proven = now
+	r.analyzer.merge(localGateway, r.Report())
+	r.analyzer.takeSnapshot(now)
+	answers := r.analyzer.targetAnswers
+	if answers > 0 && r.firstAnswerAt.IsZero() {
+		r.firstAnswerAt = now
 	}
-	if r.bad = r.judge.verdict(r.stage, now.Sub(r.proven) < earlyFor); r.bad != nil {
+	if r.evidence = r.analyzer.evaluate(r.stage, now.Sub(r.firstAnswerAt) < earlyPeriod); r.evidence != nil {
 		r.Revert()
 		return
 	}
-	enough := r.furthest > r.stage || answers >= manyAnswers || answers >= leastAnswers && now.Sub(r.proven) >= r.part(leastProof)
+	enough := r.maxRemoteStage > r.stage || answers >= sufficientAnswers || answers >= minAnswers && now.Sub(r.firstAnswerAt) >= r.durationPart(minObservation)
 	age := now.Sub(r.OrderedAt)
 	switch {
 	case !enough || !fresh:
-	case r.stage == Canary && age >= r.part(expandFrom):
+	case r.stage == Canary && age >= r.durationPart(expandAfter):
 		r.stage = Expand
-	case r.stage == Expand && age >= r.part(moveFrom):
-		r.stage, r.moved = Full, now
+	case r.stage == Expand && age >= r.durationPart(fullAfter):
+		r.stage, r.fullSince = Full, now
 	}
 }
 
-// Revert lets the target get nothing more, since another gateway or the operators say so.
-func (r *Rollout) Revert() { r.stage, r.moved = Reverted, time.Time{} }
+// Revert ends all traffic to the target, after evidence here, at another gateway, or on
+// an operator's decision.
+func (r *Rollout) Revert() { r.stage, r.fullSince = Reverted, time.Time{} }
 
-// part returns a part of the order's duration.
-func (r *Rollout) part(of float64) time.Duration {
-	return time.Duration(of * float64(r.Duration))
+// durationPart returns a fraction of the order's duration.
+func (r *Rollout) durationPart(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(r.Duration))
 }
--- a/gateway/rollout/rollout_test.go
+++ b/gateway/rollout/rollout_test.go
@@ -15,153 +15,154 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// The platform's bound on what a bad version may get: a part of all requests in the order's
-// duration, and some more.
+// The platform's limit on the requests that a bad version may get: a fraction of all requests
+// in the order's duration, plus a constant.
 const (
 	exposeShare = 0.1
 	exposeSlack = 50
 )
 
-// version is how a version's servers answer.
+// version describes how the servers of a version answer.
 type version struct {
-	fails   float64 // part of answers
-	slow    float64 // part of answers
-	factor  float64 // of those
+	fails   float64 // fraction of answers
+	slow    float64 // fraction of answers
+	factor  float64 // of the latency of slow answers
 	from    time.Duration
-	share   float64 // it is bad only while it gets at least this part of all requests
-	route   int     // 0: all
-	servers int     // only so many of them are bad; 0: all
+	share   float64 // it is bad only while it gets at least this fraction of all requests
+	route   int     // the only bad route; 0: all routes
+	servers int     // number of bad servers; 0: all servers
 }
 
-// play is a fleet of gateways that move a service's traffic.
-type play struct {
-	draw     *rand.Rand
-	gateways []*rollout.Rollout
-	order    rollout.Order
-	target   version
-	baseline version
-	servers  int
-	perStep  float64 // requests of one gateway
-	restarts bool
-	all, got int // requests, and those that the target got
-	bad      int
-	why      *rollout.Evidence
-	back     time.Duration // when the first gateway took the target back; 0: none has
-	complete time.Duration // when nine in ten had moved
-	seventh  time.Duration // when the 50th bad answer was given
+// simulation is a fleet of gateways that roll out a version of a service.
+type simulation struct {
+	rng            *rand.Rand
+	gateways       []*rollout.Rollout
+	order          rollout.Order
+	target         version
+	baseline       version
+	servers        int
+	perStep        float64 // requests per step at each gateway
+	restarts       bool
+	total, exposed int // all requests, and those sent to the target
+	bad            int
+	evidence       *rollout.Evidence
+	revertedAt     time.Duration // when the first gateway reverted the target; 0: none has
+	completedAt    time.Duration // when nine in ten gateways had moved all traffic
+	fiftyBadAt     time.Duration // when the 50th bad answer was given
 }
 
-const playStep = 50 * time.Millisecond
+const step = 50 * time.Millisecond
 
-func newPlay(seed uint64, target, baseline version) *play {
-	p := &play{
-		draw: rand.New(rand.NewPCG(seed, 1)), target: target, baseline: baseline, servers: 50, perStep: 2,
+func newSimulation(seed uint64, target, baseline version) *simulation {
+	s := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 1)), target: target, baseline: baseline, servers: 50, perStep: 2,
 		order: rollout.Order{Service: "model", Target: "v2", Duration: 15 * time.Second, Revision: 7},
 	}
 	for range 27 {
-		p.gateways = append(p.gateways, rollout.New(p.order, start))
+		s.gateways = append(s.gateways, rollout.New(s.order, start))
 	}
-	return p
+	return s
 }
 
-// answer draws how a server answers.
-func (p *play) answer(v version, age time.Duration, route, server int, share float64) rollout.Answer {
-	a := rollout.Answer{RelativeLatency: math.Exp(0.3 * p.draw.NormFloat64()), EventInterval: time.Duration(float64(5*time.Millisecond) * math.Exp(0.2*p.draw.NormFloat64()))}
-	if p.draw.Float64() < 0.05 {
-		a.RelativeLatency *= 3 // it met a queue
+// answer draws a server's answer.
+func (s *simulation) answer(v version, age time.Duration, route, server int, share float64) rollout.Answer {
+	a := rollout.Answer{RelativeLatency: math.Exp(0.3 * s.rng.NormFloat64()), EventInterval: time.Duration(float64(5*time.Millisecond) * math.Exp(0.2*s.rng.NormFloat64()))}
+	if s.rng.Float64() < 0.05 {
+		a.RelativeLatency *= 3 // queued behind others
 	}
 	if age < v.from || share < v.share || v.route != 0 && v.route != route || v.servers != 0 && server >= v.servers {
 		return a
 	}
-	a.Failed = p.draw.Float64() < v.fails
-	if p.draw.Float64() < v.slow {
+	a.Failed = s.rng.Float64() < v.fails
+	if s.rng.Float64() < v.slow {
 		a.RelativeLatency *= v.factor
 	}
 	return a
 }
 
-// run plays a roll-out until a time after its duration. Reports take up to a second.
-func (p *play) run() {
-	type told struct {
+// run simulates a roll-out until some time after its duration. Reports take up to a second.
+func (s *simulation) run() {
+	type message struct {
 		at     time.Time
 		from   string
 		report rollout.Report
 		stage  rollout.Stage
 	}
-	var under []told
-	for now := start; now.Sub(start) < p.order.Duration+3*time.Second; now = now.Add(playStep) {
+	var inTransit []message
+	for now := start; now.Sub(start) < s.order.Duration+3*time.Second; now = now.Add(step) {
 		age := now.Sub(start)
 		share := 0.0
-		for _, r := range p.gateways {
-			share += r.TargetShare() / float64(len(p.gateways))
+		for _, r := range s.gateways {
+			share += r.TargetShare() / float64(len(s.gateways))
 		}
 		moved := 0
-		for i, r := range p.gateways {
-			if p.restarts && p.draw.Float64() < 0.002 {
-				r = rollout.New(p.order, start)
-				p.gateways[i] = r
+		for i, r := range s.gateways {
+			if s.restarts && s.rng.Float64() < 0.002 {
+				r = rollout.New(s.order, start)
+				s.gateways[i] = r
 			}
-			for range int(p.perStep + p.draw.Float64()) {
+			for range int(s.perStep + s.rng.Float64()) {
 				toTarget := r.TryTarget()
 				r.RecordSent(toTarget)
-				route := 1 + p.draw.IntN(3)
-				v, server := p.baseline, p.draw.IntN(p.servers)
+				route := 1 + s.rng.IntN(3)
+				v, server := s.baseline, s.rng.IntN(s.servers)
 				if toTarget {
-					v, server = p.target, p.draw.IntN(r.TargetServers(p.servers))
+					v, server = s.target, s.rng.IntN(r.TargetServers(s.servers))
 				}
-				a := p.answer(v, age, route, server, share)
+				a := s.answer(v, age, route, server, share)
 				r.RecordAnswer(uint32(route), uint32(server), toTarget, a)
-				if age < p.order.Duration {
-					p.all++
+				if age < s.order.Duration {
+					s.total++
 				}
 				if toTarget {
-					p.count(age, a)
+					s.count(age, a)
 				}
 			}
-			if p.draw.Float64() < 0.05 {
-				under = append(under, told{now.Add(time.Duration(p.draw.Float64() * float64(300*time.Millisecond))), fmt.Sprint(i), maps.Clone(r.Report()), r.Stage()})
+			if s.rng.Float64() < 0.05 {
+				inTransit = append(inTransit, message{now.Add(time.Duration(s.rng.Float64() * float64(300*time.Millisecond))), fmt.Sprint(i), maps.Clone(r.Report()), r.Stage()})
 			}
 			r.Advance(now, true)
-			if r.Evidence() != nil && p.back == 0 {
-				p.back, p.why = age, r.Evidence()
+			if r.Evidence() != nil && s.revertedAt == 0 {
+				s.revertedAt, s.evidence = age, r.Evidence()
 			}
 			if !r.FullSince().IsZero() {
 				moved++
 			}
 		}
-		if moved >= len(p.gateways)*9/10 && p.complete == 0 {
-			p.complete = age
+		if moved >= len(s.gateways)*9/10 && s.completedAt == 0 {
+			s.completedAt = age
 		}
-		left := under[:0]
-		for _, t := range under {
+		pending := inTransit[:0]
+		for _, t := range inTransit {
 			if now.Before(t.at) {
-				left = append(left, t)
+				pending = append(pending, t)
 				continue
 			}
-			for i, r := range p.gateways {
-				if fmt.Sprint(i) != t.from && p.draw.Float64() < 0.95 {
+			for i, r := range s.gateways {
+				if fmt.Sprint(i) != t.from && s.rng.Float64() < 0.95 {
 					r.MergeReport(t.from, t.report, t.stage, start)
 				}
 			}
 		}
-		under = left
+		inTransit = pending
 	}
 }
 
-// count counts a request that the target got.
-func (p *play) count(age time.Duration, a rollout.Answer) {
-	if age < p.order.Duration {
-		p.got++
+// count records a request sent to the target.
+func (s *simulation) count(age time.Duration, a rollout.Answer) {
+	if age < s.order.Duration {
+		s.exposed++
 	}
 	if a.Failed || a.RelativeLatency > 4 {
-		if p.bad++; p.bad == 50 {
-			p.seventh = age
+		if s.bad++; s.bad == 50 {
+			s.fiftyBadAt = age
 		}
 	}
 }
 
-// TestVerdicts plays versions of each kind with several seeds. A bad one is taken back within
-// the platform's bounds, a good one gets all requests in time, whatever befalls single servers.
+// TestVerdicts: plays versions of each kind with several seeds. A bad one is reverted within
+// the platform's limits, and a good one gets all requests in time, whatever happens to single
+// servers.
 func TestVerdicts(t *testing.T) {
 	const seeds = 6
 	noise := version{fails: 0.01, slow: 0.03, factor: 4}
@@ -173,65 +174,65 @@
 	}{
 		{"good", version{}, version{}, false, false},
 		{"as bad as the baseline", version{fails: 0.1, slow: 0.1, factor: 4}, version{fails: 0.1, slow: 0.1, factor: 4}, false, false},
-		{"good, one server fails by itself", version{fails: 0.5, servers: 1}, noise, false, false},
-		{"good, two servers are slow by themselves", version{slow: 1, factor: 5, servers: 2}, noise, false, false},
-		{"good, gateways start again", version{}, noise, true, false},
+		{"good, one bad server", version{fails: 0.5, servers: 1}, noise, false, false},
+		{"good, two slow servers", version{slow: 1, factor: 5, servers: 2}, noise, false, false},
+		{"good, gateways restart", version{}, noise, true, false},
 		{"fails at once", version{fails: 0.3}, noise, false, true},
 		{"fails later", version{fails: 0.3, from: 6 * time.Second}, noise, false, true},
 		{"fails under load", version{fails: 0.3, share: 0.2}, noise, false, true},
 		{"fails on one route", version{fails: 0.3, route: 2}, noise, false, true},
 		{"slow", version{slow: 0.4, factor: 4}, noise, false, true},
 		{"slow on one route, later", version{slow: 0.5, factor: 4, route: 3, from: 5 * time.Second}, noise, false, true},
-		{"fails, gateways start again", version{fails: 0.3}, noise, true, true},
-		{"fails at a fifteenth of its answers", version{fails: 0.07}, noise, false, true},
+		{"fails, gateways restart", version{fails: 0.3}, noise, true, true},
+		{"fails 7% of its answers", version{fails: 0.07}, noise, false, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(seeds) {
-				p := newPlay(seed, test.target, test.baseline)
-				p.restarts = test.restarts
-				p.run()
+				s := newSimulation(seed, test.target, test.baseline)
+				s.restarts = test.restarts
+				s.run()
 				if !test.bad {
-					require.Zero(t, p.back, "seed %d: taken back: %+v", seed, p.why)
-					require.NotZero(t, p.complete, "seed %d: not all has moved", seed)
-					require.Less(t, p.complete, p.order.Duration*3/4, "seed %d: streams at the old servers have the rest", seed)
+					require.Zero(t, s.revertedAt, "seed %d: reverted: %+v", seed, s.evidence)
+					require.NotZero(t, s.completedAt, "seed %d: not all traffic moved", seed)
+					require.Less(t, s.completedAt, s.order.Duration*3/4, "seed %d: the rest is for streams at the old servers", seed)
 					continue
 				}
-				require.NotZero(t, p.back, "seed %d: not taken back", seed)
-				require.LessOrEqual(t, float64(p.got), exposeShare*float64(p.all)+exposeSlack, "seed %d: too much went to it, taken back after %v: %+v", seed, p.back, p.why)
-				if p.seventh != 0 {
-					require.Less(t, p.back-p.seventh, 4*time.Second, "seed %d: taken back late", seed)
+				require.NotZero(t, s.revertedAt, "seed %d: not reverted", seed)
+				require.LessOrEqual(t, float64(s.exposed), exposeShare*float64(s.total)+exposeSlack, "seed %d: too much exposure, reverted after %v: %+v", seed, s.revertedAt, s.evidence)
+				if s.fiftyBadAt != 0 {
+					require.Less(t, s.revertedAt-s.fiftyBadAt, 4*time.Second, "seed %d: reverted late", seed)
 				}
 			}
 		})
 	}
 }
 
-// TestShareIsKeptOverTheFleet: whatever gateways know of each other, the part of all requests
-// that the target gets as a canary is bounded.
-func TestShareIsKeptOverTheFleet(t *testing.T) {
+// TestFleetExposureBound: the fraction of all requests that the target gets as a canary is
+// bounded, whatever gateways know of each other.
+func TestFleetExposureBound(t *testing.T) {
 	order := rollout.Order{Target: "v2", Duration: time.Minute, Revision: 3}
-	all, got := 0, 0
+	total, exposed := 0, 0
 	for gateway := range 300 {
 		r := rollout.New(order, start)
 		r.Advance(start, true)
 		for range 10 + gateway {
 			toTarget := r.TryTarget()
 			r.RecordSent(toTarget)
-			all++
+			total++
 			if toTarget {
-				got++
+				exposed++
 			}
 		}
 	}
-	require.LessOrEqual(t, float64(got), 0.05*float64(all)+1)
-	require.Greater(t, float64(got), 0.04*float64(all))
+	require.LessOrEqual(t, float64(exposed), 0.05*float64(total)+1)
+	require.Greater(t, float64(exposed), 0.04*float64(total))
 }
 
-// TestNoFreshNewsNoExposure: a gateway that has no fresh news sends nothing to the target, and
-// begins again when it has.
-func TestNoFreshNewsNoExposure(t *testing.T) {
+// TestNoExposureWithoutFreshData: a gateway without fresh information sends nothing to the
+// target, and resumes when it has some.
+func TestNoExposureWithoutFreshData(t *testing.T) {
 	r := rollout.New(rollout.Order{Target: "v2", Duration: time.Minute}, start)
 	turns := func(fresh bool) (n int) {
 		r.Advance(start, fresh)
@@ -249,8 +250,9 @@
 	require.InDelta(t, 50, turns(true), 2)
 }
 
-// TestStatusOf: a status of an earlier order, or of another target, says nothing of this one.
-func TestStatusOf(t *testing.T) {
+// TestStateFor: the status of an earlier order, or of another target, does not apply to an
+// order.
+func TestStateFor(t *testing.T) {
 	order := rollout.Order{Target: "v2", Revision: 9}
 	tests := []struct {
 		name   string
--- a/gateway/share/share.go
+++ b/gateway/share/share.go
@@ -1,17 +1,17 @@
-// Package share tells which client accounts ask for more than their max-min fair
-// share of what the servers make. Every gateway counts what it was asked and what it
-// admitted in a sliding window; the others' counts are added as they arrive.
+// Package share computes which client accounts request more than their max-min fair share of
+// what the servers can process. Each gateway counts what its callers request and what it
+// admits in a sliding window; the counts of other gateways are added as they arrive.
 //
 // # Usage
 //
-//	b := share.NewBook(4 * time.Second)
-//	b.Ask(now, account, tokens)
-//	if !b.Standing(account).Over { b.Admit(now, account, tokens) }
-//	b.SetOthers(node, demands)
-//	b.Settle(now, tokensPerSecond)
+//	t := share.NewTracker(4 * time.Second)
+//	t.RecordAsked(now, account, tokens)
+//	if !t.Status(account).OverShare { t.RecordAdmitted(now, account, tokens) }
+//	t.SetRemoteDemands(node, demands)
+//	t.Recompute(now, tokensPerSecond)
 //
-// The package takes no lock, does no input or output and reads no clock. A Book
-// belongs to one goroutine.
+// The package does no locking and no I/O and does not read the clock. A Tracker must be used
+// by one goroutine only.
 package share
 
 import (
@@ -21,31 +21,31 @@
 	"time"
 )
 
-// buckets divide the window.
+// buckets is the number of buckets in a window.
 const buckets = 8
 
-// Demand is what an account asked and was admitted in the window, in tokens.
+// Demand is what an account requested and was admitted in the window, in tokens.
 type Demand struct {
 	Account  string
 	Asked    float64
 	Admitted float64
 }
 
-// Tracker counts the demands of accounts.
+// Tracker tracks the demands of accounts and computes their fair shares.
 type Tracker struct {
-	epoch  time.Time // of the first call: steps of the time of day must not move the window
-	window time.Duration
-	own    map[string]*counter
-	others map[string][]Demand // by gateway
-	totals map[string]Demand   // over the fleet, as of the last Settle
-	owed   float64             // tokens of an account in a window, of what the servers are said to make; 0: all demands fit
-	level  float64             // the same of what the servers were given; 0: all demands fit
-	most   float64             // tokens of an account beyond which it gets nothing beyond its share; 0: no bound
+	epoch        time.Time // time of the first call; buckets count from it by the monotonic clock, so that changes of the wall clock do not move the window
+	window       time.Duration
+	local        map[string]*counter
+	remote       map[string][]Demand // by gateway
+	totals       map[string]Demand   // over the fleet, as of the last Recompute
+	fairShare    float64             // tokens per account and window when the servers' capacity is divided; 0: all demands fit
+	evenShare    float64             // the same for the larger of the capacity and what was admitted; 0: all demands fit
+	surplusLimit float64             // admitted tokens above which an account gets no surplus capacity; 0: no limit
 }
 
-// NewTracker returns an empty book.
+// NewTracker returns a Tracker without demands.
 func NewTracker(window time.Duration) *Tracker {
-	return &Tracker{window: window, own: map[string]*counter{}, others: map[string][]Demand{}, totals: map[string]Demand{}}
+	return &Tracker{window: window, local: map[string]*counter{}, remote: map[string][]Demand{}, totals: map[string]Demand{}}
 }
 
 // counter sums over a sliding window.
@@ -63,54 +63,55 @@
 	c.bucket = max(c.bucket, bucket)
 }
 
-func (b *Tracker) counter(now time.Time, account string) *counter {
-	c := b.own[account]
+func (t *Tracker) counter(now time.Time, account string) *counter {
+	c := t.local[account]
 	if c == nil {
 		c = &counter{}
-		b.own[account] = c
+		t.local[account] = c
 	}
-	if b.epoch.IsZero() {
-		b.epoch = now
+	if t.epoch.IsZero() {
+		t.epoch = now
 	}
-	c.advance(int64(now.Sub(b.epoch) / (b.window / buckets)))
+	c.advance(int64(now.Sub(t.epoch) / (t.window / buckets)))
 	return c
 }
 
-// RecordAsked counts what an account asked of this gateway.
-func (b *Tracker) RecordAsked(now time.Time, account string, tokens float64) {
-	c := b.counter(now, account)
+// RecordAsked counts tokens that an account requested from this gateway.
+func (t *Tracker) RecordAsked(now time.Time, account string, tokens float64) {
+	c := t.counter(now, account)
 	c.asked[c.bucket%buckets] += tokens
 }
 
-// RecordAdmitted counts what this gateway sent to a server for an account.
-func (b *Tracker) RecordAdmitted(now time.Time, account string, tokens float64) {
-	c := b.counter(now, account)
+// RecordAdmitted counts tokens of a request that this gateway sent to a server for an account.
+func (t *Tracker) RecordAdmitted(now time.Time, account string, tokens float64) {
+	c := t.counter(now, account)
 	c.admitted[c.bucket%buckets] += tokens
-	t := b.totals[account]
-	t.Admitted += tokens
-	b.totals[account] = t
+	total := t.totals[account]
+	total.Admitted += tokens
+	t.totals[account] = total
 }
 
-// RevertAdmitted counts no more what was admitted at a time, since nothing of it began to run.
-func (b *Tracker) RevertAdmitted(now, admitted time.Time, account string, tokens float64) {
-	c := b.counter(now, account)
-	bucket := int64(admitted.Sub(b.epoch) / (b.window / buckets))
+// RevertAdmitted reverts a RecordAdmitted made at the given time for a request that did not
+// run.
+func (t *Tracker) RevertAdmitted(now, admitted time.Time, account string, tokens float64) {
+	c := t.counter(now, account)
+	bucket := int64(admitted.Sub(t.epoch) / (t.window / buckets))
 	if c.bucket-bucket >= buckets {
-		return // it has left the window
+		return // already outside the window
 	}
 	c.admitted[bucket%buckets] -= tokens
-	t := b.totals[account]
-	t.Admitted = max(t.Admitted-tokens, 0)
-	b.totals[account] = t
+	total := t.totals[account]
+	total.Admitted = max(total.Admitted-tokens, 0)
+	t.totals[account] = total
 }
 
-// LocalDemands returns this gateway's demands, the largest first.
-func (b *Tracker) LocalDemands(now time.Time) []Demand {
+// LocalDemands returns the demands at this gateway, the largest first.
+func (t *Tracker) LocalDemands(now time.Time) []Demand {
 	var list []Demand
-	for account := range b.own {
-		d := b.demand(now, account)
+	for account := range t.local {
+		d := t.demand(now, account)
 		if d.Asked == 0 && d.Admitted == 0 {
-			delete(b.own, account)
+			delete(t.local, account)
 			continue
 		}
 		list = append(list, d)
@@ -121,8 +122,8 @@
 	return list
 }
 
-func (b *Tracker) demand(now time.Time, account string) Demand {
-	c := b.counter(now, account)
+func (t *Tracker) demand(now time.Time, account string) Demand {
+	c := t.counter(now, account)
 	d := Demand{Account: account}
 	for i := range buckets {
 		d.Asked += c.asked[i]
@@ -131,108 +132,108 @@
 	return d
 }
 
-// SetRemoteDemands replaces the demands of another gateway; none: it has gone.
-func (b *Tracker) SetRemoteDemands(node string, list []Demand) {
+// SetRemoteDemands replaces the demands of another gateway. An empty list removes it.
+func (t *Tracker) SetRemoteDemands(node string, list []Demand) {
 	if len(list) == 0 {
-		delete(b.others, node)
+		delete(t.remote, node)
 		return
 	}
-	b.others[node] = list
+	t.remote[node] = list
 }
 
-// Recompute computes the share that holds from now on; rate is what the servers make,
-// in tokens a second (0: unknown).
-func (b *Tracker) Recompute(now time.Time, rate float64) {
-	b.totals = map[string]Demand{}
+// Recompute recomputes the fair shares; rate is what the servers process, in tokens per second
+// (0: unknown).
+func (t *Tracker) Recompute(now time.Time, rate float64) {
+	t.totals = map[string]Demand{}
 	add := func(d Demand) {
-		t := b.totals[d.Account]
-		t.Account = d.Account
-		t.Asked += d.Asked
-		t.Admitted += d.Admitted
-		b.totals[d.Account] = t
+		total := t.totals[d.Account]
+		total.Account = d.Account
+		total.Asked += d.Asked
+		total.Admitted += d.Admitted
+		t.totals[d.Account] = total
 	}
-	for _, d := range b.LocalDemands(now) {
+	for _, d := range t.LocalDemands(now) {
 		add(d)
 	}
-	for _, list := range b.others {
+	for _, list := range t.remote {
 		for _, d := range list {
 			add(d)
 		}
 	}
-	asked := make([]float64, 0, len(b.totals))
-	for _, d := range b.totals {
+	asked := make([]float64, 0, len(t.totals))
+	for _, d := range t.totals {
 		asked = append(asked, d.Asked)
 	}
-	given := 0.0
-	for _, d := range b.totals {
-		given += d.Admitted
+	admitted := 0.0
+	for _, d := range t.totals {
+		admitted += d.Admitted
 	}
-	capacity := rate * b.window.Seconds()
-	b.owed = 0
+	capacity := rate * t.window.Seconds()
+	t.fairShare = 0
 	if capacity > 0 {
-		b.owed = MaxMinShare(asked, capacity)
+		t.fairShare = MaxMinShare(asked, capacity)
 	}
-	b.level = MaxMinShare(asked, max(given, capacity))
-	b.most = b.bound()
+	t.evenShare = MaxMinShare(asked, max(admitted, capacity))
+	t.surplusLimit = t.computeSurplusLimit()
 }
 
-// An account gets nothing beyond its share once it has this many times as much as another one
-// that presses, so that what both get stays within a factor of two whatever servers run dry.
-// What is told of other gateways' sums is up to half a second old, an eighth of the window,
-// which is what lies between.
-const mostGap = 1.5
+// maxAdmittedRatio bounds what an account gets beyond its share: at most this many times as
+// much as any backlogged account, so that the two stay within a factor of two even when
+// servers run idle. The margin between covers the age of other gateways' counts, which is up
+// to half a second, an eighth of the window.
+const maxAdmittedRatio = 1.5
 
-// pressing is the share of what it asks below which an account counts as behind.
-const pressing = 0.5
+// backloggedFraction is the fraction of its requested tokens below which an account counts
+// as backlogged.
+const backloggedFraction = 0.5
 
-// bound returns how much an account may have got to get something beyond its share. Each
-// account that presses gets its share, so the bound does not fall below that for one that has
-// just come.
-func (b *Tracker) bound() float64 {
+// computeSurplusLimit returns the admitted tokens above which an account gets no surplus
+// capacity. Every backlogged account gets its fair share, so the limit does not fall below
+// that for one that has just become active.
+func (t *Tracker) computeSurplusLimit() float64 {
 	least := math.Inf(1)
-	for _, d := range b.totals {
-		if d.Asked > b.owed && d.Admitted < pressing*d.Asked {
+	for _, d := range t.totals {
+		if d.Asked > t.fairShare && d.Admitted < backloggedFraction*d.Asked {
 			least = min(least, d.Admitted)
 		}
 	}
-	if b.owed == 0 || math.IsInf(least, 1) {
+	if t.fairShare == 0 || math.IsInf(least, 1) {
 		return 0
 	}
-	return mostGap * max(least, b.owed)
+	return maxAdmittedRatio * max(least, t.fairShare)
 }
 
-// Status tells where an account stands against its share.
+// Status compares an account's admitted tokens with its fair share.
 type Status struct {
-	OverShare  bool    // it was admitted all that it is owed in the window
-	Capped     bool    // it got so much more than another one that presses that it gets no more beyond its share
-	ShareRatio float64 // what it was admitted over what an even share of all that was admitted would be; 0: unknown
+	OverShare  bool    // it has been admitted at least its fair share in the window
+	Capped     bool    // it is so far ahead of a backlogged account that it gets no surplus capacity
+	ShareRatio float64 // admitted tokens over an even share of all admitted tokens; 0: unknown
 }
 
-// Status returns where an account stands. An account that asks for no more than its
-// share is never over.
-func (b *Tracker) Status(account string) Status {
-	admitted := b.totals[account].Admitted
-	s := Status{OverShare: b.owed > 0 && admitted >= b.owed}
-	s.Capped = s.OverShare && b.most > 0 && admitted > b.most
-	if b.level > 0 {
-		s.ShareRatio = admitted / b.level
+// Status returns an account's status. An account that requests no more than its fair share is
+// never over it.
+func (t *Tracker) Status(account string) Status {
+	admitted := t.totals[account].Admitted
+	s := Status{OverShare: t.fairShare > 0 && admitted >= t.fairShare}
+	s.Capped = s.OverShare && t.surplusLimit > 0 && admitted > t.surplusLimit
+	if t.evenShare > 0 {
+		s.ShareRatio = admitted / t.evenShare
 	}
 	return s
 }
 
-// MaxMinShare returns the max-min fair share: the amount up to which every demand can be
-// met when all together may have capacity. It is 0 when all demands fit, or when the
-// capacity is unknown.
+// MaxMinShare returns the max-min fair share: the level up to which each demand is met when
+// the capacity is divided among them. It is 0 if all demands fit or the capacity is unknown.
 func MaxMinShare(demands []float64, capacity float64) float64 {
 	sorted := slices.Clone(demands)
 	slices.Sort(sorted)
-	left := capacity
+	remaining := capacity
 	for i, d := range sorted {
-		even := left / float64(len(sorted)-i)
+		even := remaining / float64(len(sorted)-i)
 		if d > even {
 			return max(even, 0)
 		}
-		left -= d
+		remaining -= d
 	}
 	return 0
 }
--- a/gateway/share/share_test.go
+++ b/gateway/share/share_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestLevel(t *testing.T) {
+func TestMaxMinShare(t *testing.T) {
 	tests := []struct {
 		name     string
 		demands  []float64
@@ -22,7 +22,7 @@
 		{"all fit", []float64{1, 2, 3}, 6, 0},
 		{"one is large", []float64{1, 1, 100}, 12, 10},
 		{"even", []float64{10, 10, 10, 10}, 20, 5},
-		{"nobody asks", nil, 10, 0},
+		{"no demands", nil, 10, 0},
 		{"no capacity", []float64{1, 2}, 0, 0},
 	}
 	for _, test := range tests {
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestLevelUsesCapacity: met up to the level, demands use all there is, and nobody
-// who gets less than it asked gets less than another.
-func TestLevelUsesCapacity(t *testing.T) {
+// TestMaxMinShareUsesCapacity: demands met up to the level use all of the capacity, and no
+// account that gets less than it asked gets less than another.
+func TestMaxMinShareUsesCapacity(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 1000 {
 		demands := make([]float64, 1+r.IntN(20))
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestStanding(t *testing.T) {
+func TestStatus(t *testing.T) {
 	b := share.NewTracker(4 * time.Second)
 	ask := func(now time.Time, account string, tokens float64, admit bool) {
 		b.RecordAsked(now, account, tokens)
@@ -68,7 +68,7 @@
 	ask(start, "large", 9000, true)
 	ask(start, "large", 9000, false)
 	ask(start, "small", 500, true)
-	b.Recompute(start, 1000) // 4,000 in a window
+	b.Recompute(start, 1000) // 4,000 tokens per window
 	require.True(t, b.Status("large").OverShare)
 	require.GreaterOrEqual(t, b.Status("large").ShareRatio, 1.0)
 	require.False(t, b.Status("small").OverShare)
@@ -77,31 +77,30 @@
 
 	later := start.Add(5 * time.Second)
 	b.Recompute(later, 1000)
-	require.False(t, b.Status("large").OverShare, "the window has passed")
+	require.False(t, b.Status("large").OverShare, "outside the window")
 }
 
-// TestStop: what beyond its share an account gets is bounded by what the one that presses and
-// got least has, however many servers run dry for it.
-//
-// An account that had been silent came back and got 1.0, 0.7 and 0.5 million tokens in its
-// first seconds, at up to 2.4 times an even part, from servers that ran dry at gateways where
-// it tried often. Another one pressed meanwhile, got 0.14 million a second at 0.6 of an even
-// part, and was refused 200 times a second at the busy servers of its prompts: 0.9 beside 2.9
-// million in six seconds.
-func TestStop(t *testing.T) {
-	const rate = 1000 // 4,000 tokens in a window
+// TestCapped: the tokens that an account gets beyond its share are bounded by those of the
+// backlogged account that got least, however many servers run idle. An account that returned
+// after a silence got 1.0, 0.7 and 0.5 million tokens in its first seconds, up to 2.4 times an
+// even part, from servers that ran idle at gateways where it retried often. Meanwhile a
+// backlogged account got 0.14 million tokens per second, 0.6 of an even part, and was refused
+// 200 times a second at the busy servers that cached its prompts: 0.9 against 2.9 million
+// tokens in six seconds.
+func TestCapped(t *testing.T) {
+	const rate = 1000 // 4,000 tokens per window
 	tests := []struct {
 		name    string
-		demands []share.Demand // the first one's account is looked at
+		demands []share.Demand // the first account is the one checked
 		stop    bool
 	}{
 		{"far ahead", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}, {Account: "b", Asked: 40000, Admitted: 4000}}, true},
 		{"ahead", []share.Demand{{Account: "a", Asked: 60000, Admitted: 5900}, {Account: "b", Asked: 40000, Admitted: 4000}}, false},
 		{"behind", []share.Demand{{Account: "a", Asked: 40000, Admitted: 4000}, {Account: "b", Asked: 60000, Admitted: 6100}}, false},
-		{"the other one gets most of what it asks", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}, {Account: "b", Asked: 4100, Admitted: 4000}}, false},
-		{"the other one has just come", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}, {Account: "b", Asked: 1000}}, false},
-		{"the other one presses and has not got its share yet", []share.Demand{{Account: "a", Asked: 60000, Admitted: 2900}, {Account: "b", Asked: 40000}}, false},
-		{"nobody else is there", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}}, false},
+		{"the other one is not backlogged", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}, {Account: "b", Asked: 4100, Admitted: 4000}}, false},
+		{"the other one is new", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}, {Account: "b", Asked: 1000}}, false},
+		{"the other one is backlogged and below its share", []share.Demand{{Account: "a", Asked: 60000, Admitted: 2900}, {Account: "b", Asked: 40000}}, false},
+		{"no other account", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}}, false},
 		{"all fits", []share.Demand{{Account: "a", Asked: 3000, Admitted: 3000}, {Account: "b", Asked: 900, Admitted: 300}}, false},
 	}
 	for _, test := range tests {
@@ -114,7 +113,7 @@
 	}
 }
 
-func TestOthersCount(t *testing.T) {
+func TestRemoteDemands(t *testing.T) {
 	b := share.NewTracker(4 * time.Second)
 	b.RecordAsked(start, "a", 100)
 	b.RecordAdmitted(start, "a", 100)
@@ -127,7 +126,7 @@
 	require.False(t, b.Status("a").OverShare, "the other gateway has gone")
 }
 
-func TestNoRateKnown(t *testing.T) {
+func TestUnknownRate(t *testing.T) {
 	b := share.NewTracker(4 * time.Second)
 	b.RecordAsked(start, "a", 1e9)
 	b.RecordAdmitted(start, "a", 1e9)
@@ -135,15 +134,16 @@
 	require.False(t, b.Status("a").OverShare)
 }
 
-func TestOwnForgets(t *testing.T) {
+func TestLocalDemandsExpire(t *testing.T) {
 	b := share.NewTracker(4 * time.Second)
 	b.RecordAsked(start, "a", 10)
 	require.Len(t, b.LocalDemands(start), 1)
 	require.Empty(t, b.LocalDemands(start.Add(time.Minute)))
 }
 
-// TestTakeBack: what did not begin to run counts no more, in the window that it was counted in.
-func TestTakeBack(t *testing.T) {
+// TestRevertAdmitted: tokens of a request that did not run are subtracted in the bucket in
+// which they were counted.
+func TestRevertAdmitted(t *testing.T) {
 	now := time.Now()
 	b := share.NewTracker(4 * time.Second)
 	b.RecordAsked(now, "a", 100)
@@ -161,5 +161,5 @@
 	require.EqualValues(t, 40, admitted(1500*time.Millisecond))
 	require.EqualValues(t, 40, admitted(4500*time.Millisecond))
 	b.RevertAdmitted(now.Add(6*time.Second), now.Add(time.Second), "a", 40)
-	require.Zero(t, admitted(6*time.Second), "what has left the window is not taken back twice")
+	require.Zero(t, admitted(6*time.Second), "what has left the window is not reverted again")
 }
