--- a/gateway/rollout/rollout_test.go
+++ b/gateway/rollout/rollout_test.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// TestVerdicts: plays versions of each kind with several seeds. A bad one is reverted within
+// TestVerdicts plays versions of each kind with several seeds. A bad one is reverted within
 // the platform's limits, and a good one gets all requests in time, whatever happens to single
 // servers.
 func TestVerdicts(t *testing.T) {
--- a/gateway/share/share_test.go
+++ b/gateway/share/share_test.go
@@ -59,15 +59,15 @@
 
 func TestStatus(t *testing.T) {
 	b := share.NewTracker(4 * time.Second)
-	ask := func(now time.Time, account string, tokens float64, admit bool) {
+	record := func(now time.Time, account string, tokens float64, admit bool) {
 		b.RecordAsked(now, account, tokens)
 		if admit {
 			b.RecordAdmitted(now, account, tokens)
 		}
 	}
-	ask(start, "large", 9000, true)
-	ask(start, "large", 9000, false)
-	ask(start, "small", 500, true)
+	record(start, "large", 9000, true)
+	record(start, "large", 9000, false)
+	record(start, "small", 500, true)
 	b.Recompute(start, 1000) // 4,000 tokens per window
 	require.True(t, b.Status("large").OverShare)
 	require.GreaterOrEqual(t, b.Status("large").ShareRatio, 1.0)
@@ -92,7 +92,7 @@
 	tests := []struct {
 		name    string
 		demands []share.Demand // the first account is the one checked
-		stop    bool
+		capped  bool
 	}{
 		{"far ahead", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}, {Account: "b", Asked: 40000, Admitted: 4000}}, true},
 		{"ahead", []share.Demand{{Account: "a", Asked: 60000, Admitted: 5900}, {Account: "b", Asked: 40000, Admitted: 4000}}, false},
@@ -108,7 +108,7 @@
 			b := share.NewTracker(4 * time.Second)
 			b.SetRemoteDemands("10.0.0.2", test.demands)
 			b.Recompute(start, rate)
-			require.Equal(t, test.stop, b.Status("a").Capped)
+			require.Equal(t, test.capped, b.Status("a").Capped)
 		})
 	}
 }
