--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -12,55 +12,56 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file decides which connections of callers are served, which are passed on to
-// another gateway (pass.go) and which are turned away (turn.go), so that a small host runs out
-// of neither descriptors nor memory, however many callers come to it.
+// This file decides which connections of callers are served, which are offloaded to another
+// gateway (offload.go) and which are rejected (reject.go), so that a small host runs out of
+// neither file descriptors nor memory, however many callers connect.
 
 const (
-	// Connections of which nothing has been heard yet, while the process is short of
-	// processor: with more, the next ones are turned away, before their callers leave.
-	mostStarting = 24
-	// A connection that says nothing for this long waits for its caller, not for us.
-	startingFor = 250 * time.Millisecond
-	// Connections that a process which is short of processor turns away in this time, while
-	// there are gateways to pass others on to: a third of the processor of a small host, so
-	// that turning away leaves time for passing on.
-	turnWindow = 25 * time.Millisecond
-	mostTurned = 32
-	// What is neither served, passed on nor turned away is left in the kernel's queue, which
-	// costs the process nothing; the queue is looked at again after this time.
-	leaveFor = 5 * time.Millisecond
+	// Upper bound on connections without a byte read while the process is overloaded; at the
+	// bound, new connections are rejected before their callers time out.
+	maxUnreadConns = 24
+	// A connection without a byte read after this time is waiting for its caller, not for this
+	// process.
+	unreadTimeout = 250 * time.Millisecond
+	// Connections that an overloaded process rejects in a window while there are gateways to
+	// offload others to. Rejecting them takes a third of a small host's processor, which
+	// leaves time for offloading.
+	rejectWindow        = 25 * time.Millisecond
+	maxRejectsPerWindow = 32
+	// A connection that is neither served, offloaded nor rejected stays in the kernel's accept
+	// queue, which costs the process nothing; the queue is checked again after this time.
+	deferInterval = 5 * time.Millisecond
 )
 
-// room is what a process can hold of its callers.
-type room struct {
-	connections int64 // accepted ones
-	requests    int64 // in hand at once
+// capacity is the number of connections and requests that a process can hold.
+type capacity struct {
+	connections int64 // accepted connections
+	requests    int64 // concurrent requests
 }
 
-// Sizes that room is reckoned from.
+// Sizes from which the capacity is computed.
 const (
-	// Descriptors for files, the listeners, the store and other gateways.
+	// File descriptors for files, the listeners, the store and other gateways.
 	reservedDescriptors = 300
-	// Memory of a request in hand: its goroutines, buffers, body, and bytes in sockets.
-	requestMemory = 60 << 10
-	// Of the memory, requests may take this share. The rest is the process's own, and
+	// Memory of a request in flight: goroutines, buffers, body, and socket buffers.
+	memoryPerRequest = 60 << 10
+	// Share of the memory available to requests. The rest is for the process itself and for
 	// garbage.
-	requestShare = 0.4
-	// Memory of a connection that rests.
-	restingMemory = 16 << 10
+	requestMemoryShare = 0.4
+	// Memory of an idle connection.
+	memoryPerIdleConn = 16 << 10
 )
 
-// roomFor returns what a process with so much memory (bytes) and so many descriptors can
-// hold; 0 stands for no limit.
-func roomFor(memory int64, descriptors int) room {
-	r := room{connections: 1 << 20, requests: mostActive}
+// capacityFor returns the capacity of a process with a memory limit in bytes and a limit on
+// file descriptors; 0 means no limit.
+func capacityFor(memory int64, descriptors int) capacity {
+	r := capacity{connections: 1 << 20, requests: maxActiveRequests}
 	if memory > 0 {
-		r.requests = min(r.requests, int64(requestShare*float64(memory))/requestMemory)
-		r.connections = int64(requestShare*float64(memory)) / restingMemory
+		r.requests = min(r.requests, int64(requestMemoryShare*float64(memory))/memoryPerRequest)
+		r.connections = int64(requestMemoryShare*float64(memory)) / memoryPerIdleConn
 	}
 	if descriptors > 0 {
-		// Each request in hand has a connection to a server as well.
+		// Each request in flight also has a connection to a server.
 		free := int64(max(descriptors-reservedDescriptors, 2))
 		r.connections = min(r.connections, free*2/3)
 		r.requests = min(r.requests, free/3)
@@ -68,96 +69,95 @@
 	return r
 }
 
-// admission is a listener for callers that turns connections away while the process has
-// no room for them.
-type admission struct {
+// admissionListener is a listener for callers that rejects connections while the process has
+// no capacity for them.
+type admissionListener struct {
 	net.Listener
-	room     room
-	overload *overload
-	pass     func(*callerConn) bool // passes a connection on; false: nobody takes it
-	turner   *turner
-	open     atomic.Int64 // connections that were handed out and are not closed
-	starting starting
-	closed   atomic.Bool
-	turned   turnCount // owned by whoever accepts
+	capacity  capacity
+	overload  *overload
+	offload   func(*callerConn) bool // offloads a connection; false: no gateway takes it
+	rejecter  *rejecter
+	openConns atomic.Int64 // accepted connections that are not closed
+	unread    unreadConns
+	closed    atomic.Bool
+	rejects   rejectLimiter // used only by the goroutine that calls Accept
 }
 
-// turnCount counts the connections that were turned away in a window of time.
-type turnCount struct {
+// rejectLimiter limits the rejected connections per window of time.
+type rejectLimiter struct {
 	since time.Time
 	count int
 }
 
-// take tells whether one more may be turned away, and counts it.
-func (t *turnCount) take(now time.Time) bool {
-	if now.Sub(t.since) >= turnWindow {
-		t.since, t.count = now, 0
+// allow reports whether one more connection may be rejected, and counts it.
+func (l *rejectLimiter) allow(now time.Time) bool {
+	if now.Sub(l.since) >= rejectWindow {
+		l.since, l.count = now, 0
 	}
-	if t.count >= mostTurned {
+	if l.count >= maxRejectsPerWindow {
 		return false
 	}
-	t.count++
+	l.count++
 	return true
 }
 
-// starting are the connections of which nothing has been heard yet.
-type starting struct {
+// unreadConns holds the connections from which nothing has been read yet.
+type unreadConns struct {
 	mutex sync.Mutex
 	since map[*callerConn]time.Time
 }
 
-func (s *starting) add(c *callerConn, now time.Time) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.since[c] = now
+func (u *unreadConns) add(c *callerConn, now time.Time) {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	u.since[c] = now
 }
 
-func (s *starting) remove(c *callerConn) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	delete(s.since, c)
+func (u *unreadConns) remove(c *callerConn) {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	delete(u.since, c)
 }
 
-// full tells whether more than enough are starting. It forgets those that wait for their
-// callers.
-func (s *starting) full(now time.Time) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if len(s.since) < mostStarting {
+// full reports whether the bound is reached. It drops connections that wait for their callers.
+func (u *unreadConns) full(now time.Time) bool {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	if len(u.since) < maxUnreadConns {
 		return false
 	}
-	for c, since := range s.since {
-		if now.Sub(since) > startingFor {
-			delete(s.since, c)
+	for c, since := range u.since {
+		if now.Sub(since) > unreadTimeout {
+			delete(u.since, c)
 		}
 	}
-	return len(s.since) >= mostStarting
+	return len(u.since) >= maxUnreadConns
 }
 
-func newAdmission(g *Gateway) *admission {
-	return &admission{
-		Listener: g.options.CallerListener, room: g.room, overload: &g.overload, turner: newTurner(g),
-		pass:     func(*callerConn) bool { return false },
-		starting: starting{since: map[*callerConn]time.Time{}},
+func newAdmission(g *Gateway) *admissionListener {
+	return &admissionListener{
+		Listener: g.options.CallerListener, capacity: g.capacity, overload: &g.overload, rejecter: newRejecter(g),
+		offload: func(*callerConn) bool { return false },
+		unread:  unreadConns{since: map[*callerConn]time.Time{}},
 	}
 }
 
-// Accept implements net.Listener. What becomes of the next connection is decided before
-// it is there, since one that is turned away is taken from the kernel in a cheaper way.
-func (a *admission) Accept() (net.Conn, error) {
+// Accept implements net.Listener. The decision on the next connection is made before it is
+// accepted, since a connection to be rejected is accepted with fewer system calls.
+func (a *admissionListener) Accept() (net.Conn, error) {
 	for {
 		began := time.Now()
-		f := a.fate(began)
-		if f == leave {
+		action := a.nextAction(began)
+		if action == deferConn {
 			if a.closed.Load() {
 				return nil, net.ErrClosed
 			}
-			time.Sleep(leaveFor)
+			time.Sleep(deferInterval)
 			continue
 		}
-		if f == turnAway {
+		if action == rejectConn {
 			if s, ok := a.acceptSocket(); ok {
-				a.turn(s)
+				a.reject(s)
 				continue
 			}
 		}
@@ -165,87 +165,88 @@
 		if err != nil {
 			return nil, err
 		}
-		if now := time.Now(); now.Sub(began) > latenessEvery {
-			f = a.fate(now) // it was long in coming
+		if now := time.Now(); now.Sub(began) > delaySampleInterval {
+			action = a.nextAction(now) // the connection took long to arrive
 		}
-		if f == leave {
-			f = turnAway // it is here already
+		if action == deferConn {
+			action = rejectConn // it has been accepted already
 		}
 		caller := &callerConn{Conn: c, admission: a}
-		if f == turnAway {
-			a.turn(caller) // it takes no room of those that are served
+		if action == rejectConn {
+			a.reject(caller) // it does not count against the capacity
 			continue
 		}
-		a.open.Add(1)
-		caller.counts = true
-		a.starting.add(caller, time.Now())
-		if f == serve {
+		a.openConns.Add(1)
+		caller.counted = true
+		a.unread.add(caller, time.Now())
+		if action == serveConn {
 			return caller, nil
 		}
-		if !a.pass(caller) {
-			a.turn(caller)
+		if !a.offload(caller) {
+			a.reject(caller)
 		}
 	}
 }
 
-// fate is what becomes of a connection.
-type fate int
+// connAction is what is done with a connection.
+type connAction int
 
 const (
-	serve fate = iota
-	passOn
-	turnAway
-	leave // in the kernel's queue, for now
+	serveConn connAction = iota
+	offloadConn
+	rejectConn
+	deferConn // stays in the kernel's accept queue for now
 )
 
-// fate decides what becomes of the next connection. Who is turned away comes back to this
-// host and costs it as much once more, so that is bounded as soon as others can be passed on
-// instead; what lies in the kernel's queue is taken when there is processor for it.
-func (a *admission) fate(now time.Time) fate {
+// nextAction decides what to do with the next connection. A rejected caller retries at this
+// host, which costs the host as much again, so rejections are limited as soon as connections
+// can be offloaded instead. Connections in the kernel's accept queue are taken when there is
+// processor time for them.
+func (a *admissionListener) nextAction(now time.Time) connAction {
 	switch {
-	case a.open.Load() >= a.room.connections:
-		return turnAway
-	case a.overload.short(now) && a.starting.full(now):
-		return a.turnOrLeave(now)
-	case a.overload.admits() && !a.overload.lags(now, latenessHigh):
-		return serve
-	case a.overload.passes() && !a.overload.lags(now, latenessPass):
-		return passOn
+	case a.openConns.Load() >= a.capacity.connections:
+		return rejectConn
+	case a.overload.overloaded(now) && a.unread.full(now):
+		return a.rejectOrDefer(now)
+	case a.overload.admits() && !a.overload.sampleOverdue(now, highDelay):
+		return serveConn
+	case a.overload.offloads() && !a.overload.sampleOverdue(now, offloadMaxDelay):
+		return offloadConn
 	default:
-		return a.turnOrLeave(now)
+		return a.rejectOrDefer(now)
 	}
 }
 
-// turnOrLeave decides on a connection that can neither be served nor passed on now.
-func (a *admission) turnOrLeave(now time.Time) fate {
-	if a.overload.alone.Load() {
-		return turnAway
+// rejectOrDefer decides on a connection that can be neither served nor offloaded now.
+func (a *admissionListener) rejectOrDefer(now time.Time) connAction {
+	if a.overload.noTargets.Load() {
+		return rejectConn
 	}
-	a.overload.pressed.Store(true)
-	if a.turned.take(now) {
-		return turnAway
+	a.overload.backlogged.Store(true)
+	if a.rejects.allow(now) {
+		return rejectConn
 	}
-	a.overload.left.Add(1)
-	return leave
+	a.overload.deferred.Add(1)
+	return deferConn
 }
 
 // Close implements net.Listener.
-func (a *admission) Close() error {
+func (a *admissionListener) Close() error {
 	a.closed.Store(true)
 	return a.Listener.Close()
 }
 
-// acceptSocket takes a connection that is there already without what the runtime does for
-// one: three system calls less, of some nine that it takes to turn one away. ok is false
-// if none is there.
-func (a *admission) acceptSocket() (s socket, ok bool) {
-	listening, is := a.Listener.(syscall.Conn)
-	if !is {
+// acceptSocket accepts a pending connection without the setup that the runtime does for each
+// connection: that saves three of the some nine system calls that a rejection takes. ok is
+// false if no connection is pending.
+func (a *admissionListener) acceptSocket() (s socket, ok bool) {
+	sysConn, isSysConn := a.Listener.(syscall.Conn)
+	if !isSysConn {
 		return 0, false
 	}
-	raw, err := listening.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
-		return 0, false // closed: Accept says so
+		return 0, false // closed: Accept returns the error
 	}
 	controlErr := raw.Control(func(listener uintptr) {
 		var fd int
@@ -255,26 +256,26 @@
 	return s, controlErr == nil && err == nil
 }
 
-// turn turns a connection away.
-func (a *admission) turn(c turnable) {
-	a.turner.conns <- c // it is read until the listener has been closed
+// reject passes a connection to the rejecter.
+func (a *admissionListener) reject(c rejectableConn) {
+	a.rejecter.conns <- c // the rejecter receives until the listener is closed
 }
 
-// callerConn is a caller's connection that counts until it is closed.
+// callerConn is a caller's connection. It counts against the capacity until it is closed.
 type callerConn struct {
 	net.Conn
-	admission *admission
-	counts    bool // it takes room until it is closed
+	admission *admissionListener
+	counted   bool // it counts against the capacity
 	once      sync.Once
-	heard     bool // something was read; of whoever reads
+	hasRead   bool // something was read; used only by the reading goroutine
 }
 
 // Close implements net.Conn.
 func (c *callerConn) Close() error {
 	c.once.Do(func() {
-		if c.counts {
-			c.admission.open.Add(-1)
-			c.admission.starting.remove(c)
+		if c.counted {
+			c.admission.openConns.Add(-1)
+			c.admission.unread.remove(c)
 		}
 	})
 	return c.Conn.Close()
@@ -283,9 +284,9 @@
 // Read implements net.Conn.
 func (c *callerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if !c.heard {
-		c.heard = true
-		c.admission.starting.remove(c)
+	if !c.hasRead {
+		c.hasRead = true
+		c.admission.unread.remove(c)
 	}
 	return n, err
 }
@@ -293,28 +294,28 @@
 // Left implements handoff.Leaver.
 func (c *callerConn) Left() bool { return c.gone() }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// withConn lets handlers find the connection.
+// withConn makes a connection available to handlers.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// callerGone tells whether the caller of a request has closed its connection.
+// callerGone reports whether the caller of a request has closed its connection.
 func callerGone(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
 	return ok && c.gone()
 }
 
-// gone tells whether the caller has closed the connection, without waiting for the
-// goroutine that would notice it.
+// gone reports whether the caller has closed the connection, without waiting for the goroutine
+// that reads it to notice.
 func (c *callerConn) gone() bool {
 	n, err := peek(c.Conn)
 	return n == 0 && err == nil || err == unix.ECONNRESET
 }
 
-// peek looks for a byte without taking it; it does not wait.
+// peek looks at the next byte without consuming it; it does not block.
 func peek(c net.Conn) (n int, err error) {
 	raw, err := rawConn(c)
 	if err != nil {
@@ -334,7 +335,7 @@
 func rawConn(c net.Conn) (syscall.RawConn, error) {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
-		return nil, errors.Newf("gateway: a %T has no socket", c)
+		return nil, errors.Newf("gateway: connection type %T has no socket", c)
 	}
 	return socket.SyscallConn()
 }
--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -15,49 +15,50 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRoom: what a process may hold follows from its own limits.
-func TestRoom(t *testing.T) {
+// TestCapacity checks that a process's capacity follows from its own limits.
+func TestCapacity(t *testing.T) {
 	tests := []struct {
 		name        string
 		memory      int64
 		descriptors int
-		want        room
+		want        capacity
 	}{
-		{"no limits", 0, 0, room{connections: 1 << 20, requests: mostActive}},
-		{"a small host", 184 << 20, 4100, room{connections: 2533, requests: 1256}},
-		{"little memory", 64 << 20, 4100, room{connections: 1638, requests: 436}},
-		{"few descriptors", 1 << 30, 1024, room{connections: 482, requests: 241}},
+		{"no limits", 0, 0, capacity{connections: 1 << 20, requests: maxActiveRequests}},
+		{"a small host", 184 << 20, 4100, capacity{connections: 2533, requests: 1256}},
+		{"little memory", 64 << 20, 4100, capacity{connections: 1638, requests: 436}},
+		{"few descriptors", 1 << 30, 1024, capacity{connections: 482, requests: 241}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			require.Equal(t, test.want, roomFor(test.memory, test.descriptors))
+			require.Equal(t, test.want, capacityFor(test.memory, test.descriptors))
 		})
 	}
 }
 
-// counted counts the ends of requests.
-type counted struct{ denied atomic.Int64 }
+// deniedCounter counts denied requests.
+type deniedCounter struct{ denied atomic.Int64 }
 
-func (c *counted) RequestEnded(o Outcome) {
+func (c *deniedCounter) RequestEnded(o Outcome) {
 	if o.Result == "denied" {
 		c.denied.Add(1)
 	}
 }
 
-// turning starts an admission with so much room, before a server that answers 200.
-func turning(t *testing.T, r room, o *overload) (address string, m *counted) {
+// startAdmission starts an admission listener with a capacity, in front of a server that
+// responds with 200.
+func startAdmission(t *testing.T, r capacity, o *overload) (address string, m *deniedCounter) {
 	t.Helper()
 	l, err := ListenCallers("127.0.0.1:0")
 	require.NoError(t, err)
-	m = &counted{}
-	a := &admission{Listener: l, room: r, overload: o, pass: func(*callerConn) bool { return false }, starting: starting{since: map[*callerConn]time.Time{}}, turner: &turner{
-		conns: make(chan turnable, mostTurning), log: zerolog.Nop(), metrics: m, id: "Id", buffer: make([]byte, turnBuffer),
+	m = &deniedCounter{}
+	a := &admissionListener{Listener: l, capacity: r, overload: o, offload: func(*callerConn) bool { return false }, unread: unreadConns{since: map[*callerConn]time.Time{}}, rejecter: &rejecter{
+		conns: make(chan rejectableConn, maxPendingRejects), log: zerolog.Nop(), metrics: m, idHeader: "Id", buffer: make([]byte, rejectBufferSize),
 	}}
 	ctx, stop := context.WithCancel(context.Background())
-	turned, served := make(chan struct{}), make(chan error, 1)
+	rejected, served := make(chan struct{}), make(chan error, 1)
 	go func() {
-		a.turner.run(ctx)
-		close(turned)
+		a.rejecter.run(ctx)
+		close(rejected)
 	}()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })}
 	go func() { served <- server.Serve(a) }()
@@ -65,12 +66,12 @@
 		server.Close()
 		require.ErrorIs(t, <-served, http.ErrServerClosed)
 		stop()
-		<-turned
+		<-rejected
 	})
 	return l.Addr().String(), m
 }
 
-// send writes a request in pieces, some time apart, and returns the answer.
+// send writes a request in pieces, some time apart, and returns the response.
 func send(t *testing.T, address string, pieces ...string) (*http.Response, error) {
 	t.Helper()
 	c, err := net.Dial("tcp4", address)
@@ -85,13 +86,13 @@
 	return http.ReadResponse(bufio.NewReader(c), nil)
 }
 
-// TestTurnedAway: a process without room answers whole requests as not run, with a time
-// to come back, and takes their whole body first, since a close with unread bytes would
-// reset the connection and lose the answer.
-func TestTurnedAway(t *testing.T) {
+// TestRejected checks that a process without capacity rejects whole requests as not run, with
+// a Retry-After, and reads their whole body first: closing a connection with unread bytes
+// would reset it and lose the response.
+func TestRejected(t *testing.T) {
 	o := &overload{}
-	o.turnedAway.Store(partsOfShare)
-	address, m := turning(t, room{connections: 10, requests: 10}, o)
+	o.notAdmitted.Store(shareScale)
+	address, m := startAdmission(t, capacity{connections: 10, requests: 10}, o)
 	body := strings.Repeat("x", 20000)
 	tests := []struct {
 		name   string
@@ -100,8 +101,8 @@
 		{"no body", []string{"GET / HTTP/1.1\r\nHost: h\r\nId: 1\r\n\r\n"}},
 		{"a body", []string{fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\ncontent-length: %d\r\n\r\n%s", len(body), body)}},
 		{"in pieces", []string{"POST / HTTP/1.1\r\nHo", "st: h\r\nContent-Length: 20000\r\n\r", "\n" + body[:9000], body[9000:]}},
-		{"in chunks", []string{"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", "0\r\n\r\n"}},
-		{"waits to be asked", []string{"POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 9\r\n\r\n"}},
+		{"chunked", []string{"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", "0\r\n\r\n"}},
+		{"expects 100 Continue", []string{"POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 9\r\n\r\n"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -114,13 +115,13 @@
 	}
 	require.EqualValues(t, len(tests), m.denied.Load())
 	answer, err := send(t, address, "GET / HTTP/1.1\r\nHo")
-	require.Error(t, err, "no whole request, no answer: %v", answer)
+	require.Error(t, err, "an incomplete request gets no response: %v", answer)
 }
 
-// TestConnectionsAreBounded: connections beyond the room are turned away, and there is
-// room again once one has gone.
+// TestConnectionsAreBounded checks that connections beyond the capacity are rejected, and that
+// closing one frees its place.
 func TestConnectionsAreBounded(t *testing.T) {
-	address, _ := turning(t, room{connections: 3, requests: 3}, &overload{})
+	address, _ := startAdmission(t, capacity{connections: 3, requests: 3}, &overload{})
 	request := "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 	var held []net.Conn
 	for range 3 {
@@ -144,23 +145,23 @@
 	}, 5*time.Second, 10*time.Millisecond)
 }
 
-// TestManyAreTurnedAway at little cost: none is kept from its answer by the others, and
-// connections that say nothing hold nobody up for long.
-func TestManyAreTurnedAway(t *testing.T) {
+// TestManyRejected checks that every rejected caller gets its response and that connections
+// without a request delay the others only briefly.
+func TestManyRejected(t *testing.T) {
 	o := &overload{}
-	o.turnedAway.Store(partsOfShare)
-	address, m := turning(t, room{connections: 10, requests: 10}, o)
+	o.notAdmitted.Store(shareScale)
+	address, m := startAdmission(t, capacity{connections: 10, requests: 10}, o)
 	for range 100 {
 		c, err := net.Dial("tcp4", address)
 		require.NoError(t, err)
 		defer c.Close()
 	}
 	const many = 600
-	// A caller that takes longer than turnPatience to send its request is closed without an
-	// answer: beside busy processes one took 1.05 s.
+	// A caller that takes longer than rejectTimeout to send its request is closed without a
+	// response; on a busy machine one took 1.05 s.
 	type end struct {
-		late time.Duration // from the call to connect to the last byte written
-		err  error
+		elapsed time.Duration // from the dial to the last byte written
+		err     error
 	}
 	ends := make(chan end, many)
 	for range many {
@@ -171,11 +172,11 @@
 				defer c.Close()
 				_, err = c.Write([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 			}
-			late := time.Since(began)
+			elapsed := time.Since(began)
 			if err == nil {
 				_, err = http.ReadResponse(bufio.NewReader(c), nil)
 			}
-			ends <- end{late, err}
+			ends <- end{elapsed, err}
 		}()
 	}
 	answered := int64(0)
@@ -185,15 +186,16 @@
 			answered++
 			continue
 		}
-		require.Greater(t, e.late, turnPatience, "%v", e.err)
+		require.Greater(t, e.elapsed, rejectTimeout, "%v", e.err)
 	}
-	// An answer is counted after it was written.
+	// A response is counted after it was written.
 	require.Eventually(t, func() bool { return m.denied.Load() >= answered }, time.Second, time.Millisecond)
 	require.EqualValues(t, answered, m.denied.Load())
 }
 
-// TestGone: a caller that has closed its connection is noticed before its request is sent.
-func TestGone(t *testing.T) {
+// TestCallerGone checks that a closed caller's connection is noticed before its request is
+// sent.
+func TestCallerGone(t *testing.T) {
 	l, err := ListenCallers("127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -205,5 +207,5 @@
 	require.False(t, callerGone(ctx))
 	caller.Close()
 	require.Eventually(t, func() bool { return callerGone(ctx) }, time.Second, time.Millisecond)
-	require.False(t, callerGone(t.Context()), "a request without a connection of ours")
+	require.False(t, callerGone(t.Context()), "a request without a caller's connection")
 }
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestCallersAreWatched: a connection that a caller opens is probed, so that one that goes
-// silent for good does not keep a server at work.
-func TestCallersAreWatched(t *testing.T) {
+// TestCallerKeepalive checks that callers' connections are probed, so that a caller that
+// vanishes without a reset does not keep a server busy.
+func TestCallerKeepalive(t *testing.T) {
 	l, err := ListenCallers("127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -25,7 +25,7 @@
 	require.NoError(t, raw.Control(func(fd uintptr) {
 		got, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 		require.NoError(t, err)
-		require.EqualValues(t, callerSilence.UserTimeout.Milliseconds(), got)
+		require.EqualValues(t, callerKeepAlive.UserTimeout.Milliseconds(), got)
 		probed, err := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_KEEPALIVE)
 		require.NoError(t, err)
 		require.Equal(t, 1, probed)
--- a/gateway/charge_test.go
+++ b/gateway/charge_test.go
@@ -11,16 +11,16 @@
 	"opalbridge.dev/gateway/share"
 )
 
-// counts tells whether an account counts as having got something.
-func counts(d *dispatcher, now time.Time) bool {
+// hasUsage reports whether an account is charged for a request.
+func hasUsage(d *dispatcher, now time.Time) bool {
 	return slices.ContainsFunc(d.shares.LocalDemands(now), func(o share.Demand) bool { return o.Admitted > 0 })
 }
 
-// TestLostDoesNotCount: an account whose requests were lost with their servers before they
-// began got nothing. Counted as got, they put accounts beyond their share for four seconds of
-// which nothing had run: 3.5 million tokens were sent to 13 servers in a second of which they
-// ended.
-func TestLostDoesNotCount(t *testing.T) {
+// TestLostNotCharged checks that an account is not charged for requests that were lost with
+// their servers before they began. Charging them put accounts beyond their share for four
+// seconds without anything having run: 3.5 million tokens were sent to 13 servers in the
+// second in which they crashed.
+func TestLostNotCharged(t *testing.T) {
 	tests := []struct {
 		name   string
 		begins bool
@@ -41,13 +41,13 @@
 			reply, _ := d.placeRequest(now, "a", func(a *placement.Request) { a.PromptTokens = 1000 })
 			assign, ok := (<-reply).(placement.Assign)
 			require.True(t, ok)
-			require.True(t, counts(d, now))
+			require.True(t, hasUsage(d, now))
 			now = now.Add(300 * time.Millisecond)
 			if test.begins {
 				d.recordFirstEvent(now, firstEventReceived{ticket: assign.ID, server: assign.Server.ID})
 			}
 			d.recordEnd(now, attemptEnded{ticket: assign.ID, server: assign.Server.ID, end: test.end})
-			require.Equal(t, test.counts, counts(d, now))
+			require.Equal(t, test.counts, hasUsage(d, now))
 		})
 	}
 }
--- a/gateway/delay_test.go
+++ b/gateway/delay_test.go
@@ -9,12 +9,12 @@
 	"opalbridge.dev/gateway/placement"
 )
 
-// TestOwnShortageTellsNothingOfServers: a gateway that is late with everything finds
-// servers' figures within a tenth, calls none silent, and none unreachable.
-func TestOwnShortageTellsNothingOfServers(t *testing.T) {
+// TestOwnDelayNotBlamedOnServers checks that a gateway whose scheduling is delayed measures
+// servers' speeds within a tenth, and reports no server as silent or unreachable.
+func TestOwnDelayNotBlamedOnServers(t *testing.T) {
 	tests := []struct {
-		name string
-		late time.Duration // with which the process hears of first events
+		name  string
+		delay time.Duration // delay with which the process observes first events
 	}{
 		{"on time", 0},
 		{"a little late", 5 * time.Millisecond},
@@ -25,25 +25,25 @@
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Now()
 			d := newTestDispatcher(t, now, 3)
-			d.lateness = func(_, _ time.Time) time.Duration { return test.late }
+			d.lateness = func(_, _ time.Time) time.Duration { return test.delay }
 			before := d.balancer.Speed("s")
-			takes := time.Duration(0) // what a prompt takes; the first prediction is right
+			promptTime := time.Duration(0) // time of a prompt; the first prediction is right
 			for range 300 {
 				reply, _ := d.placeRequest(now, "a", func(a *placement.Request) { a.PromptTokens = 20000; a.Objective = 3 * time.Second })
 				assign, ok := (<-reply).(placement.Assign)
 				require.True(t, ok)
-				if takes == 0 {
-					takes = assign.Predicted
+				if promptTime == 0 {
+					promptTime = assign.Predicted
 				}
-				heard := now.Add(takes + test.late)
-				d.detectOverdue(heard)
-				d.detectSilent(heard)
+				observed := now.Add(promptTime + test.delay)
+				d.detectOverdue(observed)
+				d.detectSilent(observed)
 				for ticket, p := range d.pending {
-					require.False(t, p.reportedSilent, "server of request %d counts as silent", ticket)
+					require.False(t, p.reportedSilent, "server of request %d is reported as silent", ticket)
 				}
-				d.recordFirstEvent(heard, firstEventReceived{ticket: assign.ID, server: assign.Server.ID})
-				d.recordEnd(heard, attemptEnded{ticket: assign.ID, server: assign.Server.ID, end: placement.Served})
-				now = heard.Add(100 * time.Millisecond)
+				d.recordFirstEvent(observed, firstEventReceived{ticket: assign.ID, server: assign.Server.ID})
+				d.recordEnd(observed, attemptEnded{ticket: assign.ID, server: assign.Server.ID, end: placement.Served})
+				now = observed.Add(100 * time.Millisecond)
 			}
 			require.InEpsilon(t, before.PrefillSlowdown, d.balancer.Speed("s").PrefillSlowdown, 0.1)
 			reply, _ := d.placeRequest(now, "a", nil)
@@ -56,22 +56,23 @@
 	}
 }
 
-// TestHistory: the worst lateness since a time, and the measurement that is overdue.
-func TestHistory(t *testing.T) {
+// TestDelayHistory checks the maximum delay since a time, including the sample that is
+// overdue.
+func TestDelayHistory(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	var h history
-	require.Zero(t, h.worst(start, at(100)), "nothing is known yet")
+	var h delayHistory
+	require.Zero(t, h.max(start, at(100)), "there are no samples yet")
 	for i, late := range []time.Duration{1, 30, 2, 3} {
 		now := at(25 * (i + 1))
-		h.note(now, late*time.Millisecond, now.Add(latenessEvery))
+		h.add(now, late*time.Millisecond, now.Add(delaySampleInterval))
 	}
-	require.Equal(t, 30*time.Millisecond, h.worst(at(0), at(101)))
-	require.Equal(t, 3*time.Millisecond, h.worst(at(60), at(101)))
-	require.Equal(t, 75*time.Millisecond, h.worst(at(60), at(200)), "the next measurement was due at 125 ms")
+	require.Equal(t, 30*time.Millisecond, h.max(at(0), at(101)))
+	require.Equal(t, 3*time.Millisecond, h.max(at(60), at(101)))
+	require.Equal(t, 75*time.Millisecond, h.max(at(60), at(200)), "the next sample was due at 125 ms")
 	for i := range 2 * historySize {
 		now := at(100 + 25*(i+1))
-		h.note(now, 0, now.Add(latenessEvery))
+		h.add(now, 0, now.Add(delaySampleInterval))
 	}
-	require.Zero(t, h.worst(at(0), at(100+25*2*historySize)), "what is long past is forgotten")
+	require.Zero(t, h.max(at(0), at(100+25*2*historySize)), "old samples are dropped")
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,27 +1,31 @@
-// Package gateway is the process on entry hosts that takes callers' requests and
-// carries them to backend servers directly. Every gateway decides for itself; they
-// tell each other what they send (package peer), so that each sees nearly the whole
-// load. Nothing is kept on the host: configuration and servers come from a [Source],
-// and from other gateways when the source is out of reach.
+// Package gateway implements the reverse proxy that runs on entry hosts. It takes callers'
+// requests and sends them to backend servers directly. Every gateway makes its own placement
+// decisions; gateways report what they send to each other (package peer), so that each one
+// sees nearly the whole load. A gateway keeps no state on its host: configuration and servers
+// come from a [Source], and from other gateways when the source is unreachable.
 //
 // # Usage
 //
-//	g, err := gateway.New(gateway.Options{Front: l, Source: source, Codec: codec, …})
+//	g, err := gateway.New(gateway.Options{CallerListener: l, Source: source, Codec: codec, …})
 //	err = g.Run(ctx) // until ctx ends and the requests in flight are answered
 //
-// A request goes through these steps, each in a file of its own: admission.go decides by
-// what overload.go measures whether its connection is served here, is passed on to another
-// gateway (pass.go) or is turned away (turn.go), ingress.go reads and checks it, call.go brings it to a
-// server and decides what to do when that fails, wait.go keeps what no server should get
-// now, relay.go passes the answer on, returned.go knows who has come back. desk.go owns the
-// decisions of package placement, desk_cold.go its part in sparing cold servers, desk_rollout.go its part in
-// moving a service to a new version. view.go
-// follows the source, lifetimes.go keeps which servers there are, warmth.go what the source
-// tells of cold servers and evacuated halls;
-// handover.go asks other gateways for their view, of which changelog.go tells what has
-// changed. callers.go looks after callers' connections, suspects.go keeps requests that
-// end servers from the next ones, suspects_store.go what the store has of them, crashes.go finds out which have ended, signals.go keeps to what
-// servers say of themselves in answers. stop.go ends it all.
+// The path of a request runs through these files: admission.go decides, from what overload.go
+// measures, whether its connection is served here, offloaded to another gateway (offload.go)
+// or rejected (reject.go); ingress.go parses and validates it; call.go sends it to a server
+// and decides on retries; wait_queue.go queues requests that no server should get yet;
+// relay.go relays the response; retries.go recognizes callers that retry.
+//
+// Placement: dispatcher.go makes all decisions with package placement, dispatcher_cold.go
+// limits the load of cold servers, dispatcher_rollout.go moves a service to a new version.
+//
+// State: view.go follows the source, lifetimes.go keeps the list of servers, warmth.go keeps
+// the state of cold servers and evacuated halls, handover.go fetches the views of other
+// gateways, and changelog.go keeps what has changed for incremental views.
+//
+// Protection: callers.go manages callers' connections, suspects.go keeps requests that crash
+// servers away from other servers, suspects_store.go persists them, crashes.go detects crashed
+// servers, signals.go applies what servers announce in responses. stop.go shuts the gateway
+// down.
 package gateway
 
 import (
@@ -39,35 +43,35 @@
 	"opalbridge.dev/gateway/warmup"
 )
 
-// Options set up a Gateway.
+// Options configure a Gateway.
 type Options struct {
-	CallerListener net.Listener // callers
-	ReadyListener  net.Listener // the balancer's questions
+	CallerListener net.Listener // connections of callers
+	ReadyListener  net.Listener // health checks of the load balancer
 	ReadyPath      string
-	PeerListener   net.Listener // views for other gateways, on the address of Peer
+	PeerListener   net.Listener // requests of other gateways, on the address of Peer
 	Peer           peer.Options // State and Failed are set by New
 	Source         Source
-	Caches         Caches       // nil: servers don't tell what their caches hold
-	Claims         ClaimStore   // nil: cold servers get nothing
-	Rollouts       RolloutStore // nil: operators are not told how far roll-outs are
-	Suspects       SuspectStore // nil: what requests have done to servers is forgotten with the gateways
+	Caches         Caches       // nil: servers do not report the contents of their caches
+	Claims         ClaimStore   // nil: cold servers get no requests
+	Rollouts       RolloutStore // nil: the progress of roll-outs is not reported to operators
+	Suspects       SuspectStore // nil: requests that crashed servers are not remembered once all gateways have restarted
 	Codec          protocol.Codec
 	Dispatcher     DispatcherOptions
 	MilliCPU       int           // thousandths of a core that the process may use
-	MemoryLimit    int64         // bytes that it may use; 0: no limit
-	FileLimit      int           // descriptors that it may open; 0: no limit
-	ShutdownGrace  time.Duration // a planned stop ends after this time at the latest
+	MemoryLimit    int64         // bytes that the process may use; 0: no limit
+	FileLimit      int           // file descriptors that the process may open; 0: no limit
+	ShutdownGrace  time.Duration // upper bound on the time of a planned stop
 	Log            zerolog.Logger
 	Metrics        Metrics
 }
 
-// Metrics hears how requests end. Its methods must not block.
+// Metrics records finished requests. Its methods must not block.
 type Metrics interface {
-	// RequestEnded tells of a request's end: its route's kind, outcome and times.
+	// RequestEnded records the end of a request.
 	RequestEnded(o Outcome)
 }
 
-// Outcome is how a request ended.
+// Outcome describes a finished request.
 type Outcome struct {
 	Service   string
 	Account   string
@@ -84,50 +88,50 @@
 	log     zerolog.Logger
 	started time.Time
 	view    atomic.Pointer[View]
-	// When the view was last known to be the store's latest, as time since started:
-	// the steady clock, not the time of day.
+	// When the view was last known to match the store, as an offset from started: the
+	// monotonic clock, not the wall clock.
 	confirmed        atomic.Int64
-	watchesStore     atomic.Bool // this gateway watches the store for its hall
-	storeUnreachable atomic.Bool // own calls to the store fail
-	// Other gateways of the hall whose calls fail as well.
+	watchesStore     atomic.Bool // this gateway watches the store on behalf of its hall
+	storeUnreachable atomic.Bool // this gateway's own calls to the store fail
+	// Number of other gateways of the hall that cannot reach the store either.
 	hallPeersWithoutStore atomic.Int64
 	dispatcher            *dispatcher
 	pool                  *upstream.Pool
 	peers                 *peer.Node
 	storeWatcher          *storeWatcher
-	whole                 wholeView
-	claims                chan warmup.Claim       // to be written
-	statusWrites          chan rolloutStatusWrite // to be told to the operators
+	viewCache             viewCache
+	claims                chan warmup.Claim       // claims to be written to the store
+	statusWrites          chan rolloutStatusWrite // roll-out states to be reported to the operators
 	crashes               *crashDetector
 	suspects              *suspectTracker
 	activeCalls           *activeCalls
 	signals               *serverSignals
-	returned              returned
+	retries               retryTracker
 	stopping              atomic.Bool
 	active                atomic.Int64 // requests being served
-	room                  room
-	helpers               *helpers
-	passer                *passer         // set by serve
-	duties                context.Context // of what runs beside requests; set by serve
+	capacity              capacity
+	offloadTargets        *offloadTargets
+	offloader             *offloader      // set by serve
+	background            context.Context // context of background tasks; set by serve
 	overload              overload
 }
 
-// New returns a gateway that does not run yet.
+// New returns a gateway that is not running yet.
 func New(o Options) (*Gateway, error) {
 	if host, _, err := net.SplitHostPort(o.Peer.Address); err == nil {
-		o.Dispatcher.Address = host // peer.Listen says what is wrong with another one
+		o.Dispatcher.Address = host // peer.Listen reports an invalid address
 	}
 	g := &Gateway{options: o, log: o.Log, started: time.Now(), pool: upstream.NewPool(o.Codec)}
 	g.view.Store(&View{})
-	g.room = roomFor(o.MemoryLimit, o.FileLimit)
-	g.helpers = &helpers{hall: o.Dispatcher.Hall, list: map[string]int{}}
+	g.capacity = capacityFor(o.MemoryLimit, o.FileLimit)
+	g.offloadTargets = &offloadTargets{hall: o.Dispatcher.Hall, weights: map[string]int{}}
 	g.claims = make(chan warmup.Claim, claimQueueSize)
 	g.dispatcher = newDispatcher(o.Log, o.Dispatcher, time.Now())
 	g.dispatcher.claims = g.claims
 	g.statusWrites = make(chan rolloutStatusWrite, statusQueueSize)
 	g.dispatcher.statusWrites = g.statusWrites
 	g.dispatcher.viewFresh = func(now time.Time) bool { return now.Sub(g.confirmedAt()) <= confirmationTimeout }
-	g.dispatcher.lateness = g.overload.worst
+	g.dispatcher.lateness = g.overload.maxDelay
 	g.suspects = newSuspectTracker(o.Log, o.Dispatcher.Address, func() int { return int(g.dispatcher.livePeers.Load()) + 1 })
 	g.suspects.store = o.Suspects
 	g.crashes = newCrashDetector(o.Log, g.suspects.serverCrashed)
@@ -135,9 +139,9 @@
 	g.signals = newServerSignals()
 	g.pool.OnSignal = g.handleSignal
 	o.Peer.Hall = o.Dispatcher.Hall
-	o.Peer.State = g.tell
-	g.watchesStore.Store(true) // until others are known
-	o.Peer.OnError = func(err error) { g.log.Debug().Str("event", "peer.datagram").Err(err).Msg("passed over") }
+	o.Peer.State = g.peerState
+	g.watchesStore.Store(true) // until other gateways are known
+	o.Peer.OnError = func(err error) { g.log.Debug().Str("event", "peer.datagram").Err(err).Msg("datagram ignored") }
 	peers, err := peer.Listen(o.Peer)
 	if err != nil {
 		return nil, err
@@ -147,12 +151,12 @@
 	return g, nil
 }
 
-// tell is what the others hear of this gateway.
-func (g *Gateway) tell() peer.State {
+// peerState returns the state that is sent to the other gateways.
+func (g *Gateway) peerState() peer.State {
 	s := *g.dispatcher.peerState.Load()
 	v := g.view.Load()
 	s.StoreRevision, s.ConfirmedAt, s.StoreUnreachable = v.Revision, g.confirmedAt(), g.storeUnreachable.Load()
-	if !g.overload.short(time.Now()) && !g.stopping.Load() {
+	if !g.overload.overloaded(time.Now()) && !g.stopping.Load() {
 		s.Weight = g.options.MilliCPU
 	}
 	if v.Configuration != nil {
@@ -161,11 +165,11 @@
 	return s
 }
 
-// confirmedAt returns when the view was last known to be the store's latest; the
-// process's start if it never was.
+// confirmedAt returns when the view was last known to match the store, or the process's start
+// if it never was.
 func (g *Gateway) confirmedAt() time.Time { return g.started.Add(time.Duration(g.confirmed.Load())) }
 
-// confirm notes that the view was the store's latest at a time.
+// confirm records that the view matched the store at a time.
 func (g *Gateway) confirm(at time.Time) {
 	since := int64(at.Sub(g.started))
 	for {
@@ -176,53 +180,53 @@
 	}
 }
 
-// Run serves until ctx ends, then stops in the order of stop.go.
+// Run serves until ctx ends, then shuts down in the order described in stop.go.
 func (g *Gateway) Run(ctx context.Context) error {
-	duties, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	group := duty.NewGroup()
-	group.Go(duties, "peers", g.peers.Run)
-	group.Go(duties, "desk", g.dispatcher.run)
-	group.Go(duties, "follower", g.storeWatcher.run)
-	group.Go(duties, "news", g.hear)
-	group.Go(duties, "idle", g.closeIdle)
-	group.Go(duties, "caches", g.queryCaches)
-	group.Go(duties, "claims", g.writeClaims)
-	group.Go(duties, "statements", g.writeRolloutStatuses)
-	group.Go(duties, "suspects", g.suspects.write)
-	group.Go(duties, "barred", g.cancelQuarantinedCalls)
+	group.Go(background, "peers", g.peers.Run)
+	group.Go(background, "desk", g.dispatcher.run)
+	group.Go(background, "follower", g.storeWatcher.run)
+	group.Go(background, "news", g.receiveUpdates)
+	group.Go(background, "idle", g.closeIdle)
+	group.Go(background, "caches", g.queryCaches)
+	group.Go(background, "claims", g.writeClaims)
+	group.Go(background, "statements", g.writeRolloutStatuses)
+	group.Go(background, "suspects", g.suspects.write)
+	group.Go(background, "barred", g.cancelQuarantinedCalls)
 	for range probeWorkers {
-		group.Go(duties, "probes", g.crashes.runProbes)
+		group.Go(background, "probes", g.crashes.runProbes)
 	}
-	group.Go(duties, "overload", func(ctx context.Context) { g.overload.run(ctx, g) })
-	g.log.Info().Str("event", "start").Str("front", g.options.CallerListener.Addr().String()).Msg("gateway")
-	err := g.serve(ctx, duties)
+	group.Go(background, "overload", func(ctx context.Context) { g.overload.run(ctx, g) })
+	g.log.Info().Str("event", "start").Str("front", g.options.CallerListener.Addr().String()).Msg("gateway started")
+	err := g.serve(ctx, background)
 	cancel()
-	group.Collect(duties)
-	g.log.Info().Str("event", "stopped").Msg("gateway")
+	group.Collect(background)
+	g.log.Info().Str("event", "stopped").Msg("gateway stopped")
 	return err
 }
 
-// Status is what a gateway believes, for metrics.
+// Status is a snapshot of the gateway's state for metrics.
 type Status struct {
-	ViewAge              time.Duration // since the view was last known to be the store's latest
+	ViewAge              time.Duration // time since the view was last known to match the store
 	ConfigurationVersion uint64        // 0: none
-	StoreEra             uint64        // how often the store has come back from a copy, as it counts itself
+	StoreEra             uint64        // how often the store has been restored from a backup, by its own count
 	Servers              int
 	Peers                int
-	Active               int           // requests in hand
-	SchedulingDelay      time.Duration // of the process, as of the latest measurement
-	AdmittedShare        float64       // share of requests that the process has time for
-	Suspects             int           // requests that were at servers when these ended
-	Quarantined          int           // of them, those that reach no server any more
-	AnnouncedLeaving     int           // servers that have said in answers that they leave
-	BackingOff           int           // servers that have asked this gateway for rest
+	Active               int           // requests in flight
+	SchedulingDelay      time.Duration // scheduling delay of the process, as of the latest sample
+	AdmittedShare        float64       // share of requests that the overload control admits
+	Suspects             int           // requests that were at servers when these crashed
+	Quarantined          int           // of them, those that are sent to no server
+	AnnouncedLeaving     int           // servers that have announced in responses that they are leaving
+	BackingOff           int           // servers that have asked this gateway to back off
 }
 
-// Status returns what the gateway believes now.
+// Status returns the gateway's current state.
 func (g *Gateway) Status() Status {
 	v := g.view.Load()
-	s := Status{StoreEra: v.Revision.Era(), ViewAge: time.Since(g.confirmedAt()), Servers: len(v.Servers), Peers: int(g.dispatcher.livePeers.Load()), Active: int(g.active.Load()), SchedulingDelay: time.Duration(g.overload.lateness.Load()), AdmittedShare: g.overload.share()}
+	s := Status{StoreEra: v.Revision.Era(), ViewAge: time.Since(g.confirmedAt()), Servers: len(v.Servers), Peers: int(g.dispatcher.livePeers.Load()), Active: int(g.active.Load()), SchedulingDelay: time.Duration(g.overload.delay.Load()), AdmittedShare: g.overload.admittedShare()}
 	s.AnnouncedLeaving, s.BackingOff = g.signals.count(time.Now())
 	s.Suspects, s.Quarantined = int(g.suspects.suspectCount.Load()), g.suspects.barredCount()
 	if v.Configuration != nil {
@@ -231,12 +235,12 @@
 	return s
 }
 
-// Idle connections to servers are looked through this often.
-const idleEvery = time.Second
+// Interval at which idle connections to servers are checked.
+const idleCheckInterval = time.Second
 
-// closeIdle closes connections to servers that are old or whose server has gone.
+// closeIdle closes connections to servers that are too old or whose server is gone.
 func (g *Gateway) closeIdle(ctx context.Context) {
-	tick := time.NewTicker(idleEvery)
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -18,59 +18,62 @@
 	"opalbridge.dev/gateway/quarantine"
 )
 
-// Times and sizes of handing views over.
+// Times and sizes of view transfers.
 const (
 	viewPath = "/view"
-	// The store's own news are waited for this long before a gateway is asked that
-	// says it knows more.
+	// How long a gateway waits for updates from the store before it asks a gateway that has a
+	// later revision.
 	handoverDelay   = 300 * time.Millisecond
 	handoverTimeout = time.Second
-	// A view holds the configuration (1 MB at most) in base64 and the servers.
-	longestView = 16 << 20
+	// A view holds the configuration (at most 1 MB) in base64 and the servers.
+	maxViewBytes = 16 << 20
 )
 
-// viewDocument is a view on its way to another gateway.
+// viewDocument is the encoding of a view for another gateway.
 type viewDocument struct {
-	Configuration []byte           `json:"configuration"` // as it was announced
+	Configuration []byte           `json:"configuration"` // as published
 	Servers       []catalog.Server `json:"servers"`
 	Revision      catalog.Revision `json:"revision"`
-	// Missing tells for how much longer servers are kept whose entry has gone, in
-	// milliseconds.
+	// Missing is the remaining time, in milliseconds, for which servers without an entry are
+	// kept.
 	Missing map[string]int64 `json:"missing,omitempty"`
-	// Evacuated are the halls that are evacuated.
+	// Evacuated holds the evacuated halls.
 	Evacuated map[string]evacuationDocument `json:"evacuated,omitempty"`
 	Cold      map[string]coldDocument       `json:"cold,omitempty"`     // by server
 	Rollouts  map[string]rolloutDocument    `json:"rollouts,omitempty"` // by service
-	// Suspects are the servers that ended under a request, by its key's text.
+	// Suspects holds the servers that crashed under a request, by the text of its key.
 	Suspects map[string][]string `json:"suspects,omitempty"`
-	// Doubts tell of those whose servers ended at one moment how often they were tried. They
-	// stand apart for gateways of a version that knows of none.
-	Doubts map[string]int `json:"doubts,omitempty"`
-	// SuspectsTold is true in a whole view, but for a gateway of a version that knows of no
-	// suspects.
-	SuspectsTold bool `json:"suspects_told,omitempty"`
-	// Partial is true if Servers, Gone, Cold, Suspects and Cleared hold only what has changed
-	// since the revision that was asked for, and Configuration only a later version.
-	Partial        bool     `json:"partial,omitempty"`
-	RemovedServers []string `json:"gone,omitempty"`    // servers that are no more
-	Cleared        []string `json:"cleared,omitempty"` // keys of requests that are no suspects any more
-	// Revived are servers that a copy names and that are kept back; not if Partial.
-	Revived []catalog.Server `json:"revived,omitempty"`
-	// SettleMS tells for how much longer the store may lack what it had, in milliseconds.
-	SettleMS int64 `json:"settle_ms,omitempty"`
-	// Leaving are all lifetimes of servers that have said that they leave, also if Partial.
+	// Probes holds the number of probes sent of requests whose servers crashed at the same
+	// time. It is a separate field for compatibility with gateways of a version that lacks it.
+	Probes map[string]int `json:"doubts,omitempty"`
+	// HasSuspects is true in a full view, unless the sender is of a version without Suspects.
+	HasSuspects bool `json:"suspects_told,omitempty"`
+	// Partial reports that Servers, RemovedServers, Cold, Suspects and RemovedSuspects hold
+	// only the changes since the requested revision, and that Configuration is set only if it
+	// is later.
+	Partial         bool     `json:"partial,omitempty"`
+	RemovedServers  []string `json:"gone,omitempty"`
+	RemovedSuspects []string `json:"cleared,omitempty"` // keys of requests that are no longer suspects
+	// Unverified holds servers that a restored backup lists and that are not used yet; empty
+	// if Partial.
+	Unverified []catalog.Server `json:"revived,omitempty"`
+	// ReconcileMS is the remaining time, in milliseconds, for which the store may lack entries
+	// that it had.
+	ReconcileMS int64 `json:"settle_ms,omitempty"`
+	// Leaving holds all lifetimes of servers that have announced that they are leaving, also
+	// if Partial.
 	Leaving []string `json:"left,omitempty"`
 }
 
-// changes is what of the view has changed since a revision, for a gateway that knows it and
-// a version of the configuration; ok is false if that is not known any more.
+// changes returns what has changed since a revision, for a gateway that has that revision and
+// a version of the configuration; ok is false if the change log does not reach back that far.
 func (v *View) changes(now time.Time, revision catalog.Revision, version uint64) (d viewDocument, ok bool) {
-	d = viewDocument{Revision: v.Revision, Partial: true, Leaving: v.ReportedLeaving, SettleMS: millisUntil(now, v.ReconcileUntil)}
+	d = viewDocument{Revision: v.Revision, Partial: true, Leaving: v.ReportedLeaving, ReconcileMS: millisUntil(now, v.ReconcileUntil)}
 	if v.Configuration != nil && v.Configuration.Version > version {
 		d.Configuration = v.RawConfiguration
 	}
 	if revision > v.Revision {
-		return d, true // who asks knows more of the store
+		return d, true // the asking gateway has a later revision of the store
 	}
 	ids, ok := v.serverChanges.since(revision)
 	keys, suspectsKnown := v.suspectChanges.since(revision)
@@ -89,56 +92,56 @@
 	d.addCold(now, v, func(server string) bool { return ids[server] })
 	d.addSuspects(v, func(key string) bool { return keys[key] })
 	for key := range keys {
-		if _, still := d.Suspects[key]; !still {
-			d.Cleared = append(d.Cleared, key)
+		if _, kept := d.Suspects[key]; !kept {
+			d.RemovedSuspects = append(d.RemovedSuspects, key)
 		}
 	}
 	return d, true
 }
 
-// document is the whole view as it goes to another gateway.
+// document returns the full view for another gateway.
 func (v *View) document(now time.Time) viewDocument {
-	d := viewDocument{Configuration: v.RawConfiguration, Servers: v.Servers, Revision: v.Revision, Leaving: v.ReportedLeaving, Revived: v.Unverified, SettleMS: millisUntil(now, v.ReconcileUntil)}
+	d := viewDocument{Configuration: v.RawConfiguration, Servers: v.Servers, Revision: v.Revision, Leaving: v.ReportedLeaving, Unverified: v.Unverified, ReconcileMS: millisUntil(now, v.ReconcileUntil)}
 	d.addMissing(now, v)
 	d.addRollouts(now, v)
 	d.addCold(now, v, func(string) bool { return true })
 	d.addSuspects(v, func(string) bool { return true })
-	d.SuspectsTold = true
+	d.HasSuspects = true
 	return d
 }
 
-func (d *viewDocument) addSuspects(v *View, told func(key string) bool) {
-	for key, kept := range v.Suspects {
+func (d *viewDocument) addSuspects(v *View, include func(key string) bool) {
+	for key, record := range v.Suspects {
 		text := key.String()
-		if !told(text) {
+		if !include(text) {
 			continue
 		}
 		if d.Suspects == nil {
-			d.Suspects, d.Doubts = map[string][]string{}, map[string]int{}
+			d.Suspects, d.Probes = map[string][]string{}, map[string]int{}
 		}
-		d.Suspects[text] = kept.Servers
-		if kept.Simultaneous {
-			d.Doubts[text] = kept.Probes
+		d.Suspects[text] = record.Servers
+		if record.Simultaneous {
+			d.Probes[text] = record.Probes
 		}
 	}
 }
 
-// suspects returns what a view that has arrived tells of suspects. What can't be read is
-// passed over: other gateways write only what can.
-func (d viewDocument) suspects() (changed map[quarantine.Key]quarantine.StoredRecord, cleared []quarantine.Key) {
-	changed = map[quarantine.Key]quarantine.StoredRecord{}
+// decodeSuspects decodes the suspects of a view document. Keys that cannot be parsed are
+// skipped: other gateways write only valid ones.
+func (d viewDocument) decodeSuspects() (suspects map[quarantine.Key]quarantine.StoredRecord, removed []quarantine.Key) {
+	suspects = map[quarantine.Key]quarantine.StoredRecord{}
 	for text, servers := range d.Suspects {
 		if key, err := quarantine.ParseKey(text); err == nil {
-			tries, atOnce := d.Doubts[text]
-			changed[key] = quarantine.StoredRecord{Servers: servers, Simultaneous: atOnce, Probes: tries}
+			probes, simultaneous := d.Probes[text]
+			suspects[key] = quarantine.StoredRecord{Servers: servers, Simultaneous: simultaneous, Probes: probes}
 		}
 	}
-	for _, text := range d.Cleared {
+	for _, text := range d.RemovedSuspects {
 		if key, err := quarantine.ParseKey(text); err == nil {
-			cleared = append(cleared, key)
+			removed = append(removed, key)
 		}
 	}
-	return changed, cleared
+	return suspects, removed
 }
 
 func (d *viewDocument) addMissing(now time.Time, v *View) {
@@ -150,7 +153,7 @@
 	}
 }
 
-// decodeSnapshot is what a view that has arrived tells, but for the configuration.
+// decodeSnapshot decodes the view document, but for the configuration.
 func (d viewDocument) decodeSnapshot(now time.Time) Snapshot {
 	s := Snapshot{RawConfiguration: d.Configuration, Servers: d.Servers, Revision: d.Revision, MissingUntil: map[string]time.Time{}}
 	for id, ms := range d.Missing {
@@ -159,36 +162,36 @@
 	return s
 }
 
-// peerView is what a view that has arrived tells, but for the configuration and who told it.
+// peerView decodes the view document, but for the configuration and the sender.
 func (d viewDocument) peerView(now time.Time) peerView {
-	h := peerView{snapshot: d.decodeSnapshot(now), partial: d.Partial, removedServers: d.RemovedServers, leaving: d.Leaving, unverified: d.Revived, hasSuspects: d.SuspectsTold}
-	h.reconcileUntil = now.Add(time.Duration(d.SettleMS) * time.Millisecond)
-	h.evacuations, h.cold = d.decodeCold(now)
-	h.rollouts = d.decodeRollouts(now)
-	h.snapshot.Suspects, h.removedSuspects = d.suspects()
-	return h
+	p := peerView{snapshot: d.decodeSnapshot(now), partial: d.Partial, removedServers: d.RemovedServers, leaving: d.Leaving, unverified: d.Unverified, hasSuspects: d.HasSuspects}
+	p.reconcileUntil = now.Add(time.Duration(d.ReconcileMS) * time.Millisecond)
+	p.evacuations, p.cold = d.decodeCold(now)
+	p.rollouts = d.decodeRollouts(now)
+	p.snapshot.Suspects, p.removedSuspects = d.decodeSuspects()
+	return p
 }
 
-// serveView answers another gateway that asks for the view.
+// serveView handles the request of another gateway for the view.
 func (g *Gateway) serveView(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	packed, err := g.encodedView(time.Now(), r.URL.Query())
+	body, err := g.encodedView(time.Now(), r.URL.Query())
 	if err == nil {
-		_, err = w.Write(packed)
+		_, err = w.Write(body)
 	}
 	if err != nil {
-		g.log.Debug().Str("event", "view.not_told").Err(err).Msg("the asking gateway has gone")
+		g.log.Debug().Str("event", "view.not_told").Err(err).Msg("cannot send view")
 	}
 }
 
-// The keys of a question for a view: what the asking gateway knows.
+// Query parameters of a request for a view: what the asking gateway has.
 const (
 	sinceKey   = "since"
 	versionKey = "version"
 )
 
-// encodedView returns what a gateway is told that asks for the view: what has changed since
-// the revision that it knows, or all.
+// encodedView returns the response to a request for the view: what has changed since the
+// asking gateway's revision, or the full view.
 func (g *Gateway) encodedView(now time.Time, known url.Values) ([]byte, error) {
 	v := g.view.Load()
 	since, err := strconv.ParseUint(known.Get(sinceKey), 10, 64)
@@ -198,177 +201,177 @@
 			return json.Marshal(d)
 		}
 	}
-	return g.whole.get(now, v)
+	return g.viewCache.get(now, v)
 }
 
-// wholeView is the whole view of a moment ago, encoded. Gateways that start together ask
-// for it together, and at 3,000 servers it takes milliseconds to encode. It is safe for use
-// by several goroutines.
-type wholeView struct {
-	mutex  sync.Mutex
-	of     *View
-	at     time.Time
-	packed []byte
+// viewCache caches the encoded full view for a moment. Gateways that start together ask for it
+// together, and with 3,000 servers encoding takes milliseconds. It is safe for concurrent use.
+type viewCache struct {
+	mutex   sync.Mutex
+	view    *View
+	at      time.Time
+	encoded []byte
 }
 
-// Times that a view tells count from when it is sent, so it may be this old: cold servers
-// then seem cold for so much longer.
-const wholeViewAge = 100 * time.Millisecond
+// Maximum age of the cached view. The times in a view are relative to when it is sent, so cold
+// servers appear cold for up to this much longer.
+const viewCacheMaxAge = 100 * time.Millisecond
 
-func (w *wholeView) get(now time.Time, v *View) ([]byte, error) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.of == v && now.Sub(w.at) < wholeViewAge {
-		return w.packed, nil
+func (c *viewCache) get(now time.Time, v *View) ([]byte, error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.view == v && now.Sub(c.at) < viewCacheMaxAge {
+		return c.encoded, nil
 	}
-	packed, err := json.Marshal(v.document(now))
+	encoded, err := json.Marshal(v.document(now))
 	if err != nil {
-		return nil, errors.Wrap(err, "gateway: encode the view")
+		return nil, errors.Wrap(err, "gateway: encode view")
 	}
-	w.of, w.at, w.packed = v, now, packed
-	return packed, nil
+	c.view, c.at, c.encoded = v, now, encoded
+	return encoded, nil
 }
 
-// hear takes up what other gateways tell, until their channel is closed.
-func (g *Gateway) hear(ctx context.Context) {
-	h := updateReceiver{gateway: g, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
+// receiveUpdates processes updates from other gateways until their channel is closed.
+func (g *Gateway) receiveUpdates(ctx context.Context) {
+	r := updateReceiver{gateway: g, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
 	for {
 		select {
-		case <-h.fetched:
-			h.fetching = false
+		case <-r.fetched:
+			r.fetching = false
 		case list, open := <-g.peers.Updates():
 			if !open {
-				if h.fetching {
-					<-h.fetched
+				if r.fetching {
+					<-r.fetched
 				}
 				return
 			}
 			g.dispatcher.send(peersUpdated{list})
 			for _, u := range list {
-				g.helpers.update(u)
-				g.returned.told(time.Now(), u.Refusals)
+				g.offloadTargets.update(u)
+				g.retries.addRemote(time.Now(), u.Refusals)
 				g.suspects.setPeerLive(u.From, u.Alive)
 				g.suspects.applyPeerReports(time.Now(), u.Crashes, u.Cleared)
 				g.applyPeerLeaving(time.Now(), u.From, u.LeavingServers)
-				h.handle(ctx, time.Now(), u)
+				r.handle(ctx, time.Now(), u)
 			}
 		}
 	}
 }
 
-// updateReceiver is the state of the duty that hears other gateways.
+// updateReceiver is the state of the task that processes updates from other gateways.
 type updateReceiver struct {
-	gateway      *Gateway
-	halls        map[string]string // of live gateways that reach the store, by address
-	withoutStore map[string]bool   // live gateways of the own hall that don't reach it
-	ahead        catalog.Revision  // the highest revision that was told
-	behind       time.Time         // since when a gateway knows more of the store; zero: none does
-	fetching     bool              // a view is being fetched
-	fetched      chan struct{}     // tells that it was
+	gateway         *Gateway
+	halls           map[string]string // halls of live gateways that reach the store, by address
+	withoutStore    map[string]bool   // live gateways of this hall that cannot reach the store
+	highestRevision catalog.Revision  // the highest revision reported
+	behindSince     time.Time         // since when another gateway has a later revision of the store; zero: none has
+	fetching        bool              // a view is being fetched
+	fetched         chan struct{}     // signals that the fetch has ended
 }
 
-func (h *updateReceiver) handle(ctx context.Context, now time.Time, u peer.Update) {
-	h.count(u)
+func (r *updateReceiver) handle(ctx context.Context, now time.Time, u peer.Update) {
+	r.trackStoreAccess(u)
 	if !u.Alive {
 		return
 	}
-	g := h.gateway
+	g := r.gateway
 	v := g.view.Load()
-	own := v.Revision
-	// After the store has come back from a copy, one that has started since may know no less of
-	// it, but an older configuration.
+	revision := v.Revision
+	// After the store was restored from a backup, a gateway that started since may be up to
+	// date with the store and still have an older configuration.
 	later := v.Configuration != nil && u.ConfigurationVersion > v.Configuration.Version
-	if own >= h.ahead && !later {
-		h.behind = time.Time{}
+	if revision >= r.highestRevision && !later {
+		r.behindSince = time.Time{}
 	}
-	if u.StoreRevision <= own && !later {
-		if u.StoreRevision.Era() == own.Era() {
+	if u.StoreRevision <= revision && !later {
+		if u.StoreRevision.Era() == revision.Era() {
 			g.confirm(u.ConfirmedAt)
 		}
 		return
 	}
-	h.ahead = max(h.ahead, u.StoreRevision)
-	if h.behind.IsZero() {
-		h.behind = now
+	r.highestRevision = max(r.highestRevision, u.StoreRevision)
+	if r.behindSince.IsZero() {
+		r.behindSince = now
 	}
-	// A gateway of the own hall that watches is asked at once. For the others the own
-	// hall's news are waited for; they cost no bytes between halls.
-	patience := handoverDelay
+	// A gateway of this hall that watches the store is asked at once. In other cases the
+	// gateway waits for updates within its hall, which cost no traffic between halls.
+	delay := handoverDelay
 	if u.Hall == g.options.Dispatcher.Hall && !g.watchesStore.Load() {
-		patience = 0
+		delay = 0
 	}
-	if !h.fetching && now.Sub(h.behind) >= patience {
-		h.fetching = true
-		h.behind = time.Time{}
+	if !r.fetching && now.Sub(r.behindSince) >= delay {
+		r.fetching = true
+		r.behindSince = time.Time{}
 		go func() {
-			g.askView(ctx, u)
-			h.fetched <- struct{}{}
+			g.pullView(ctx, u)
+			r.fetched <- struct{}{}
 		}()
 	}
 }
 
-// count keeps the list of gateways that can watch the store.
-func (h *updateReceiver) count(u peer.Update) {
-	if u.Alive && u.StoreUnreachable && u.Hall == h.gateway.options.Dispatcher.Hall {
-		h.withoutStore[u.From] = true
+// trackStoreAccess updates the lists of gateways that can and cannot reach the store.
+func (r *updateReceiver) trackStoreAccess(u peer.Update) {
+	if u.Alive && u.StoreUnreachable && u.Hall == r.gateway.options.Dispatcher.Hall {
+		r.withoutStore[u.From] = true
 	} else {
-		delete(h.withoutStore, u.From)
+		delete(r.withoutStore, u.From)
 	}
-	h.gateway.hallPeersWithoutStore.Store(int64(len(h.withoutStore)))
-	hall, known := h.halls[u.From]
+	r.gateway.hallPeersWithoutStore.Store(int64(len(r.withoutStore)))
+	hall, known := r.halls[u.From]
 	if !u.Alive || u.StoreUnreachable {
-		delete(h.halls, u.From)
+		delete(r.halls, u.From)
 		if known {
-			h.elect()
+			r.elect()
 		}
 		return
 	}
 	if !known || hall != u.Hall {
-		h.halls[u.From] = u.Hall
-		h.elect()
+		r.halls[u.From] = u.Hall
+		r.elect()
 	}
 }
 
-// elect decides whether this gateway watches the store for its hall: the gateway
-// of the hall with the lowest hash that reaches it does. If lists differ for a moment, two watch or
-// none does, and who hears nothing asks the store itself.
-func (h *updateReceiver) elect() {
-	g := h.gateway
+// elect decides whether this gateway watches the store for its hall: of the gateways of the
+// hall that reach the store, the one with the lowest hash does. If their lists differ for a
+// moment, two gateways watch or none does, and a gateway that hears nothing asks the store
+// itself.
+func (r *updateReceiver) elect() {
+	g := r.gateway
 	own, _, err := net.SplitHostPort(g.options.Peer.Address)
 	if err != nil {
-		return // peer.Listen has checked it
+		return // peer.Listen has validated it
 	}
-	least := hashString(own)
+	lowest := hashString(own)
 	watches := true
-	for address, hall := range h.halls {
-		if hall == g.options.Dispatcher.Hall && hashString(address) < least {
+	for address, hall := range r.halls {
+		if hall == g.options.Dispatcher.Hall && hashString(address) < lowest {
 			watches = false
 		}
 	}
 	if g.watchesStore.Swap(watches) != watches {
-		g.log.Info().Str("event", "watch.duty").Bool("watches", watches).Int("gateways", len(h.halls)+1).Msg("store")
+		g.log.Info().Str("event", "watch.duty").Bool("watches", watches).Int("gateways", len(r.halls)+1).Msg("store watch assignment")
 	}
 }
 
-// askView fetches the view of another gateway and hands it to the follower.
-func (g *Gateway) askView(ctx context.Context, u peer.Update) {
-	h, err := g.fetchView(ctx, u.From)
+// pullView fetches the view of another gateway and passes it to the storeWatcher.
+func (g *Gateway) pullView(ctx context.Context, u peer.Update) {
+	p, err := g.fetchView(ctx, u.From)
 	if err != nil {
-		g.log.Warn().Str("event", "view.not_handed_over").Str("peer", u.From).Err(err).Msg("go on with what is known")
+		g.log.Warn().Str("event", "view.not_handed_over").Str("peer", u.From).Err(err).Msg("cannot fetch view; keeping the current one")
 		return
 	}
-	h.confirmed = u.ConfirmedAt
+	p.confirmed = u.ConfirmedAt
 	select {
-	case g.storeWatcher.peerViews <- h:
+	case g.storeWatcher.peerViews <- p:
 	case <-ctx.Done():
 	}
 }
 
-// viewQuery is what another gateway that is asked for its view needs to know.
+// viewQuery returns the query of a request for another gateway's view.
 func (g *Gateway) viewQuery() url.Values {
 	v := g.view.Load()
 	if v.Configuration == nil {
-		return url.Values{} // all is needed
+		return url.Values{} // the full view is needed
 	}
 	return url.Values{
 		sinceKey:   {strconv.FormatUint(uint64(v.Revision), 10)},
@@ -388,15 +391,15 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+net.JoinHostPort(from, port)+viewPath+"?"+g.viewQuery().Encode(), nil)
 	if err != nil {
-		return peerView{}, errors.Wrap(err, "gateway: ask for a view")
+		return peerView{}, errors.Wrap(err, "gateway: create view request")
 	}
 	request.Close = true
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return peerView{}, errors.Wrapf(err, "gateway: ask %s for its view", from)
+		return peerView{}, errors.Wrapf(err, "gateway: request view of %s", from)
 	}
 	defer response.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, longestView))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxViewBytes))
 	if err != nil {
 		return peerView{}, errors.Wrapf(err, "gateway: view of %s", from)
 	}
@@ -404,11 +407,11 @@
 	if err := json.Unmarshal(raw, &d); err != nil {
 		return peerView{}, errors.Wrapf(err, "gateway: view of %s", from)
 	}
-	h := d.peerView(time.Now())
-	h.from = from
+	p := d.peerView(time.Now())
+	p.from = from
 	if len(d.Configuration) == 0 {
-		return h, nil
+		return p, nil
 	}
-	h.snapshot.Configuration, err = g.options.Source.Decode(d.Configuration)
-	return h, err
+	p.snapshot.Configuration, err = g.options.Source.Decode(d.Configuration)
+	return p, err
 }
--- a/gateway/hot_account_test.go
+++ b/gateway/hot_account_test.go
@@ -8,133 +8,132 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What users saw: an account asked for 67 million tokens in six seconds, had refused
-// requests in each of them and got 6.6 million, while the account served best got 15.6.
+// These tests guard against an account that gets far less than its share because all its
+// callers reach one small host: it asked for 67 million tokens in six seconds, had requests
+// refused in each of them and got 6.6 million, while the account served best got 15.6.
 //
-// In order: the account's callers press; the balancer brings them all to one small host; it
-// is at its limit of processor from then on, while the large hosts of its hall use a quarter
-// of theirs. What it can't serve is to be passed on to those. But turning a connection away
-// costs a third of passing one on, who is turned away comes back 0.15 s later to the same
-// host, and nothing bounded that: turning away took the processor first, and passing on got
-// what was left.
-//
-// Evidence, from the lines of such a host in the six seconds in which an account that asked
-// for 109 million tokens got 5.8 and the best served 15.5: 21,912 tries turned away unread,
-// 1,113 connections passed on, 50 requests of the account refused by a gateway that had read
-// them.
-
-// Processor that a connection takes on a host of a seventh of a core, by what becomes of it:
-// the two rates at which such a host passed on and turned away at its limit, in two plays.
+// It comes about as follows. The load balancer brings all callers of the account to one small
+// host, which is then at its limit of processor time, while the large hosts of its hall use a
+// quarter of theirs. What it cannot serve is to be offloaded to those. But rejecting a
+// connection costs a third of offloading one, and a rejected caller comes back to the same
+// host 0.15 s later. Without a bound on rejections they take the processor time first, and
+// offloading gets what is left: such a host rejected 21,912 requests unread, offloaded 1,113
+// connections and refused 50 requests of the account that it had read, in six seconds in which
+// an account that asked for 109 million tokens got 5.8 million and the best served 15.5
+// million.
+
+// Processor time that a connection takes on a host of a seventh of a core, by action, from the
+// rates at which such a host offloads and rejects at its limit.
 const (
-	hostCores    = 144 // thousandths of one
-	costOfServe  = 400 * time.Microsecond
-	costOfPass   = 106 * time.Microsecond
-	costOfAnswer = 36 * time.Microsecond
+	hostMilliCPU = 144 // thousandths of a core
+	serveCost    = 400 * time.Microsecond
+	offloadCost  = 106 * time.Microsecond
+	rejectCost   = 36 * time.Microsecond
 )
 
-// Callers, and the way to them.
+// Callers' timing.
 const (
-	callerWay   = 6 * time.Millisecond // until the first bytes of a connection that was accepted
-	callerWaits = time.Second          // for its connection to be accepted; then it comes back
-	playStep    = time.Millisecond
+	firstByteDelay = 6 * time.Millisecond // until the first bytes of an accepted connection
+	acceptTimeout  = time.Second          // for its connection to be accepted; then it retries
+	hostSimStep    = time.Millisecond
 )
 
-// caller is a connection that was not accepted yet.
+// caller is a connection that has not been accepted yet.
 type caller struct {
-	came time.Time
-	back bool // it has come back; it does so once
+	arrived time.Time
+	retried bool // it is a retry; a caller retries once
 }
 
-// shortHost plays a small host to which all callers of an account come.
-type shortHost struct {
-	admission *admission
-	throttle  throttle
-	now       time.Time
-	backlog   time.Duration // work that waits for the processor
-	due       time.Time     // of the next measurement of lateness
-	measureAt time.Time     // when it will be made; zero: not due yet
-	queue     []caller
-	later     map[time.Time][]caller // that come back
-	first     map[time.Time][]*callerConn
-	helped    int // connections that were served here or passed on
+// simHost simulates a small host that all callers of an account reach.
+type simHost struct {
+	admission  *admissionListener
+	throttle   throttle
+	now        time.Time
+	backlog    time.Duration // work that waits for the processor
+	due        time.Time     // when the next sample of the scheduling delay is due
+	measureAt  time.Time     // when it will be taken; zero: not due yet
+	queue      []caller
+	retries    map[time.Time][]caller // future retries
+	firstBytes map[time.Time][]*callerConn
+	handled    int // connections served here or offloaded
 }
 
-func newShortHost() *shortHost {
+func newSimHost() *simHost {
 	now := time.Now()
-	h := &shortHost{
-		admission: &admission{
-			room: room{connections: 1 << 20, requests: mostActive}, overload: &overload{},
-			starting: starting{since: map[*callerConn]time.Time{}},
+	h := &simHost{
+		admission: &admissionListener{
+			capacity: capacity{connections: 1 << 20, requests: maxActiveRequests}, overload: &overload{},
+			unread: unreadConns{since: map[*callerConn]time.Time{}},
 		},
-		throttle: throttle{share: 1, passed: 1}, now: now, due: now.Add(latenessEvery),
-		later: map[time.Time][]caller{}, first: map[time.Time][]*callerConn{},
+		throttle: throttle{admitted: 1, offloaded: 1}, now: now, due: now.Add(delaySampleInterval),
+		retries: map[time.Time][]caller{}, firstBytes: map[time.Time][]*callerConn{},
 	}
-	h.admission.overload.begin(h.due)
+	h.admission.overload.start(h.due)
 	return h
 }
 
-// play lets so many callers a second come for a time.
-func (h *shortHost) play(callers int, d time.Duration) {
+// simulate runs a load of callers per second for a time.
+func (h *simHost) simulate(callers int, d time.Duration) {
 	credit := 0.0
-	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(playStep) {
+	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(hostSimStep) {
 		h.measure()
-		for credit += float64(callers) * playStep.Seconds(); credit >= 1; credit-- {
-			h.queue = append(h.queue, caller{came: h.now})
+		for credit += float64(callers) * hostSimStep.Seconds(); credit >= 1; credit-- {
+			h.queue = append(h.queue, caller{arrived: h.now})
 		}
-		h.queue = append(h.queue, h.later[h.now]...)
-		h.giveUp()
+		h.queue = append(h.queue, h.retries[h.now]...)
+		h.timeOut()
 		h.accept()
-		for _, c := range h.first[h.now] {
-			h.admission.starting.remove(c)
+		for _, c := range h.firstBytes[h.now] {
+			h.admission.unread.remove(c)
 		}
-		h.backlog = max(h.backlog-playStep*hostCores/1000, 0)
+		h.backlog = max(h.backlog-hostSimStep*hostMilliCPU/1000, 0)
 	}
 }
 
-// wait is how long what is ready waits for the processor.
-func (h *shortHost) wait() time.Duration { return h.backlog * 1000 / hostCores }
+// wait returns how long ready work waits for the processor.
+func (h *simHost) queueDelay() time.Duration { return h.backlog * 1000 / hostMilliCPU }
 
-// measure lets the process measure its lateness when it gets to it.
-func (h *shortHost) measure() {
+// measure takes a sample of the scheduling delay when the process gets to it.
+func (h *simHost) measure() {
 	if h.measureAt.IsZero() && !h.now.Before(h.due) {
-		h.measureAt = h.due.Add(h.wait())
+		h.measureAt = h.due.Add(h.queueDelay())
 	}
 	if h.measureAt.IsZero() || h.now.Before(h.measureAt) {
 		return
 	}
-	h.admission.overload.measured(&h.throttle, h.due, h.now)
-	h.due, h.measureAt = h.now.Add(latenessEvery), time.Time{}
+	h.admission.overload.record(&h.throttle, h.due, h.now)
+	h.due, h.measureAt = h.now.Add(delaySampleInterval), time.Time{}
 }
 
-// giveUp lets callers go whose connection was not accepted; they come back at once.
-func (h *shortHost) giveUp() {
-	for len(h.queue) > 0 && h.now.Sub(h.queue[0].came) > callerWaits {
-		h.comeBack(h.queue[0], playStep)
+// timeOut removes callers whose connection was not accepted in time; they retry at once.
+func (h *simHost) timeOut() {
+	for len(h.queue) > 0 && h.now.Sub(h.queue[0].arrived) > acceptTimeout {
+		h.retryLater(h.queue[0], hostSimStep)
 		h.queue = h.queue[1:]
 	}
 }
 
-func (h *shortHost) comeBack(c caller, after time.Duration) {
-	if !c.back {
+func (h *simHost) retryLater(c caller, after time.Duration) {
+	if !c.retried {
 		at := h.now.Add(after)
-		h.later[at] = append(h.later[at], caller{came: at, back: true})
+		h.retries[at] = append(h.retries[at], caller{arrived: at, retried: true})
 	}
 }
 
-// accept takes connections until the host leaves them where they are.
-func (h *shortHost) accept() {
+// accept handles connections until the host leaves them in the queue.
+func (h *simHost) accept() {
 	for len(h.queue) > 0 {
-		switch h.admission.fate(h.now) {
-		case serve:
-			h.start(costOfServe)
-		case passOn:
-			if h.throttle.least > 0 {
-				h.turnAway() // there is nobody to pass it on to
+		switch h.admission.nextAction(h.now) {
+		case serveConn:
+			h.start(serveCost)
+		case offloadConn:
+			if h.throttle.minAdmitted > 0 {
+				h.reject() // there is no gateway to offload it to
 				break
 			}
-			h.start(costOfPass)
-		case turnAway:
-			h.turnAway()
+			h.start(offloadCost)
+		case rejectConn:
+			h.reject()
 		default:
 			return
 		}
@@ -142,63 +141,63 @@
 	}
 }
 
-// turnAway answers the next connection's request as not run.
-func (h *shortHost) turnAway() {
-	h.backlog += costOfAnswer
-	h.comeBack(h.queue[0], callerWay+h.wait().Truncate(playStep)+overloadRetryAfter)
+// reject rejects the next connection's request as not run.
+func (h *simHost) reject() {
+	h.backlog += rejectCost
+	h.retryLater(h.queue[0], firstByteDelay+h.queueDelay().Truncate(hostSimStep)+overloadRetryAfter)
 }
 
-// start lets a connection be served or passed on.
-func (h *shortHost) start(cost time.Duration) {
-	h.helped++
+// start serves or offloads a connection.
+func (h *simHost) start(cost time.Duration) {
+	h.handled++
 	h.backlog += cost
 	c := &callerConn{}
-	h.admission.starting.add(c, h.now)
-	at := h.now.Add(callerWay + h.wait().Truncate(playStep))
-	h.first[at] = append(h.first[at], c)
+	h.admission.unread.add(c, h.now)
+	at := h.now.Add(firstByteDelay + h.queueDelay().Truncate(hostSimStep))
+	h.firstBytes[at] = append(h.firstBytes[at], c)
 }
 
-// TestShortHostPassesOn: however many come, most of the processor goes into passing on, which
-// serves somebody, and little into turning away.
-func TestShortHostPassesOn(t *testing.T) {
-	most := float64(time.Second*hostCores/1000) / float64(costOfPass) // in a second
+// TestSmallHostOffloads checks that under any load most of the processor time goes into
+// offloading, which gets callers served, and little into rejecting.
+func TestSmallHostOffloads(t *testing.T) {
+	maxPerSecond := float64(time.Second*hostMilliCPU/1000) / float64(offloadCost) // per second
 	for _, callers := range []int{200, 800, 2000, 5000} {
 		t.Run(fmt.Sprintf("%d callers a second", callers), func(t *testing.T) {
-			h := newShortHost()
-			h.play(callers, 2*time.Second) // to get used to it
-			h.helped = 0
+			h := newSimHost()
+			h.simulate(callers, 2*time.Second) // warm-up
+			h.handled = 0
 			const seconds = 6
-			h.play(callers, seconds*time.Second)
-			possible := min(most, float64(callers)) * seconds
-			t.Logf("%d of %.0f", h.helped, possible)
-			require.Greater(t, float64(h.helped), 0.6*possible, "of %.0f that could be helped", possible)
+			h.simulate(callers, seconds*time.Second)
+			possible := min(maxPerSecond, float64(callers)) * seconds
+			t.Logf("%d of %.0f", h.handled, possible)
+			require.Greater(t, float64(h.handled), 0.6*possible, "of %.0f that could be served or offloaded", possible)
 		})
 	}
 }
 
-// TestShortHostAlone: a host that has nobody to pass connections on to serves what it can
-// beside turning away.
-func TestShortHostAlone(t *testing.T) {
-	most := float64(time.Second*hostCores/1000) / float64(costOfServe) // in a second
+// TestSmallHostAlone checks that a host with no gateway to offload to serves what it can
+// beside rejecting the rest.
+func TestSmallHostAlone(t *testing.T) {
+	maxPerSecond := float64(time.Second*hostMilliCPU/1000) / float64(serveCost) // per second
 	tests := []struct {
-		callers int // a second
-		least   float64
+		callers  int // per second
+		minShare float64
 	}{
 		{200, 0.9},
-		{500, 0.75}, // 0.70 when own service gives way to passing on with nobody there
+		{500, 0.75}, // 0.70 if serving is reduced in favor of offloading although there is no target
 		{1000, 0.45},
 	}
 	for _, test := range tests {
 		t.Run(fmt.Sprintf("%d callers a second", test.callers), func(t *testing.T) {
-			h := newShortHost()
-			h.throttle.least = admitLeast
-			h.admission.overload.alone.Store(true)
-			h.play(test.callers, 2*time.Second)
-			h.helped = 0
+			h := newSimHost()
+			h.throttle.minAdmitted = minAdmittedShare
+			h.admission.overload.noTargets.Store(true)
+			h.simulate(test.callers, 2*time.Second)
+			h.handled = 0
 			const seconds = 6
-			h.play(test.callers, seconds*time.Second)
-			possible := min(most, float64(test.callers)) * seconds
-			require.Greater(t, float64(h.helped), test.least*possible, "of %.0f that could be served", possible)
+			h.simulate(test.callers, seconds*time.Second)
+			possible := min(maxPerSecond, float64(test.callers)) * seconds
+			require.Greater(t, float64(h.handled), test.minShare*possible, "of %.0f that could be served", possible)
 		})
 	}
 }
--- a/gateway/ingress.go
+++ b/gateway/ingress.go
@@ -15,49 +15,49 @@
 	"opalbridge.dev/gateway/protocol"
 )
 
-// Limits of what callers may send and of what is held for them.
+// Limits on requests and on what is held for them.
 const (
-	// Requests held at once at most, whatever the process's memory; more are refused.
-	mostActive = 2000
-	// A request that names no deadline, on a route without a timeout, is held so long.
+	// Upper bound on concurrent requests, whatever the process's memory; more are refused.
+	maxActiveRequests = 2000
+	// Time limit of a request without a deadline on a route without a timeout.
 	defaultDeadline = time.Minute
-	// The longest body when the configuration tells none.
-	defaultBody = 4 << 20
-	// An answer that the operators' configuration does not explain is given only if
-	// the view was confirmed this recently; before, the caller is told to come back.
-	freshView = watchWait + watchSlack + 600*time.Millisecond
-	// When to come back if no server or no configuration is known.
+	// Maximum body size if the configuration sets none.
+	defaultMaxBodyBytes = 4 << 20
+	// A denial for something missing from the configuration is final only if the view was
+	// confirmed this recently; otherwise the caller is told to retry.
+	freshViewAge = watchWait + watchSlack + 600*time.Millisecond
+	// Retry-After if no server or no configuration is known.
 	unknownRetryAfter = 500 * time.Millisecond
-	// When to come back to a gateway that holds too much.
-	crowdedRetryAfter = 300 * time.Millisecond
+	// Retry-After of a gateway that is at its request limit.
+	fullRetryAfter = 300 * time.Millisecond
 )
 
-// denial is an answer of the gateway's own to a request that goes to no server.
+// denial is a response of the gateway itself to a request that goes to no server.
 type denial struct {
 	status     int
 	reason     string
-	retryAfter time.Duration // 0: not told
+	retryAfter time.Duration // 0: not sent
 }
 
-// handle serves one request of a caller.
+// handle serves one request.
 func (g *Gateway) handle(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
-	if g.active.Add(1) > g.room.requests {
+	if g.active.Add(1) > g.capacity.requests {
 		g.active.Add(-1)
-		g.deny(w, r, denial{http.StatusServiceUnavailable, "too many requests at this gateway", crowdedRetryAfter})
+		g.deny(w, r, denial{http.StatusServiceUnavailable, "too many requests at this gateway", fullRetryAfter})
 		return
 	}
 	defer g.active.Add(-1)
 	if !g.overload.admits() {
-		if !g.passRequest(w, r) {
-			g.turnAway(w, r)
+		if !g.offloadRequest(w, r) {
+			g.rejectOverloaded(w, r)
 		}
 		return
 	}
-	if g.stopping.Load() || passedOn(r.Context()) {
+	if g.stopping.Load() || isOffloaded(r.Context()) {
 		w.Header().Set("Connection", "close")
 	}
-	c, d := g.admit(w, r, arrived)
+	c, d := g.newCall(w, r, arrived)
 	if d.status != 0 {
 		g.deny(w, r, d)
 		return
@@ -69,28 +69,28 @@
 
 var errDeadline = errors.New("gateway: deadline has passed")
 
-// admit checks a request against the configuration and reads it. The denial's status
-// is 0 if the request may go on.
-func (g *Gateway) admit(w http.ResponseWriter, r *http.Request, arrived time.Time) (*call, denial) {
+// newCall validates a request against the configuration and reads its body. The denial's
+// status is 0 if the request may proceed.
+func (g *Gateway) newCall(w http.ResponseWriter, r *http.Request, arrived time.Time) (*call, denial) {
 	v := g.view.Load()
 	if v.Configuration == nil {
 		return nil, denial{http.StatusServiceUnavailable, "no configuration known", unknownRetryAfter}
 	}
 	route, ok := v.Configuration.Route(r.Host, rawPath(r))
 	if !ok {
-		return nil, g.unexplained(arrived, http.StatusNotFound, "no route")
+		return nil, g.denyUnconfigured(arrived, http.StatusNotFound, "no route")
 	}
-	told, err := g.options.Codec.Request(r.Header)
+	meta, err := g.options.Codec.Request(r.Header)
 	if err != nil {
 		return nil, denial{status: http.StatusBadRequest, reason: err.Error()}
 	}
-	account, ok := v.account(route, told.Key)
+	account, ok := v.account(route, meta.Key)
 	if !ok {
-		return nil, g.unexplained(arrived, http.StatusUnauthorized, "unknown key")
+		return nil, g.denyUnconfigured(arrived, http.StatusUnauthorized, "unknown key")
 	}
 	c := &call{
-		gateway: g, w: w, request: r, told: told, route: route, account: account.Name,
-		arrived: arrived, deadline: arrived.Add(holdTime(route, told)), regions: route.Regions.And(account.Regions),
+		gateway: g, w: w, request: r, meta: meta, route: route, account: account.Name,
+		arrived: arrived, deadline: arrived.Add(requestTimeout(route, meta)), regions: route.Regions.And(account.Regions),
 	}
 	if d := c.readBody(v.Configuration.Limits); d.status != 0 {
 		return nil, d
@@ -99,10 +99,10 @@
 	return c, denial{}
 }
 
-// unexplained denies what the configuration does not allow. If the view may be old,
-// a newer one may well allow it, so the caller is told to come back.
-func (g *Gateway) unexplained(now time.Time, status int, reason string) denial {
-	if now.Sub(g.confirmedAt()) > freshView {
+// denyUnconfigured denies what the configuration does not allow. If the view may be stale, a
+// newer one may allow it, so the caller is told to retry.
+func (g *Gateway) denyUnconfigured(now time.Time, status int, reason string) denial {
+	if now.Sub(g.confirmedAt()) > freshViewAge {
 		return denial{http.StatusServiceUnavailable, reason + " in a configuration that may be old", unknownRetryAfter}
 	}
 	return denial{status: status, reason: reason}
@@ -121,13 +121,13 @@
 	return account, ok
 }
 
-// rawPath is the path as the caller wrote it.
+// rawPath returns the path as the caller sent it.
 func rawPath(r *http.Request) string {
 	path, _, _ := strings.Cut(requestTarget(r), "?")
 	return path
 }
 
-// requestTarget is the path and query as the caller wrote them, without scheme and host.
+// requestTarget returns the path and query as the caller sent them, without scheme and host.
 func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -135,25 +135,25 @@
 	return r.URL.RequestURI()
 }
 
-// holdTime is how long a request may be held.
-func holdTime(route *catalog.Route, told protocol.Request) time.Duration {
-	hold := defaultDeadline
+// requestTimeout returns how long a request may be held.
+func requestTimeout(route *catalog.Route, meta protocol.Request) time.Duration {
+	timeout := defaultDeadline
 	if route.Timeout > 0 {
-		hold = route.Timeout
+		timeout = route.Timeout
 	}
-	if told.HasDeadline {
-		hold = min(hold, told.Deadline)
+	if meta.HasDeadline {
+		timeout = min(timeout, meta.Deadline)
 	}
-	return hold
+	return timeout
 }
 
-// readBody reads the whole body, which has to arrive before the deadline.
+// readBody reads the whole body, which must arrive before the deadline.
 func (c *call) readBody(l catalog.Limits) denial {
-	most := l.BodyBytes
-	if most <= 0 {
-		most = defaultBody
+	limit := l.BodyBytes
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
 	}
-	if c.request.ContentLength > most {
+	if c.request.ContentLength > limit {
 		return denial{status: http.StatusRequestEntityTooLarge, reason: "body too long"}
 	}
 	if c.request.ContentLength == 0 {
@@ -161,61 +161,61 @@
 	}
 	control := http.NewResponseController(c.w)
 	if err := control.SetReadDeadline(c.deadline); err != nil {
-		return denial{http.StatusServiceUnavailable, "connection is closing", crowdedRetryAfter}
+		return denial{http.StatusServiceUnavailable, "connection is closing", fullRetryAfter}
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.request.Body, most))
-	var long *http.MaxBytesError
+	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.request.Body, limit))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &long):
+	case errors.As(err, &tooLarge):
 		return denial{status: http.StatusRequestEntityTooLarge, reason: "body too long"}
 	case err != nil:
 		return denial{status: http.StatusBadRequest, reason: "body was not received: " + err.Error()}
 	}
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
-		return denial{http.StatusServiceUnavailable, "connection is closing", crowdedRetryAfter}
+		return denial{http.StatusServiceUnavailable, "connection is closing", fullRetryAfter}
 	}
 	c.body = body
 	return denial{}
 }
 
-// describe fills in what placement wants to know.
+// describe fills in the input of the placement decision.
 func (c *call) describe(v *View) {
-	c.service = c.route.Pick(unitHash(c.told.ID))
-	output := c.told.ExpectedOutputTokens
+	c.service = c.route.Pick(unitHash(c.meta.ID))
+	output := c.meta.ExpectedOutputTokens
 	if output == 0 {
-		output = c.told.MaxOutputTokens
+		output = c.meta.MaxOutputTokens
 	}
-	prompt := c.told.PromptTokens
-	parts := make([]placement.Part, len(c.told.Parts))
+	prompt := c.meta.PromptTokens
+	parts := make([]placement.Part, len(c.meta.Parts))
 	sum := 0
-	for i, p := range c.told.Parts {
-		parts[i] = placement.Part{Hash: partHash(c.told.Model, p.ID), Tokens: p.Tokens}
+	for i, p := range c.meta.Parts {
+		parts[i] = placement.Part{Hash: partHash(c.meta.Model, p.ID), Tokens: p.Tokens}
 		sum += p.Tokens
 	}
 	prompt = max(prompt, sum)
-	c.tokens = float64(prompt + outputWeight*output)
-	c.spent = c.gateway.returned.spent(c)
-	c.ask = placement.Request{
+	c.cost = float64(prompt + outputTokenWeight*output)
+	c.sinceFirstTry = c.gateway.retries.sinceFirstTry(c)
+	c.placeReq = placement.Request{
 		Service: c.service, Account: c.account, Parts: parts, PromptTokens: prompt, OutputTokens: output,
-		Hall: c.gateway.options.Dispatcher.Hall, TieBreak: hashString(c.told.ID), Regions: c.regions,
+		Hall: c.gateway.options.Dispatcher.Hall, TieBreak: hashString(c.meta.ID), Regions: c.regions,
 	}
 	if s, ok := v.Configuration.Service(c.service); ok {
 		c.engine = s.Engine != nil
 	}
 }
 
-// partHash names a part of a model's prompts in few bytes.
+// partHash returns a compact identifier for a part of a model's prompt.
 func partHash(model, id string) uint64 { return hashString(model + "/" + id) }
 
-// A token that is made counts as much as two that are read (source: the platform's
-// page on the servers' rate).
-const outputWeight = 2
+// A generated token costs as much as two prompt tokens, as in the servers' documented rate.
+const outputTokenWeight = 2
 
-// unitHash maps an ID to [0, 1), so that a request keeps its service when a caller's
-// connection breaks and it comes again. IDs that differ in their last signs only have nearly
-// the same high bits in an FNV sum, so it is mixed (the finalizer of MurmurHash3).
+// unitHash maps an ID to [0, 1), so that a request keeps its service when the caller's
+// connection breaks and the request is retried. The high bits of the FNV sums of IDs that
+// differ only in their last characters are nearly equal, so the sum is mixed (the finalizer of
+// MurmurHash3).
 func unitHash(id string) float64 {
-	const bits = 53 // of a float64's mantissa
+	const bits = 53 // bits of a float64's mantissa
 	h := hashString(id)
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
@@ -223,17 +223,17 @@
 	return float64(h>>(64-bits)) / (1 << bits)
 }
 
-// deny answers a request that goes to no server.
+// deny responds to a request that goes to no server.
 func (g *Gateway) deny(w http.ResponseWriter, r *http.Request, d denial) {
 	writeDenial(w, d)
 	g.log.Info().Str("event", "request.denied").Str("host", r.Host).Str("path", r.URL.Path).
 		Int("status", d.status).Str("reason", d.reason).Dur("retry_after", d.retryAfter).
-		EmbedObject(revisionFields(g.view.Load().Revision)).Dur("view_age", time.Since(g.confirmedAt())).Msg("answered")
+		EmbedObject(revisionFields(g.view.Load().Revision)).Dur("view_age", time.Since(g.confirmedAt())).Msg("request denied")
 	g.options.Metrics.RequestEnded(Outcome{Result: "denied"})
 }
 
-// writeDenial also ends the connection: who comes back does so on another one, and
-// connections that rest would use up the host's descriptors when many are refused.
+// writeDenial also closes the connection: a caller that retries opens another one, and when
+// many are refused, idle connections would use up the host's file descriptors.
 func writeDenial(w http.ResponseWriter, d denial) {
 	w.Header().Set("Connection", "close")
 	if d.retryAfter > 0 {
@@ -241,6 +241,6 @@
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(d.status)
-	// The caller may have gone; there is nobody to tell.
+	// The caller may be gone, so a write error is ignored.
 	_, _ = io.WriteString(w, d.reason+"\n")
 }
--- a/gateway/offload.go
+++ b/gateway/offload.go
@@ -19,163 +19,164 @@
 	"opalbridge.dev/gateway/peer"
 )
 
-// This file passes callers' connections on to other gateways of the hall when this one
-// has no processor for them. The balancer picks a gateway by a hash of the caller, also
-// when it comes back, so an account with few callers meets on one host, whatever that
-// host can carry: turned away, they would come back to it.
+// This file offloads callers' connections to other gateways of the hall when this one lacks
+// processor time for them. The load balancer picks a gateway by a hash of the caller, and
+// picks the same one for a retry, so all connections of an account with few callers may reach
+// one host, whatever its capacity: rejected callers would come back to it.
 
-// helpers are the gateways of the own hall that may take connections. It is safe for use
-// by several goroutines.
-type helpers struct {
-	hall  string
-	mutex sync.Mutex
-	list  map[string]int // weight by IP address
+// offloadTargets holds the gateways of the hall that may take connections. It is safe for
+// concurrent use.
+type offloadTargets struct {
+	hall    string
+	mutex   sync.Mutex
+	weights map[string]int // weights by IP address
 }
 
-// update takes over news of another gateway.
-func (h *helpers) update(u peer.Update) {
+// update applies an update from another gateway.
+func (t *offloadTargets) update(u peer.Update) {
 	if !u.Full && u.Alive {
 		return
 	}
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if !u.Alive || u.Hall != h.hall || u.Weight <= 0 {
-		delete(h.list, u.From)
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if !u.Alive || u.Hall != t.hall || u.Weight <= 0 {
+		delete(t.weights, u.From)
 		return
 	}
-	h.list[u.From] = u.Weight
+	t.weights[u.From] = u.Weight
 }
 
-// any tells whether there is a gateway that may take connections.
-func (h *helpers) any() bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return len(h.list) > 0
+// available reports whether there is a gateway that may take connections.
+func (t *offloadTargets) available() bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return len(t.weights) > 0
 }
 
-// choose draws a gateway, those with more processor more often; "" if there is none.
-func (h *helpers) choose() string {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
+// pick draws a gateway at random, weighted by processor, or "" if there is none.
+func (t *offloadTargets) pick() string {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	sum := 0
-	for _, w := range h.list {
+	for _, w := range t.weights {
 		sum += w
 	}
 	if sum == 0 {
 		return ""
 	}
-	draw := rand.IntN(sum)
-	for address, w := range h.list {
-		if draw -= w; draw < 0 {
+	n := rand.IntN(sum)
+	for address, w := range t.weights {
+		if n -= w; n < 0 {
 			return address
 		}
 	}
 	return ""
 }
 
-// mayPass tells whether connections may be passed on. What is passed on is not read here,
-// so none is while some requests must not be read in this region: the balancer may have
-// brought their callers here from another one.
-func (g *Gateway) mayPass() bool {
+// canOffload reports whether connections may be offloaded. The requests on an offloaded
+// connection are not read here, so the region constraints of their accounts are not known: the
+// load balancer may have brought callers of another region here. Therefore nothing is
+// offloaded while some requests must not be read in this region.
+func (g *Gateway) canOffload() bool {
 	c := g.view.Load().Configuration
 	region := g.options.Dispatcher.Regions[g.options.Dispatcher.Hall]
-	return g.helpers.any() && (c == nil || c.Free(region))
+	return g.offloadTargets.available() && (c == nil || c.Free(region))
 }
 
-// passer passes connections on.
-type passer struct {
-	log      zerolog.Logger
-	port     string
-	helpers  *helpers
-	carrier  *handoff.Forwarder
-	overload *overload
-	failed   func(turnable) // takes a connection that could not be passed on
-	active   atomic.Int64
-	passed   atomic.Int64 // since the last line
-	ended    chan struct{}
+// offloader offloads connections.
+type offloader struct {
+	log       zerolog.Logger
+	port      string
+	targets   *offloadTargets
+	forwarder *handoff.Forwarder
+	overload  *overload
+	reject    func(rejectableConn) // takes a connection that could not be offloaded
+	active    atomic.Int64
+	started   atomic.Int64 // since the last log line
+	ended     chan struct{}
 }
 
-// Connections whose end has not been read yet.
-const passQueue = 64
+// Capacity of the channel of finished connections.
+const endedQueueSize = 64
 
-// Tries to find a gateway that takes a connection.
-const passTries = 2
+// Maximum number of gateways tried per connection.
+const maxOffloadAttempts = 2
 
-func newPasser(g *Gateway, failed func(turnable)) (*passer, error) {
+func newOffloader(g *Gateway, failed func(rejectableConn)) (*offloader, error) {
 	_, port, err := net.SplitHostPort(g.options.Peer.Address)
 	if err != nil {
 		return nil, errors.Wrap(err, "gateway: own peer address")
 	}
-	return &passer{
-		log: g.log, port: port, helpers: g.helpers, carrier: handoff.NewForwarder(), overload: &g.overload, failed: failed,
-		ended: make(chan struct{}, passQueue),
+	return &offloader{
+		log: g.log, port: port, targets: g.offloadTargets, forwarder: handoff.NewForwarder(), overload: &g.overload, reject: failed,
+		ended: make(chan struct{}, endedQueueSize),
 	}, nil
 }
 
-// passable is a connection that can be passed on, or turned away if that fails.
-type passable interface {
+// offloadableConn is a connection that can be offloaded, or rejected if that fails.
+type offloadableConn interface {
 	net.Conn
-	turnable
+	rejectableConn
 }
 
-// pass passes a connection on, beside; false: there is nobody to pass it to.
-func (p *passer) pass(ctx context.Context, c passable) bool {
-	to := p.helpers.choose()
+// offload offloads a connection in the background; false: there is no gateway to take it.
+func (o *offloader) offload(ctx context.Context, c offloadableConn) bool {
+	to := o.targets.pick()
 	if to == "" {
 		return false
 	}
-	p.active.Add(1)
-	p.passed.Add(1)
+	o.active.Add(1)
+	o.started.Add(1)
 	go func() {
-		p.carry(ctx, to, c)
-		p.ended <- struct{}{}
+		o.forward(ctx, to, c)
+		o.ended <- struct{}{}
 	}()
 	return true
 }
 
-// carry passes a connection on until it ends.
-func (p *passer) carry(ctx context.Context, to string, c passable) {
-	for range passTries {
-		if p.carrier.Carry(ctx, net.JoinHostPort(to, p.port), c) == nil {
+// forward relays a connection to another gateway until it ends.
+func (o *offloader) forward(ctx context.Context, to string, c offloadableConn) {
+	for range maxOffloadAttempts {
+		if o.forwarder.Carry(ctx, net.JoinHostPort(to, o.port), c) == nil {
 			return
 		}
-		if to = p.helpers.choose(); to == "" {
+		if to = o.targets.pick(); to == "" {
 			break
 		}
 	}
-	p.failed(c)
+	o.reject(c)
 }
 
-// A line tells how many were passed on, at most this often.
-const passedLineEvery = 250 * time.Millisecond
+// Interval of the log line on offloaded connections.
+const offloadLogInterval = 250 * time.Millisecond
 
-// run reads the ends of connections until ctx ends and none is left.
-func (p *passer) run(ctx context.Context) {
-	tick := time.NewTicker(passedLineEvery)
+// run collects finished connections until ctx ends and none is left.
+func (o *offloader) run(ctx context.Context) {
+	tick := time.NewTicker(offloadLogInterval)
 	defer tick.Stop()
 	done := ctx.Done()
-	for done != nil || p.active.Load() > 0 {
+	for done != nil || o.active.Load() > 0 {
 		select {
-		case <-p.ended:
-			p.active.Add(-1)
+		case <-o.ended:
+			o.active.Add(-1)
 		case <-tick.C:
-			n, left := p.passed.Swap(0), p.overload.left.Swap(0)
-			if n > 0 || left > 0 {
-				p.log.Info().Str("event", "connection.passed_on").Int64("connections", n).Int64("open", p.active.Load()).
-					Int64("left_in_queue", left).Msg("short of processor")
+			started, deferred := o.started.Swap(0), o.overload.deferred.Swap(0)
+			if started > 0 || deferred > 0 {
+				o.log.Info().Str("event", "connection.passed_on").Int64("connections", started).Int64("open", o.active.Load()).
+					Int64("left_in_queue", deferred).Msg("connections offloaded")
 			}
 		case <-done:
 			done = nil
-			p.carrier.Close()
+			o.forwarder.Close()
 		}
 	}
 }
 
-// drain waits until no connection is being passed on, or ctx ends.
-func (p *passer) drain(ctx context.Context) {
-	tick := time.NewTicker(turnEvery)
+// drain waits until no offloaded connection is left, or ctx ends.
+func (o *offloader) drain(ctx context.Context) {
+	tick := time.NewTicker(rejectPollInterval)
 	defer tick.Stop()
-	for p.active.Load() > 0 {
+	for o.active.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return
@@ -184,7 +185,7 @@
 	}
 }
 
-// linkHandler opens links on which another gateway passes connections on.
+// linkHandler opens links on which another gateway offloads connections to this one.
 func (g *Gateway) linkHandler(ctx context.Context, l *handoff.Listener) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Upgrade") != handoff.Protocol || g.stopping.Load() {
@@ -193,29 +194,29 @@
 		}
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
-			g.log.Warn().Str("event", "link.refused").Err(err).Msg("connection can't be taken over")
+			g.log.Warn().Str("event", "link.refused").Err(err).Msg("cannot hijack connection")
 			return
 		}
-		answer := "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + handoff.Protocol + "\r\n\r\n"
-		if _, err := conn.Write([]byte(answer)); err != nil {
+		response := "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + handoff.Protocol + "\r\n\r\n"
+		if _, err := conn.Write([]byte(response)); err != nil {
 			conn.Close()
 			return
 		}
-		g.log.Info().Str("event", "link.opened").Str("peer", r.RemoteAddr).Msg("takes connections for it")
+		g.log.Info().Str("event", "link.opened").Str("peer", r.RemoteAddr).Msg("accepting offloaded connections")
 		err = l.Link(ctx, conn)
-		g.log.Info().Str("event", "link.ended").Str("peer", r.RemoteAddr).Err(err).Msg("takes none for it any more")
+		g.log.Info().Str("event", "link.ended").Str("peer", r.RemoteAddr).Err(err).Msg("link closed")
 	}
 }
 
-// replayed is a caller's connection of which a request has been read, which is passed on
+// replayConn is a caller's connection from which a request has been read, and which replays it
 // from its start.
-type replayed struct {
+type replayConn struct {
 	*callerConn
 	read []byte
 }
 
 // Read implements net.Conn.
-func (r *replayed) Read(b []byte) (int, error) {
+func (r *replayConn) Read(b []byte) (int, error) {
 	if len(r.read) > 0 {
 		n := copy(b, r.read)
 		r.read = r.read[n:]
@@ -224,23 +225,24 @@
 	return r.callerConn.Read(b)
 }
 
-// ReadNow implements turnable.
-func (r *replayed) ReadNow(b []byte) (int, error) {
+// ReadNow implements rejectableConn.
+func (r *replayConn) ReadNow(b []byte) (int, error) {
 	if len(r.read) > 0 {
 		return r.Read(b)
 	}
 	return r.callerConn.ReadNow(b)
 }
 
-// passRequest passes a request on whose connection this gateway serves: the connection
-// goes along. Callers that keep their connections were refused here by the hundred, and an
-// account within its share got less than half of what it asked. False: nothing was done.
-func (g *Gateway) passRequest(w http.ResponseWriter, r *http.Request) bool {
+// offloadRequest offloads a request together with its connection, which this gateway has been
+// serving. Without it, callers with persistent connections are refused by the hundred, and an
+// account within its share gets less than half of what it asks for. It returns false if
+// nothing was done.
+func (g *Gateway) offloadRequest(w http.ResponseWriter, r *http.Request) bool {
 	now := time.Now()
-	if g.passer == nil || passedOn(r.Context()) || r.Header.Get("Expect") != "" {
+	if g.offloader == nil || isOffloaded(r.Context()) || r.Header.Get("Expect") != "" {
 		return false
 	}
-	if !g.mayPass() || !g.overload.passes() || g.overload.lags(now, latenessPass) {
+	if !g.canOffload() || !g.overload.offloads() || g.overload.sampleOverdue(now, offloadMaxDelay) {
 		return false
 	}
 	conn, buffered, err := http.NewResponseController(w).Hijack()
@@ -249,24 +251,24 @@
 	}
 	c, ok := conn.(*callerConn)
 	if !ok {
-		conn.Close() // no listener of ours hands out others
+		conn.Close() // unreachable: the listeners hand out no other type
 		return true
 	}
-	// A Peek of what is buffered does not fail.
-	rest, _ := buffered.Reader.Peek(buffered.Reader.Buffered())
-	whole := &replayed{callerConn: c, read: append(headOf(r), rest...)}
-	if !g.passer.pass(g.duties, whole) {
-		g.passer.failed(whole)
+	// Peek of buffered bytes does not fail.
+	unread, _ := buffered.Reader.Peek(buffered.Reader.Buffered())
+	replay := &replayConn{callerConn: c, read: append(requestHead(r), unread...)}
+	if !g.offloader.offload(g.background, replay) {
+		g.offloader.reject(replay)
 	}
 	return true
 }
 
-// headOf writes a request's head as its caller has sent it, but for the order and case of
-// its headers.
-func headOf(r *http.Request) []byte {
+// requestHead encodes the request line and header as the caller sent them, but for the order
+// and case of the header fields.
+func requestHead(r *http.Request) []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.RequestURI + " " + r.Proto + "\r\nHost: " + r.Host + "\r\n")
-	// The errors of a bytes.Buffer are always nil.
+	// A bytes.Buffer returns no errors.
 	_ = r.Header.Write(&b)
 	switch {
 	case len(r.TransferEncoding) > 0:
@@ -278,8 +280,8 @@
 	return b.Bytes()
 }
 
-// passedOn tells whether a request came on a connection that another gateway passes on.
-func passedOn(ctx context.Context) bool {
+// isOffloaded reports whether a request came on a connection that another gateway offloaded.
+func isOffloaded(ctx context.Context) bool {
 	_, ok := ctx.Value(connKey{}).(*handoff.Conn)
 	return ok
 }
--- a/gateway/offload_path_test.go
+++ b/gateway/offload_path_test.go
@@ -18,17 +18,17 @@
 	"opalbridge.dev/gateway/protocol"
 )
 
-// shortGateway is a gateway that has no processor for its callers, beside another one that
-// serves what is passed on to it.
-type shortGateway struct {
+// overloadedGateway is a gateway without processor time for its callers, beside another one
+// that serves the connections that it offloads.
+type overloadedGateway struct {
 	gateway   *Gateway
-	admission *admission
-	passer    *passer
+	admission *admissionListener
+	offloader *offloader
 	address   string
-	helper    *Gateway
+	target    *Gateway
 }
 
-func startShort(t *testing.T, serve http.HandlerFunc) *shortGateway {
+func startOverloaded(t *testing.T, serve http.HandlerFunc) *overloadedGateway {
 	t.Helper()
 	listen := func(address string) net.Listener {
 		l, err := net.Listen("tcp4", address)
@@ -39,63 +39,63 @@
 	front, err := ListenCallers("127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	ends := make(chan error, 3)
-	run := func(f func() error) { go func() { ends <- f() }() }
+	serveErrs := make(chan error, 3)
+	run := func(f func() error) { go func() { serveErrs <- f() }() }
 
-	helper := newIdleGateway(t)
-	taken := handoff.NewListener(peers.Addr())
-	links := &http.Server{Handler: helper.peersHandler(ctx, taken)}
+	target := newIdleGateway(t)
+	offloaded := handoff.NewListener(peers.Addr())
+	links := &http.Server{Handler: target.peersHandler(ctx, offloaded)}
 	server := &http.Server{Handler: serve, ConnContext: withConn}
 	run(func() error { return links.Serve(peers) })
-	run(func() error { return server.Serve(taken) })
+	run(func() error { return server.Serve(offloaded) })
 
-	g := &Gateway{log: zerolog.Nop(), room: roomFor(0, 0), helpers: &helpers{hall: "h", list: map[string]int{}}}
+	g := &Gateway{log: zerolog.Nop(), capacity: capacityFor(0, 0), offloadTargets: &offloadTargets{hall: "h", weights: map[string]int{}}}
 	g.view.Store(&View{})
-	g.options = Options{CallerListener: front, Codec: idCodec{}, Metrics: &counted{}, Peer: peer.Options{Address: peers.Addr().String()}}
-	g.overload.turnedAway.Store(partsOfShare)
-	g.helpers.update(peer.Update{From: "127.0.0.2", Hall: "h", Alive: true, Full: true, Weight: 800})
+	g.options = Options{CallerListener: front, Codec: idCodec{}, Metrics: &deniedCounter{}, Peer: peer.Options{Address: peers.Addr().String()}}
+	g.overload.notAdmitted.Store(shareScale)
+	g.offloadTargets.update(peer.Update{From: "127.0.0.2", Hall: "h", Alive: true, Full: true, Weight: 800})
 	a := newAdmission(g)
-	p, err := newPasser(g, a.turn)
+	o, err := newOffloader(g, a.reject)
 	require.NoError(t, err)
-	a.pass = func(c *callerConn) bool { return p.pass(ctx, c) }
-	g.passer, g.duties = p, ctx
-	own := &http.Server{ConnContext: withConn, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == "/own" || !g.passRequest(w, r) {
+	a.offload = func(c *callerConn) bool { return o.offload(ctx, c) }
+	g.offloader, g.background = o, ctx
+	ownServer := &http.Server{ConnContext: withConn, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == "/own" || !g.offloadRequest(w, r) {
 			w.WriteHeader(http.StatusTeapot)
 		}
 	})}
-	run(func() error { return own.Serve(a) })
-	passed, turned := make(chan struct{}), make(chan struct{})
-	turning, stopTurning := context.WithCancel(context.Background())
+	run(func() error { return ownServer.Serve(a) })
+	offloadDone, rejectDone := make(chan struct{}), make(chan struct{})
+	rejectCtx, stopReject := context.WithCancel(context.Background())
 	go func() {
-		p.run(ctx)
-		close(passed)
+		o.run(ctx)
+		close(offloadDone)
 	}()
 	go func() {
-		a.turner.run(turning)
-		close(turned)
+		a.rejecter.run(rejectCtx)
+		close(rejectDone)
 	}()
 	t.Cleanup(func() {
-		own.Close()
+		ownServer.Close()
 		stop()
 		links.Close()
 		server.Close()
 		for range 3 {
-			require.ErrorIs(t, <-ends, http.ErrServerClosed)
+			require.ErrorIs(t, <-serveErrs, http.ErrServerClosed)
 		}
-		<-passed
-		stopTurning()
-		<-turned
+		<-offloadDone
+		stopReject()
+		<-rejectDone
 	})
-	return &shortGateway{gateway: g, admission: a, passer: p, address: front.Addr().String(), helper: helper}
+	return &overloadedGateway{gateway: g, admission: a, offloader: o, address: front.Addr().String(), target: target}
 }
 
-// idCodec names requests in the header Id.
+// idCodec reads request IDs from the header Id.
 type idCodec struct{ protocol.Codec }
 
 func (idCodec) RequestIDHeader() string { return "Id" }
 
-func (s *shortGateway) ask(t *testing.T, body string) (status int, answer string) {
+func (s *overloadedGateway) post(t *testing.T, body string) (status int, answer string) {
 	t.Helper()
 	c, err := net.Dial("tcp4", s.address)
 	require.NoError(t, err)
@@ -111,12 +111,12 @@
 	return response.StatusCode, string(got)
 }
 
-// TestShortGatewayPassesOn: callers of a gateway without processor are served by another
-// one of its hall; with none, they are turned away as not run.
-func TestShortGatewayPassesOn(t *testing.T) {
-	s := startShort(t, func(w http.ResponseWriter, r *http.Request) {
+// TestOverloadedGatewayOffloads checks that callers of an overloaded gateway are served by
+// another gateway of its hall; without one, they are rejected as not run.
+func TestOverloadedGatewayOffloads(t *testing.T) {
+	s := startOverloaded(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
-		if err != nil || !passedOn(r.Context()) {
+		if err != nil || !isOffloaded(r.Context()) {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
@@ -125,38 +125,38 @@
 	})
 	body := strings.Repeat("x", 50000)
 	for range 20 {
-		status, answer := s.ask(t, body)
+		status, answer := s.post(t, body)
 		require.Equal(t, http.StatusOK, status)
 		require.Equal(t, body, answer)
 	}
-	require.Eventually(t, func() bool { return s.passer.active.Load() == 0 && s.admission.open.Load() == 0 }, 5*time.Second, time.Millisecond,
-		"connections that have ended take no room")
+	require.Eventually(t, func() bool { return s.offloader.active.Load() == 0 && s.admission.openConns.Load() == 0 }, 5*time.Second, time.Millisecond,
+		"closed connections free their capacity")
 
-	s.helper.stopping.Store(true) // it opens no more links, but serves those that are open
-	status, _ := s.ask(t, "y")
+	s.target.stopping.Store(true) // it opens no more links, but serves open ones
+	status, _ := s.post(t, "y")
 	require.Equal(t, http.StatusOK, status)
 
-	s.passer.helpers.update(peer.Update{From: "127.0.0.2", Hall: "h", Alive: true, Full: true})
-	status, _ = s.ask(t, "z")
-	require.Equal(t, http.StatusServiceUnavailable, status, "no gateway of the hall has processor left")
+	s.offloader.targets.update(peer.Update{From: "127.0.0.2", Hall: "h", Alive: true, Full: true})
+	status, _ = s.post(t, "z")
+	require.Equal(t, http.StatusServiceUnavailable, status, "no gateway of the hall has processor time left")
 }
 
-// TestPassingFindsNobody: a connection whose helper has just gone is turned away, and its
-// caller is told so.
-func TestPassingFindsNobody(t *testing.T) {
-	s := startShort(t, func(http.ResponseWriter, *http.Request) {})
-	s.passer.helpers.update(peer.Update{From: "127.0.0.2"})
-	s.passer.helpers.update(peer.Update{From: "127.0.0.3", Hall: "h", Alive: true, Full: true, Weight: 1})
+// TestOffloadTargetGone checks that a connection whose target has just gone is rejected with a
+// response.
+func TestOffloadTargetGone(t *testing.T) {
+	s := startOverloaded(t, func(http.ResponseWriter, *http.Request) {})
+	s.offloader.targets.update(peer.Update{From: "127.0.0.2"})
+	s.offloader.targets.update(peer.Update{From: "127.0.0.3", Hall: "h", Alive: true, Full: true, Weight: 1})
 	for range 3 {
-		status, _ := s.ask(t, "x")
+		status, _ := s.post(t, "x")
 		require.Equal(t, http.StatusServiceUnavailable, status)
 	}
 }
 
-// TestKeptConnectionsArePassedOn: a request on a connection that the gateway serves is
-// passed on with it, whole, once the gateway is short.
-func TestKeptConnectionsArePassedOn(t *testing.T) {
-	s := startShort(t, func(w http.ResponseWriter, r *http.Request) {
+// TestPersistentConnectionsOffloaded checks that a request on a persistent connection is
+// offloaded whole, with its connection, once the gateway is overloaded.
+func TestPersistentConnectionsOffloaded(t *testing.T) {
+	s := startOverloaded(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -167,17 +167,17 @@
 	})
 	tests := []struct {
 		name   string
-		length int64 // -1: in chunks
+		length int64 // -1: chunked
 		body   string
 	}{
 		{"no body", 0, ""},
 		{"a body", 30000, strings.Repeat("x", 30000)},
-		{"in chunks", -1, strings.Repeat("y", 30000)},
+		{"chunked", -1, strings.Repeat("y", 30000)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s.gateway.overload.turnedAway.Store(0)
-			time.Sleep(2 * latenessEvery) // the next connection's fate is decided anew
+			s.gateway.overload.notAdmitted.Store(0)
+			time.Sleep(2 * delaySampleInterval) // the action on the next connection is decided again
 			c, err := net.Dial("tcp4", s.address)
 			require.NoError(t, err)
 			defer c.Close()
@@ -189,7 +189,7 @@
 			require.NoError(t, err)
 			require.Equal(t, http.StatusTeapot, response.StatusCode)
 
-			s.gateway.overload.turnedAway.Store(partsOfShare)
+			s.gateway.overload.notAdmitted.Store(shareScale)
 			r, err := http.NewRequest(http.MethodPut, "http://h/a%2Fb?q=1", strings.NewReader(test.body))
 			require.NoError(t, err)
 			r.ContentLength = test.length
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -10,109 +10,109 @@
 	"time"
 )
 
-// This file keeps a gateway that has too little processor for its callers from being
-// late with everything: the balancer deals callers out unevenly, and a small host may get
-// most of a hall's. What is passed on is served by another gateway, and who is turned away at
-// once can come back; what waits for the processor is lost, and so is the news that a server
-// leaves.
+// This file sheds load from a gateway that lacks processor time for its callers. The load
+// balancer spreads callers unevenly, and a small host may get most of a hall's. An offloaded
+// connection is served by another gateway, and a caller that is rejected at once can retry; a
+// request that waits for the processor is lost, and so is the notice that a server is leaving.
 
 const (
-	// The process's own lateness is measured this often: how much later than asked for a
-	// timer's goroutine runs.
-	latenessEvery = 25 * time.Millisecond
-	// Above this lateness less is admitted. It is a tenth of the shortest objective of
-	// streams (300 ms), and more than one collection of garbage takes. A request waits for
-	// the processor some five times on its way.
-	latenessHigh = 30 * time.Millisecond
-	// Above this one nothing is admitted until it has fallen: what the process believes of
-	// servers is old then, and it must not send to one that has said that it leaves.
-	latenessFar = 250 * time.Millisecond
-	// Above this one fewer connections are passed on to others as well. Who is turned away
-	// comes back and costs as much once more, so it is the last resort.
-	latenessPass = 40 * time.Millisecond
-	// Below this one more is admitted.
-	latenessLow = 15 * time.Millisecond
-	// Each measurement lowers the share that is admitted by this factor, or raises it by
-	// this step: a third in 0.2 s, and back in a second.
-	admitLess = 0.85
-	admitMore = 0.02
-	// Otherwise so much is always admitted by a gateway that can't pass connections on, so
-	// that it still serves. One that can serves none by itself.
-	admitLeast = 0.05
-	// When to come back: a balancer may bring the caller back to this gateway, which needs
-	// a moment; most objectives leave time for it.
+	// Sampling interval of the scheduling delay: how much later than requested a timer's
+	// goroutine runs.
+	delaySampleInterval = 25 * time.Millisecond
+	// Above this delay less is admitted. It is a tenth of the shortest objective of streams
+	// (300 ms), and longer than a garbage collection takes. A request waits for the processor
+	// some five times on its way.
+	highDelay = 30 * time.Millisecond
+	// Above this delay nothing is admitted until it has dropped: what the process knows of
+	// servers is stale then, and it must not send to one that has announced that it is
+	// leaving.
+	severeDelay = 250 * time.Millisecond
+	// Above this delay fewer connections are offloaded as well. A rejected caller retries and
+	// costs as much again, so this is the last resort.
+	offloadMaxDelay = 40 * time.Millisecond
+	// Below this delay more is admitted.
+	lowDelay = 15 * time.Millisecond
+	// Each sample multiplies the admitted share by the factor or raises it by the step: it
+	// drops to a third in 0.2 s and recovers in a second.
+	admitDecreaseFactor = 0.85
+	admitIncreaseStep   = 0.02
+	// Minimum admitted share, except under severe delay, of a gateway that cannot offload
+	// connections, so that it still serves. A gateway that can offload may admit none.
+	minAdmittedShare = 0.05
+	// Retry-After of an overloaded gateway. The load balancer may bring the caller back to
+	// this gateway, which needs a moment to recover; most objectives leave time for it.
 	overloadRetryAfter = 150 * time.Millisecond
 )
 
-// throttle decides what share of the requests is admitted, and what share of the others
-// is passed on to other gateways; the rest is turned away. Passing on costs a third of
-// serving, and turning away a third of that, so what can't be served is passed on first.
+// throttle computes the share of requests that is admitted and the share of the others that is
+// offloaded to other gateways; the rest is rejected. Offloading costs a third of serving, and
+// rejecting a third of that, so what cannot be served is offloaded first.
 type throttle struct {
-	share  float64
-	passed float64
-	least  float64 // of share: 0 if there are gateways to pass on to
+	admitted    float64
+	offloaded   float64
+	minAdmitted float64 // lower bound of admitted: 0 if there are gateways to offload to
 }
 
-// measure takes over how late the process is.
-func (t *throttle) measure(late time.Duration) {
+// adjust updates the shares from a sample of the scheduling delay.
+func (t *throttle) adjust(delay time.Duration) {
 	switch {
-	case late > latenessFar:
-		t.share = 0
-		t.passed = max(t.passed*admitLess, admitLeast)
-	case late > latenessPass:
-		t.share = max(t.share*admitLess, t.least)
-		t.passed = max(t.passed*admitLess, admitLeast)
-	case late > latenessHigh:
-		t.share = max(t.share*admitLess, t.least)
-	case late < latenessLow && t.passed < 1:
-		t.share = max(t.share, t.least)
-		t.passed = min(t.passed+admitMore, 1)
-	case late < latenessLow:
-		t.share = min(max(t.share, t.least)+admitMore, 1)
+	case delay > severeDelay:
+		t.admitted = 0
+		t.offloaded = max(t.offloaded*admitDecreaseFactor, minAdmittedShare)
+	case delay > offloadMaxDelay:
+		t.admitted = max(t.admitted*admitDecreaseFactor, t.minAdmitted)
+		t.offloaded = max(t.offloaded*admitDecreaseFactor, minAdmittedShare)
+	case delay > highDelay:
+		t.admitted = max(t.admitted*admitDecreaseFactor, t.minAdmitted)
+	case delay < lowDelay && t.offloaded < 1:
+		t.admitted = max(t.admitted, t.minAdmitted)
+		t.offloaded = min(t.offloaded+admitIncreaseStep, 1)
+	case delay < lowDelay:
+		t.admitted = min(max(t.admitted, t.minAdmitted)+admitIncreaseStep, 1)
 	default:
-		t.share = max(t.share, t.least)
+		t.admitted = max(t.admitted, t.minAdmitted)
 	}
 }
 
-// overload follows the process's lateness. Its zero value admits everything.
+// overload tracks the process's scheduling delay. Its zero value admits everything.
 type overload struct {
-	turnedAway atomic.Uint64 // share of requests that are not admitted, in parts of partsOfShare
-	notPassed  atomic.Uint64 // share of these that are not passed on either
-	lateness   atomic.Int64  // latest measurement
-	pressed    atomic.Bool   // since the latest measurement connections came that could be neither served nor passed on
-	left       atomic.Int64  // times that connections were left in the kernel's queue, since the last line
-	alone      atomic.Bool   // there is no gateway to pass connections on to
-	history    history
+	notAdmitted  atomic.Uint64 // share of requests that are not admitted, in units of 1/shareScale
+	notOffloaded atomic.Uint64 // share of these that are not offloaded either, in units of 1/shareScale
+	delay        atomic.Int64  // latest sample
+	backlogged   atomic.Bool   // since the latest sample a connection came that could be neither served nor offloaded
+	deferred     atomic.Int64  // connections left in the kernel's accept queue since the last log line
+	noTargets    atomic.Bool   // there is no gateway to offload connections to
+	delays       delayHistory
 }
 
-// history remembers how late the process was.
-type history struct {
-	mutex sync.Mutex
-	due   time.Time // of the measurement that is to come
-	past  [historySize]measurement
-	next  int
+// delayHistory holds the latest samples of the scheduling delay.
+type delayHistory struct {
+	mutex   sync.Mutex
+	due     time.Time // time of the next sample
+	samples [historySize]delaySample
+	next    int
 }
 
-// A history of 25 ms a measurement goes back by 3.2 s, which is longer than requests wait
-// for their first event.
+// At 25 ms per sample the history covers 3.2 s, which is longer than requests wait for their
+// first event.
 const historySize = 128
 
-type measurement struct {
-	at   time.Time
-	late time.Duration
+type delaySample struct {
+	at    time.Time
+	delay time.Duration
 }
 
-// note adds a measurement; due is when the next one will be made.
-func (h *history) note(now time.Time, late time.Duration, due time.Time) {
+// add adds a sample; due is when the next one will be taken.
+func (h *delayHistory) add(now time.Time, delay time.Duration, due time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.past[h.next%historySize] = measurement{now, late}
+	h.samples[h.next%historySize] = delaySample{now, delay}
 	h.next++
 	h.due = due
 }
 
-// overdue returns by how much the next measurement is overdue.
-func (h *history) overdue(now time.Time) time.Duration {
+// overdue returns by how much the next sample is overdue.
+func (h *delayHistory) overdue(now time.Time) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.due.IsZero() {
@@ -121,109 +121,108 @@
 	return max(now.Sub(h.due), 0)
 }
 
-// worst returns how late the process was at worst since a time, the measurement that is
-// overdue now included.
-func (h *history) worst(since, now time.Time) time.Duration {
+// max returns the maximum delay since a time, including the sample that is overdue now.
+func (h *delayHistory) max(since, now time.Time) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	worst := time.Duration(0)
+	longest := time.Duration(0)
 	if !h.due.IsZero() {
-		worst = max(now.Sub(h.due), 0)
+		longest = max(now.Sub(h.due), 0)
 	}
 	for n := range min(h.next, historySize) {
-		m := h.past[(h.next-1-n)%historySize]
+		m := h.samples[(h.next-1-n)%historySize]
 		if m.at.Before(since) {
 			break
 		}
-		worst = max(worst, m.late)
+		longest = max(longest, m.delay)
 	}
-	return worst
+	return longest
 }
 
-// worst returns how late the process was at worst since a time.
-func (o *overload) worst(since, now time.Time) time.Duration { return o.history.worst(since, now) }
+// maxDelay returns the maximum delay since a time.
+func (o *overload) maxDelay(since, now time.Time) time.Duration { return o.delays.max(since, now) }
 
-const partsOfShare = 1 << 20
+const shareScale = 1 << 20
 
-// run measures until ctx ends.
+// run takes samples until ctx ends.
 func (o *overload) run(ctx context.Context, g *Gateway) {
-	t := throttle{share: 1, passed: 1}
-	timer := time.NewTimer(latenessEvery)
+	t := throttle{admitted: 1, offloaded: 1}
+	timer := time.NewTimer(delaySampleInterval)
 	defer timer.Stop()
-	due := time.Now().Add(latenessEvery)
-	o.begin(due)
+	due := time.Now().Add(delaySampleInterval)
+	o.start(due)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
 		}
-		// The timer's goroutine is run before others; its second turn comes after all
-		// that are ready.
+		// The timer's goroutine runs before others; after yielding it runs after all that are
+		// ready.
 		runtime.Gosched()
 		now := time.Now()
-		t.least = admitLeast
-		if g.mayPass() {
-			t.least = 0
+		t.minAdmitted = minAdmittedShare
+		if g.canOffload() {
+			t.minAdmitted = 0
 		}
-		before := t.share
-		o.measured(&t, due, now)
-		if before == 1 && t.share < 1 || before < 1 && t.share == 1 {
-			g.log.Warn().Str("event", "gateway.overload").Bool("overloaded", t.share < 1).Dur("late", now.Sub(due)).
-				Int64("requests", g.active.Load()).Msg("short of processor")
+		before := t.admitted
+		o.record(&t, due, now)
+		if before == 1 && t.admitted < 1 || before < 1 && t.admitted == 1 {
+			g.log.Warn().Str("event", "gateway.overload").Bool("overloaded", t.admitted < 1).Dur("late", now.Sub(due)).
+				Int64("requests", g.active.Load()).Msg("admission control")
 		}
-		due = now.Add(latenessEvery)
-		timer.Reset(latenessEvery)
+		due = now.Add(delaySampleInterval)
+		timer.Reset(delaySampleInterval)
 	}
 }
 
-// begin says when the first measurement is due. Without it a process that starts while
-// callers press takes them all in until then, and measures after it has served them.
-func (o *overload) begin(due time.Time) { o.history.note(due.Add(-latenessEvery), 0, due) }
-
-// measured takes over a measurement that was due a while ago.
-func (o *overload) measured(t *throttle, due, now time.Time) {
-	late := now.Sub(due)
-	share := t.share
-	t.measure(late)
-	if o.pressed.Swap(false) {
-		// Own service takes four times the processor that passing on takes, so it gives way
-		// while connections wait that could be passed on.
-		t.share = min(t.share, max(share*admitLess, t.least))
+// start sets when the first sample is due. Without it, a process that starts under load admits
+// all callers until then, and takes the first sample only after it has served them.
+func (o *overload) start(due time.Time) { o.delays.add(due.Add(-delaySampleInterval), 0, due) }
+
+// record applies a sample that was due at a time.
+func (o *overload) record(t *throttle, due, now time.Time) {
+	delay := now.Sub(due)
+	share := t.admitted
+	t.adjust(delay)
+	if o.backlogged.Swap(false) {
+		// Serving takes four times the processor time of offloading, so it is reduced while
+		// connections wait that could be offloaded.
+		t.admitted = min(t.admitted, max(share*admitDecreaseFactor, t.minAdmitted))
 	}
-	o.lateness.Store(int64(late))
-	o.history.note(now, late, now.Add(latenessEvery))
-	o.turnedAway.Store(uint64((1 - t.share) * partsOfShare))
-	o.notPassed.Store(uint64((1 - t.passed) * partsOfShare))
-	o.alone.Store(t.least > 0)
+	o.delay.Store(int64(delay))
+	o.delays.add(now, delay, now.Add(delaySampleInterval))
+	o.notAdmitted.Store(uint64((1 - t.admitted) * shareScale))
+	o.notOffloaded.Store(uint64((1 - t.offloaded) * shareScale))
+	o.noTargets.Store(t.minAdmitted > 0)
 }
 
-// admits draws whether a request is admitted.
+// admits draws at random whether a request is admitted.
 func (o *overload) admits() bool {
-	away := o.turnedAway.Load()
-	return away == 0 || rand.Uint64N(partsOfShare) >= away
+	threshold := o.notAdmitted.Load()
+	return threshold == 0 || rand.Uint64N(shareScale) >= threshold
 }
 
-// lags tells whether the next measurement is overdue by more than so much. It shows at
-// once what a measurement shows later: between two of them a small host took in 200
-// requests of a burst, which is half a second of its processor.
-func (o *overload) lags(now time.Time, than time.Duration) bool {
-	return o.history.overdue(now) > than
+// sampleOverdue reports whether the next sample is overdue by more than a limit. It detects
+// overload before the sample is taken: between two samples a small host accepted 200 requests
+// of a burst, which is half a second of its processor time.
+func (o *overload) sampleOverdue(now time.Time, limit time.Duration) bool {
+	return o.delays.overdue(now) > limit
 }
 
-// passes draws whether a connection that is not admitted is passed on.
-func (o *overload) passes() bool { return rand.Uint64N(partsOfShare) >= o.notPassed.Load() }
+// offloads draws at random whether a connection that is not admitted is offloaded.
+func (o *overload) offloads() bool { return rand.Uint64N(shareScale) >= o.notOffloaded.Load() }
 
-// share returns the share of requests that is admitted.
-func (o *overload) share() float64 { return 1 - float64(o.turnedAway.Load())/partsOfShare }
+// admittedShare returns the share of requests that is admitted.
+func (o *overload) admittedShare() float64 { return 1 - float64(o.notAdmitted.Load())/shareScale }
 
-// short tells whether the process has too little processor now: what it sees of others
-// is late then, and what it passes on is.
-func (o *overload) short(now time.Time) bool {
-	return o.turnedAway.Load() > 0 || time.Duration(o.lateness.Load()) > latenessHigh || o.lags(now, latenessHigh)
+// overloaded reports whether the process lacks processor time now: what it learns from others
+// and what it sends to them is late then.
+func (o *overload) overloaded(now time.Time) bool {
+	return o.notAdmitted.Load() > 0 || time.Duration(o.delay.Load()) > highDelay || o.sampleOverdue(now, highDelay)
 }
 
-// turnAway answers a request that this gateway has no processor for.
-func (g *Gateway) turnAway(w http.ResponseWriter, r *http.Request) {
+// rejectOverloaded responds to a request for which this gateway lacks processor time.
+func (g *Gateway) rejectOverloaded(w http.ResponseWriter, r *http.Request) {
 	g.deny(w, r, denial{http.StatusServiceUnavailable, "gateway short of processor", overloadRetryAfter})
 }
--- a/gateway/reject.go
+++ b/gateway/reject.go
@@ -11,46 +11,47 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file turns connections away before they cost much: one goroutine answers them all,
-// without parsing, a goroutine or a buffer of their own. One that the HTTP server handles
-// costs a small host several times as much, even if its request is refused.
+// This file rejects connections at low cost: one goroutine responds to all of them, without
+// parsing and without a goroutine or a buffer per connection. A connection that the HTTP
+// server handles costs a small host several times as much, even if its request is refused.
 
 const (
-	// Connections that wait to be turned away; with more, no more are accepted until some
-	// are gone. The kernel's queue holds the next ones, and then callers look elsewhere.
-	mostTurning = 256
-	// A caller's request comes one round trip after its connection, so it is looked for
-	// from then on, this often.
-	turnEvery = 5 * time.Millisecond
-	// Without a whole request by then the connection is closed.
-	turnPatience = 300 * time.Millisecond
-	// A head of a request is looked at up to this length.
-	longestTurnedHead = 16 << 10
-	turnBuffer        = 32 << 10
-	// Turned away requests that one line of the log names.
-	turnedALine = 64
-	// A line is written at the latest after this time.
-	turnedLineEvery = 250 * time.Millisecond
+	// Maximum number of connections waiting to be rejected; at the bound, no more are
+	// accepted. The kernel's accept queue holds the next ones, and when it is full, callers
+	// try other gateways.
+	maxPendingRejects = 256
+	// Polling interval for requests: a caller's request arrives one round trip after its
+	// connection.
+	rejectPollInterval = 5 * time.Millisecond
+	// A connection without a whole request after this time is closed.
+	rejectTimeout = 300 * time.Millisecond
+	// Maximum size of a request header that is read.
+	maxRejectedHeaderBytes = 16 << 10
+	rejectBufferSize       = 32 << 10
+	// Maximum number of rejected requests per log line.
+	maxRejectsPerLogLine = 64
+	// Maximum delay of a log line.
+	rejectLogInterval = 250 * time.Millisecond
 )
 
-// turnedAnswer is what they get: their request has not run, and when to come back.
-var turnedAnswer = []byte("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\n" +
+// rejectResponse tells the caller that its request has not run, and when to retry.
+var rejectResponse = []byte("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\n" +
 	"Content-Type: text/plain; charset=utf-8\r\n" +
 	"Retry-After: " + strconv.FormatFloat(overloadRetryAfter.Seconds(), 'f', 3, 64) + "\r\n" +
-	"Content-Length: " + strconv.Itoa(len(turnedReason)) + "\r\n\r\n" + turnedReason)
+	"Content-Length: " + strconv.Itoa(len(rejectReason)) + "\r\n\r\n" + rejectReason)
 
-const turnedReason = "gateway short of processor or connections\n"
+const rejectReason = "gateway short of processor or connections\n"
 
-// turnable is a connection that can be turned away.
-type turnable interface {
+// rejectableConn is a connection that can be rejected.
+type rejectableConn interface {
 	io.WriteCloser
-	ReadNow(b []byte) (int, error) // without waiting; EAGAIN: nothing is there
+	ReadNow(b []byte) (int, error) // does not block; EAGAIN: no data is available
 }
 
-// socket is a connection that is turned away, by its descriptor.
+// socket is a connection to be rejected, by its file descriptor.
 type socket int
 
-// ReadNow implements turnable.
+// ReadNow implements rejectableConn.
 func (s socket) ReadNow(b []byte) (int, error) { return unix.Read(int(s), b) }
 
 // Write implements io.Writer.
@@ -59,71 +60,71 @@
 // Close implements io.Closer.
 func (s socket) Close() error { return unix.Close(int(s)) }
 
-// turner answers connections that are turned away.
-type turner struct {
-	conns   chan turnable
-	log     zerolog.Logger
-	metrics Metrics
-	id      string // header that names a request
-	buffer  []byte
-	waiting []*turned
-	ids     []string // of those answered since the last line
-	line    time.Time
+// rejecter responds to rejected connections.
+type rejecter struct {
+	conns    chan rejectableConn
+	log      zerolog.Logger
+	metrics  Metrics
+	idHeader string // name of the request ID header
+	buffer   []byte
+	waiting  []*rejectedConn
+	ids      []string // of the requests rejected since the last log line
+	loggedAt time.Time
 }
 
-func newTurner(g *Gateway) *turner {
-	return &turner{
-		conns: make(chan turnable, mostTurning), log: g.log, metrics: g.options.Metrics,
-		id: g.options.Codec.RequestIDHeader(), buffer: make([]byte, turnBuffer),
+func newRejecter(g *Gateway) *rejecter {
+	return &rejecter{
+		conns: make(chan rejectableConn, maxPendingRejects), log: g.log, metrics: g.options.Metrics,
+		idHeader: g.options.Codec.RequestIDHeader(), buffer: make([]byte, rejectBufferSize),
 	}
 }
 
-// turned is a connection that is turned away.
-type turned struct {
-	turnable
-	since   time.Time
-	head    []byte // until it is whole
-	whole   bool
-	left    int64 // of the body
-	chunked bool
-	gone    bool
+// rejectedConn is a connection that is being rejected.
+type rejectedConn struct {
+	rejectableConn
+	since          time.Time
+	header         []byte // without the body, once complete
+	headerComplete bool
+	bodyLeft       int64 // bytes of the body still to be read
+	chunked        bool
+	disconnected   bool
 }
 
-// run answers connections until ctx ends; then it closes those that are left.
-func (t *turner) run(ctx context.Context) {
-	tick := time.NewTicker(turnEvery)
+// run rejects connections until ctx ends; then it closes the rest.
+func (r *rejecter) run(ctx context.Context) {
+	tick := time.NewTicker(rejectPollInterval)
 	tick.Stop()
 	defer tick.Stop()
 	for {
-		conns := t.conns
-		if len(t.waiting) >= mostTurning {
+		conns := r.conns
+		if len(r.waiting) >= maxPendingRejects {
 			conns = nil
 		}
 		select {
 		case <-ctx.Done():
-			t.closeAll()
+			r.closeAll()
 			return
 		case c := <-conns:
-			if len(t.waiting) == 0 {
-				tick.Reset(turnEvery)
+			if len(r.waiting) == 0 {
+				tick.Reset(rejectPollInterval)
 			}
-			t.waiting = append(t.waiting, &turned{turnable: c, since: time.Now()})
+			r.waiting = append(r.waiting, &rejectedConn{rejectableConn: c, since: time.Now()})
 		case now := <-tick.C:
-			t.look(now)
-			if len(t.waiting) == 0 {
+			r.poll(now)
+			if len(r.waiting) == 0 {
 				tick.Stop()
 			}
 		}
 	}
 }
 
-func (t *turner) closeAll() {
-	for _, c := range t.waiting {
+func (r *rejecter) closeAll() {
+	for _, c := range r.waiting {
 		c.Close()
 	}
 	for {
 		select {
-		case c := <-t.conns:
+		case c := <-r.conns:
 			c.Close()
 		default:
 			return
@@ -131,104 +132,105 @@
 	}
 }
 
-// look answers those whose request has come.
-func (t *turner) look(now time.Time) {
-	kept := t.waiting[:0]
-	for _, c := range t.waiting {
-		late := now.Sub(c.since) > turnPatience
-		if !c.take(t.buffer) && !late {
+// poll reads from all connections and responds to those whose request is complete or timed
+// out.
+func (r *rejecter) poll(now time.Time) {
+	kept := r.waiting[:0]
+	for _, c := range r.waiting {
+		timedOut := now.Sub(c.since) > rejectTimeout
+		if !c.readAvailable(r.buffer) && !timedOut {
 			kept = append(kept, c)
 			continue
 		}
-		t.answer(c)
+		r.finish(c)
 	}
-	clear(t.waiting[len(kept):])
-	t.waiting = kept
-	if len(t.ids) >= turnedALine || len(t.ids) > 0 && now.Sub(t.line) > turnedLineEvery {
-		t.tell(now)
+	clear(r.waiting[len(kept):])
+	r.waiting = kept
+	if len(r.ids) >= maxRejectsPerLogLine || len(r.ids) > 0 && now.Sub(r.loggedAt) > rejectLogInterval {
+		r.logRejected(now)
 	}
 }
 
-// answer ends a connection. Who has sent no whole request gets no answer.
-func (t *turner) answer(c *turned) {
+// finish ends a connection. An incomplete request gets no response.
+func (r *rejecter) finish(c *rejectedConn) {
 	defer c.Close()
-	if c.gone || !c.whole {
+	if c.disconnected || !c.headerComplete {
 		return
 	}
-	// A caller that has gone has nobody to be told.
-	_, _ = c.Write(turnedAnswer)
-	t.ids = append(t.ids, string(headerValue(c.head, t.id)))
-	t.metrics.RequestEnded(Outcome{Result: "denied"})
+	// The caller may be gone, so a write error is ignored.
+	_, _ = c.Write(rejectResponse)
+	r.ids = append(r.ids, string(headerValue(c.header, r.idHeader)))
+	r.metrics.RequestEnded(Outcome{Result: "denied"})
 }
 
-// tell writes a line of those that were turned away.
-func (t *turner) tell(now time.Time) {
-	t.log.Info().Str("event", "request.denied").Strs("requests", t.ids).Int("status", 503).
-		Str("reason", "gateway short of processor or connections").Dur("retry_after", overloadRetryAfter).Msg("answered")
-	t.ids, t.line = t.ids[:0], now
+// logRejected logs the requests that were rejected since the last log line.
+func (r *rejecter) logRejected(now time.Time) {
+	r.log.Info().Str("event", "request.denied").Strs("requests", r.ids).Int("status", 503).
+		Str("reason", "gateway short of processor or connections").Dur("retry_after", overloadRetryAfter).Msg("requests rejected")
+	r.ids, r.loggedAt = r.ids[:0], now
 }
 
-// take takes what has arrived. It returns whether that is the whole request, or the
-// caller has gone.
-func (c *turned) take(buffer []byte) bool {
+// readAvailable reads what has arrived. It reports whether that completes the request, or the
+// caller has disconnected.
+func (c *rejectedConn) readAvailable(buffer []byte) bool {
 	for {
 		n, err := c.ReadNow(buffer)
 		if err == unix.EAGAIN {
 			return false
 		}
 		if err != nil || n == 0 {
-			c.gone = true
+			c.disconnected = true
 			return true
 		}
-		c.note(buffer[:n])
-		if c.whole && c.left <= 0 {
+		c.consume(buffer[:n])
+		if c.headerComplete && c.bodyLeft <= 0 {
 			return true
 		}
-		if len(c.head) > longestTurnedHead {
-			c.whole = true
+		if len(c.header) > maxRejectedHeaderBytes {
+			c.headerComplete = true
 			return true
 		}
 	}
 }
 
-// note counts bytes of the request.
-func (c *turned) note(b []byte) {
-	if c.whole {
-		c.left -= int64(len(b))
-		c.ends(b)
+// consume processes bytes of the request.
+func (c *rejectedConn) consume(b []byte) {
+	if c.headerComplete {
+		c.bodyLeft -= int64(len(b))
+		c.checkLastChunk(b)
 		return
 	}
-	c.head = append(c.head, b...)
-	end := bytes.Index(c.head, []byte("\r\n\r\n"))
+	c.header = append(c.header, b...)
+	end := bytes.Index(c.header, []byte("\r\n\r\n"))
 	if end < 0 {
 		return
 	}
-	body := c.head[end+4:]
-	c.head, c.whole = c.head[:end+2], true
-	if length, err := strconv.ParseInt(string(headerValue(c.head, "Content-Length")), 10, 64); err == nil {
-		c.left = length - int64(len(body))
+	body := c.header[end+4:]
+	c.header, c.headerComplete = c.header[:end+2], true
+	if length, err := strconv.ParseInt(string(headerValue(c.header, "Content-Length")), 10, 64); err == nil {
+		c.bodyLeft = length - int64(len(body))
 	}
-	if len(headerValue(c.head, "Transfer-Encoding")) > 0 {
-		c.chunked, c.left = true, 1
-		c.ends(body)
+	if len(headerValue(c.header, "Transfer-Encoding")) > 0 {
+		c.chunked, c.bodyLeft = true, 1
+		c.checkLastChunk(body)
 	}
-	if len(headerValue(c.head, "Expect")) > 0 {
-		c.left = 0 // the caller waits to be asked for its body
+	if len(headerValue(c.header, "Expect")) > 0 {
+		c.bodyLeft = 0 // the caller waits for 100 Continue before it sends the body
 	}
 }
 
-// ends notes whether a body in chunks ends with these bytes.
-func (c *turned) ends(b []byte) {
+// checkLastChunk records whether a chunked body ends with these bytes.
+func (c *rejectedConn) checkLastChunk(b []byte) {
 	if !c.chunked {
 		return
 	}
-	c.left = 1
+	c.bodyLeft = 1
 	if bytes.HasSuffix(b, []byte("0\r\n\r\n")) {
-		c.left = 0
+		c.bodyLeft = 0
 	}
 }
 
-// ReadNow implements turnable.
+// ReadNow implements rejectableConn.
 func (c *callerConn) ReadNow(buffer []byte) (n int, err error) {
 	raw, err := rawConn(c.Conn)
 	if err != nil {
@@ -244,9 +246,9 @@
 	return n, err
 }
 
-// headerValue returns the value of a header in the head of a request; nil: it has none.
-func headerValue(head []byte, name string) []byte {
-	for line := range bytes.Lines(head) {
+// headerValue returns the value of a header field of a request, or nil if it has none.
+func headerValue(header []byte, name string) []byte {
+	for line := range bytes.Lines(header) {
 		key, value, found := bytes.Cut(line, []byte(":"))
 		if found && bytes.EqualFold(key, []byte(name)) {
 			return bytes.TrimSpace(value)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -17,33 +17,33 @@
 	"opalbridge.dev/gateway/upstream"
 )
 
-// Sizes of answers.
+// Sizes of responses.
 const (
-	// An answer that is no stream is read whole up to this size before its first byte
-	// goes on, so that a broken one can be asked for again or be called failed.
-	wholeAnswer = 1 << 20
-	// The longest event of a stream. Events hold a few tokens.
-	longestEvent = 64 << 10
-	// A stream is read in pieces of this size: several events fit.
-	eventBuffer = 2 << 10
+	// A response that is not a stream is buffered up to this size before its first byte is
+	// relayed, so that a truncated one can be retried or reported as failed.
+	maxBufferedResponse = 1 << 20
+	// Maximum size of a stream's event. Events hold a few tokens.
+	maxEventBytes = 64 << 10
+	// Buffer size for reading a stream: several events fit.
+	eventBufferSize = 2 << 10
 )
 
-// pass passes an answer on to the caller.
-func (c *call) pass(ctx context.Context, d placement.Assign, sent time.Time, a *upstream.Response) (placement.Outcome, step) {
-	if a.Status >= http.StatusInternalServerError && c.mayTryAgain() {
-		return placement.Failed, again{errors.Newf("gateway: server %s answered %d", d.Server.ID, a.Status)}
+// relay relays a response to the caller.
+func (c *call) relay(ctx context.Context, d placement.Assign, sent time.Time, r *upstream.Response) (placement.Outcome, step) {
+	if r.Status >= http.StatusInternalServerError && c.canRetry() {
+		return placement.Failed, retryStep{errors.Newf("gateway: server %s answered %d", d.Server.ID, r.Status)}
 	}
-	if c.headSent && a.Status != http.StatusOK {
-		return placement.Failed, c.afterFailure(errors.Newf("gateway: server %s does not resume: status %d", d.Server.ID, a.Status))
+	if c.headerSent && r.Status != http.StatusOK {
+		return placement.Failed, c.retryOrFail(errors.Newf("gateway: server %s does not resume: status %d", d.Server.ID, r.Status))
 	}
-	if c.route.Kind == catalog.Stream && a.Status == http.StatusOK {
-		return c.passStream(ctx, d, sent, a)
+	if c.route.Kind == catalog.Stream && r.Status == http.StatusOK {
+		return c.relayStream(ctx, d, sent, r)
 	}
-	return c.passWhole(ctx, d, sent, a)
+	return c.relayBuffered(ctx, d, sent, r)
 }
 
-// mayTryAgain tells whether a failed answer may be replaced by another server's.
-func (c *call) mayTryAgain() bool {
+// canRetry reports whether a failed response may be replaced by another server's.
+func (c *call) canRetry() bool {
 	if !c.route.MayRepeat() || c.attempts >= c.route.MaxAttempts {
 		return false
 	}
@@ -51,60 +51,60 @@
 	return n < maxCrashesToRetry
 }
 
-// passWhole passes on an answer that is no stream.
-func (c *call) passWhole(ctx context.Context, d placement.Assign, sent time.Time, a *upstream.Response) (placement.Outcome, step) {
-	body, err := io.ReadAll(io.LimitReader(a.Body, wholeAnswer))
+// relayBuffered relays a response that is not a stream.
+func (c *call) relayBuffered(ctx context.Context, d placement.Assign, sent time.Time, r *upstream.Response) (placement.Outcome, step) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedResponse))
 	if err != nil {
 		if ctx.Err() != nil {
 			return placement.Abandoned, c.abandonAttempt(ctx, d, sent)
 		}
 		c.reportLost(d, sent, lossConnectionBroke)
-		return placement.Failed, c.afterFailure(errors.Wrapf(err, "gateway: answer of server %s", d.Server.ID))
+		return placement.Failed, c.retryOrFail(errors.Wrapf(err, "gateway: answer of server %s", d.Server.ID))
 	}
 	c.gateway.dispatcher.send(firstEventReceived{ticket: d.ID, server: d.Server.ID})
-	c.copyHead(a)
-	if a.Length < 0 && len(body) < wholeAnswer && c.request.Method != http.MethodHead {
+	c.copyHeader(r)
+	if r.Length < 0 && len(body) < maxBufferedResponse && c.request.Method != http.MethodHead {
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	c.begin(a)
+	c.writeHeader(r)
 	if _, err := c.w.Write(body); err != nil {
 		c.result, c.reason = "left", err.Error()
-		return placement.Served, done{}
+		return placement.Served, doneStep{}
 	}
-	if len(body) == wholeAnswer {
-		if _, err := io.Copy(c.w, a.Body); err != nil {
-			return placement.Failed, fail{err: err}
+	if len(body) == maxBufferedResponse {
+		if _, err := io.Copy(c.w, r.Body); err != nil {
+			return placement.Failed, failStep{err: err}
 		}
 	}
 	c.result = "served"
-	if a.Status >= http.StatusBadRequest {
-		c.result, c.reason = "failed", "server answered "+strconv.Itoa(a.Status)
+	if r.Status >= http.StatusBadRequest {
+		c.result, c.reason = "failed", "server answered "+strconv.Itoa(r.Status)
 	}
-	if a.Status >= http.StatusInternalServerError {
-		return placement.Failed, done{}
+	if r.Status >= http.StatusInternalServerError {
+		return placement.Failed, doneStep{}
 	}
 	c.reportAnswered()
-	return placement.Served, done{}
+	return placement.Served, doneStep{}
 }
 
-// copyHead takes the head of a server's answer over, once.
-func (c *call) copyHead(a *upstream.Response) {
+// copyHeader copies the header of a server's response.
+func (c *call) copyHeader(r *upstream.Response) {
 	h := c.w.Header()
-	for name, values := range a.Header {
+	for name, values := range r.Header {
 		h[name] = values
 	}
-	if a.Length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(a.Length, 10))
+	if r.Length >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(r.Length, 10))
 	}
-	if c.gateway.stopping.Load() || passedOn(c.request.Context()) {
+	if c.gateway.stopping.Load() || isOffloaded(c.request.Context()) {
 		h.Set("Connection", "close")
 	}
 }
 
-// passStream passes events on as they come. Only whole events go on, so that a broken
-// stream can go on at another server where its route allows that.
-func (c *call) passStream(ctx context.Context, d placement.Assign, sent time.Time, a *upstream.Response) (placement.Outcome, step) {
-	events := bufio.NewReaderSize(a.Body, eventBuffer)
+// relayStream relays events as they arrive. Only whole events are relayed, so that another
+// server can resume a broken stream where the route allows that.
+func (c *call) relayStream(ctx context.Context, d placement.Assign, sent time.Time, r *upstream.Response) (placement.Outcome, step) {
+	events := bufio.NewReaderSize(r.Body, eventBufferSize)
 	control := http.NewResponseController(c.w)
 	started := false
 	for {
@@ -114,67 +114,67 @@
 		}
 		if err != nil && err != io.EOF {
 			c.reportLost(d, sent, lossConnectionBroke)
-			return placement.Failed, c.afterFailure(errors.Wrapf(err, "gateway: stream of server %s", d.Server.ID))
+			return placement.Failed, c.retryOrFail(errors.Wrapf(err, "gateway: stream of server %s", d.Server.ID))
 		}
-		if err == io.EOF && len(event) > 0 && a.Length < 0 {
+		if err == io.EOF && len(event) > 0 && r.Length < 0 {
 			c.reportLost(d, sent, lossConnectionBroke)
-			return placement.Failed, c.afterFailure(errors.Newf("gateway: stream of server %s ends within an event", d.Server.ID))
+			return placement.Failed, c.retryOrFail(errors.Newf("gateway: stream of server %s ends within an event", d.Server.ID))
 		}
 		if !started {
 			started = true
 			c.gateway.dispatcher.send(firstEventReceived{ticket: d.ID, server: d.Server.ID})
 		}
-		if len(event) > 0 && !c.repeated(event) {
-			if werr := c.passEvent(a, control, event, events.Buffered() > 0); werr != nil {
+		if len(event) > 0 && !c.alreadyRelayed(event) {
+			if werr := c.relayEvent(r, control, event, events.Buffered() > 0); werr != nil {
 				c.result, c.reason = "left", werr.Error()
-				return placement.Abandoned, done{}
+				return placement.Abandoned, doneStep{}
 			}
 		}
 		if err == io.EOF {
-			c.sendHead(a)
+			c.sendHeader(r)
 			c.result = "served"
 			c.reportAnswered()
-			return placement.Served, done{}
+			return placement.Served, doneStep{}
 		}
 	}
 }
 
-// sendHead sends the head of the answer if that has not been done.
-func (c *call) sendHead(a *upstream.Response) {
-	if c.headSent {
+// sendHeader sends the header of the response unless that has been done.
+func (c *call) sendHeader(r *upstream.Response) {
+	if c.headerSent {
 		return
 	}
-	c.copyHead(a)
+	c.copyHeader(r)
 	if c.route.Resumable {
 		c.w.Header().Del("Content-Length") // another server's events may follow
 	}
-	c.begin(a)
+	c.writeHeader(r)
 }
 
-// begin sends the head of an answer.
-func (c *call) begin(a *upstream.Response) {
-	c.w.WriteHeader(a.Status)
-	c.headSent, c.first = true, time.Now()
+// writeHeader writes the response header.
+func (c *call) writeHeader(r *upstream.Response) {
+	c.w.WriteHeader(r.Status)
+	c.headerSent, c.firstByteAt = true, time.Now()
 	c.responseStarted.Store(true)
 }
 
-// passEvent writes an event; more tells that another one is at hand, so that they can
-// go out together.
-func (c *call) passEvent(a *upstream.Response, control *http.ResponseController, event []byte, more bool) error {
-	c.sendHead(a)
+// relayEvent writes an event; more reports that another one is buffered, so that both can be
+// flushed together.
+func (c *call) relayEvent(r *upstream.Response, control *http.ResponseController, event []byte, more bool) error {
+	c.sendHeader(r)
 	if _, err := c.w.Write(event); err != nil {
 		return err
 	}
 	now := time.Now()
 	if !c.lastEventAt.IsZero() {
-		c.pause = max(c.pause, now.Sub(c.lastEventAt))
+		c.maxEventGap = max(c.maxEventGap, now.Sub(c.lastEventAt))
 	}
 	c.lastEventAt = now
-	if c.events++; c.events == 1 {
-		c.began = now
+	if c.eventCount++; c.eventCount == 1 {
+		c.firstEventAt = now
 	}
 	if id := eventID(event); id != "" {
-		c.lastEvent = id
+		c.lastEventID = id
 	}
 	if more {
 		return nil
@@ -182,49 +182,50 @@
 	return control.Flush()
 }
 
-// meanPause returns the mean time between the events of the latest answer; 0: it had too few.
-func (c *call) meanPause() time.Duration {
-	const least = 3
-	if c.events < least {
+// meanEventGap returns the mean interval between the events of the latest response; 0 if it
+// had too few.
+func (c *call) meanEventGap() time.Duration {
+	const minEvents = 3
+	if c.eventCount < minEvents {
 		return 0
 	}
-	return c.lastEventAt.Sub(c.began) / time.Duration(c.events-1)
+	return c.lastEventAt.Sub(c.firstEventAt) / time.Duration(c.eventCount-1)
 }
 
-// repeated tells whether an event has been passed on before the stream was resumed.
-func (c *call) repeated(event []byte) bool {
-	last, err := strconv.ParseInt(c.lastEvent, 10, 64)
+// alreadyRelayed reports whether an event was relayed before the stream was resumed.
+func (c *call) alreadyRelayed(event []byte) bool {
+	last, err := strconv.ParseInt(c.lastEventID, 10, 64)
 	if err != nil {
-		return false // none was passed on, or IDs are no numbers
+		return false // no event was relayed, or event IDs are not numbers
 	}
 	id, err := strconv.ParseInt(eventID(event), 10, 64)
 	return err == nil && id <= last
 }
 
-// readEvent reads up to the end of an event: an empty line. At the end of the stream
-// it returns what is left with io.EOF.
+// readEvent reads up to the empty line that ends an event. At the end of the stream it returns
+// the rest and io.EOF.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
 		line, err := r.ReadSlice('\n')
-		begins := len(event) == 0 || event[len(event)-1] == '\n'
+		atLineStart := len(event) == 0 || event[len(event)-1] == '\n'
 		event = append(event, line...)
-		if len(event) > longestEvent {
+		if len(event) > maxEventBytes {
 			return event, errors.New("gateway: event of a stream is too long")
 		}
 		if err == bufio.ErrBufferFull {
-			continue // the line goes on
+			continue // the line continues
 		}
 		if err != nil {
 			return event, err
 		}
-		if begins && len(bytes.TrimRight(line, "\r\n")) == 0 {
+		if atLineStart && len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return event, nil
 		}
 	}
 }
 
-// eventID returns the ID of an event; "" when it has none.
+// eventID returns the ID of an event, or "" if it has none.
 func eventID(event []byte) string {
 	for line := range strings.Lines(string(event)) {
 		if value, ok := strings.CutPrefix(line, "id:"); ok {
--- a/gateway/retries_test.go
+++ b/gateway/retries_test.go
@@ -12,36 +12,36 @@
 	"opalbridge.dev/gateway/protocol"
 )
 
-// asks is a caller's request that arrives with so much of its patience left.
-func asks(g *Gateway, arrived time.Time, left time.Duration, parts ...string) *call {
+// newTestCall returns a caller's request that arrives with a remaining deadline.
+func newTestCall(g *Gateway, arrived time.Time, remaining time.Duration, parts ...string) *call {
 	c := &call{
 		gateway: g, w: httptest.NewRecorder(), request: httptest.NewRequest("POST", "/chat", nil), arrived: arrived,
-		told: protocol.Request{Deadline: left, HasDeadline: true}, route: &catalog.Route{Name: "r"}, account: "a",
+		meta: protocol.Request{Deadline: remaining, HasDeadline: true}, route: &catalog.Route{Name: "r"}, account: "a",
 	}
 	for _, p := range parts {
-		c.told.Parts = append(c.told.Parts, protocol.Part{ID: p})
+		c.meta.Parts = append(c.meta.Parts, protocol.Part{ID: p})
 	}
 	return c
 }
 
-// TestWhoComesBackIsKnown at the gateway that turned it away and at those that were told,
-// however patience differs among callers.
-func TestWhoComesBackIsKnown(t *testing.T) {
+// TestRetryRecognized checks that a retry is recognized by the gateway that refused the first
+// attempt and by those that were told of it, however callers' deadlines differ.
+func TestRetryRecognized(t *testing.T) {
 	now := time.Now()
 	here, there := newIdleGateway(t), newIdleGateway(t)
-	refused := asks(here, now, 10*time.Second, "shared", "own")
-	require.Zero(t, here.returned.spent(refused))
-	refused.write(denial{status: 503, reason: "later"})
-	told := peer.Refusal{Key: 0, Deadline: now.Add(10 * time.Second), FirstAttempt: now}
+	refused := newTestCall(here, now, 10*time.Second, "shared", "own")
+	require.Zero(t, here.retries.sinceFirstTry(refused))
+	refused.deny(denial{status: 503, reason: "later"})
+	refusal := peer.Refusal{Key: 0, Deadline: now.Add(10 * time.Second), FirstAttempt: now}
 	key, ok := refused.retryKey()
 	require.True(t, ok)
-	told.Key = uint64(key)
-	there.returned.told(now, []peer.Refusal{told})
+	refusal.Key = uint64(key)
+	there.retries.addRemote(now, []peer.Refusal{refusal})
 	tests := []struct {
-		name  string
-		left  time.Duration // at a second after the first try
-		parts []string
-		spent time.Duration
+		name      string
+		remaining time.Duration // a second after the first attempt
+		parts     []string
+		elapsed   time.Duration
 	}{
 		{"the same caller", 9 * time.Second, []string{"shared", "own"}, time.Second},
 		{"a caller with less patience", 8 * time.Second, []string{"shared", "own"}, 0},
@@ -51,7 +51,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			for _, g := range []*Gateway{here, there} {
-				require.Equal(t, test.spent, g.returned.spent(asks(g, now.Add(time.Second), test.left, test.parts...)))
+				require.Equal(t, test.elapsed, g.retries.sinceFirstTry(newTestCall(g, now.Add(time.Second), test.remaining, test.parts...)))
 			}
 		})
 	}
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -12,106 +12,106 @@
 	"opalbridge.dev/gateway/handoff"
 )
 
-// Times of connections and of a stop.
+// Times of connections and of the shutdown.
 const (
-	// A caller has this long for the head of a request.
-	headTimeout = 10 * time.Second
-	// The longest head that is read; configurations ask for less.
-	longestHead = 64 << 10
-	// After a stop is asked for, connections are taken for this long: the balancer
-	// asks once a second and needs two misses.
-	stopAccepting = 2500 * time.Millisecond
-	// So much of the grace is kept for ending what is left.
-	stopReserve = 500 * time.Millisecond
+	// Time limit for reading a request header.
+	headerTimeout = 10 * time.Second
+	// Maximum size of a request header that is read; configurations set lower limits.
+	maxHeaderBytes = 64 << 10
+	// How long connections are accepted after a shutdown is requested: the load balancer
+	// checks once a second and needs two failed checks.
+	shutdownDelay = 2500 * time.Millisecond
+	// Part of the grace period that is reserved for closing the remaining connections.
+	shutdownReserve = 500 * time.Millisecond
 )
 
-// serve takes requests until ctx ends, then stops: the balancer is told first, idle
-// connections are closed once it has had time to hear, requests in flight are
-// answered, and what is left when the grace is over is broken off.
-func (g *Gateway) serve(ctx, duties context.Context) error {
-	idle := &idleCallers{since: map[net.Conn]time.Time{}, most: int(min(mostIdleCallers, g.room.connections/2))}
-	front := &http.Server{
-		Handler: http.HandlerFunc(g.handle), ReadHeaderTimeout: headTimeout, MaxHeaderBytes: longestHead,
+// serve handles requests until ctx ends, then shuts down: readiness fails first, idle
+// connections are closed once the load balancer has had time to notice, requests in flight are
+// completed, and what is left at the end of the grace period is aborted.
+func (g *Gateway) serve(ctx, background context.Context) error {
+	idle := &idleCallers{since: map[net.Conn]time.Time{}, limit: int(min(maxIdleCallers, g.capacity.connections/2))}
+	callerServer := &http.Server{
+		Handler: http.HandlerFunc(g.handle), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: idle.observe, ConnContext: withConn, ErrorLog: nil,
 	}
-	callers := newAdmission(g)
-	passer, err := newPasser(g, callers.turn)
+	listener := newAdmission(g)
+	o, err := newOffloader(g, listener.reject)
 	if err != nil {
 		return err
 	}
-	callers.pass = func(c *callerConn) bool { return g.mayPass() && passer.pass(duties, c) }
-	g.passer, g.duties = passer, duties
-	passing, stopPassing := context.WithCancel(context.WithoutCancel(duties))
-	passed := make(chan struct{})
+	listener.offload = func(c *callerConn) bool { return g.canOffload() && o.offload(background, c) }
+	g.offloader, g.background = o, background
+	offloadCtx, stopOffload := context.WithCancel(context.WithoutCancel(background))
+	offloadDone := make(chan struct{})
 	go func() {
-		passer.run(passing)
-		close(passed)
+		o.run(offloadCtx)
+		close(offloadDone)
 	}()
-	taken := handoff.NewListener(g.options.PeerListener.Addr())
-	turning, stopTurning := context.WithCancel(context.WithoutCancel(duties))
-	turned := make(chan struct{})
+	offloaded := handoff.NewListener(g.options.PeerListener.Addr())
+	rejectCtx, stopReject := context.WithCancel(context.WithoutCancel(background))
+	rejectDone := make(chan struct{})
 	go func() {
-		callers.turner.run(turning)
-		close(turned)
+		listener.rejecter.run(rejectCtx)
+		close(rejectDone)
 	}()
-	ready := &http.Server{Handler: g.readyHandler(), ReadHeaderTimeout: headTimeout}
-	views := &http.Server{Handler: g.peersHandler(duties, taken), ReadHeaderTimeout: headTimeout}
-	ends := make(chan error, servers)
-	go func() { ends <- front.Serve(callers) }()
-	go func() { ends <- front.Serve(taken) }()
-	go func() { ends <- ready.Serve(g.options.ReadyListener) }()
-	go func() { ends <- views.Serve(g.options.PeerListener) }()
-	sweep, stopSweep := context.WithCancel(duties)
-	swept := make(chan struct{})
+	readyServer := &http.Server{Handler: g.readyHandler(), ReadHeaderTimeout: headerTimeout}
+	peerServer := &http.Server{Handler: g.peersHandler(background, offloaded), ReadHeaderTimeout: headerTimeout}
+	serveErrs := make(chan error, listenerCount)
+	go func() { serveErrs <- callerServer.Serve(listener) }()
+	go func() { serveErrs <- callerServer.Serve(offloaded) }()
+	go func() { serveErrs <- readyServer.Serve(g.options.ReadyListener) }()
+	go func() { serveErrs <- peerServer.Serve(g.options.PeerListener) }()
+	idleCtx, stopIdle := context.WithCancel(background)
+	idleDone := make(chan struct{})
 	go func() {
-		idle.run(sweep, g)
-		close(swept)
+		idle.run(idleCtx, g)
+		close(idleDone)
 	}()
-	var failed error
+	var serveErr error
 	select {
 	case <-ctx.Done():
-	case failed = <-ends:
-		ends <- http.ErrServerClosed
+	case serveErr = <-serveErrs:
+		serveErrs <- http.ErrServerClosed
 	}
-	if failed == nil {
-		g.stop(front, passer)
+	if serveErr == nil {
+		g.shutdown(callerServer, o)
 	}
-	front.Close()
-	views.Close()
-	ready.Close()
-	stopSweep()
-	<-swept
-	for range servers {
-		if err := <-ends; !errors.Is(err, http.ErrServerClosed) {
-			failed = errors.CombineErrors(failed, err)
+	callerServer.Close()
+	peerServer.Close()
+	readyServer.Close()
+	stopIdle()
+	<-idleDone
+	for range listenerCount {
+		if err := <-serveErrs; !errors.Is(err, http.ErrServerClosed) {
+			serveErr = errors.CombineErrors(serveErr, err)
 		}
 	}
-	stopPassing()
-	<-passed
-	stopTurning() // only now: the listener may have been waiting for it
-	<-turned
-	return failed
+	stopOffload()
+	<-offloadDone
+	stopReject() // last, because the listener may block on the rejecter
+	<-rejectDone
+	return serveErr
 }
 
-// servers is how many listeners are served: callers, connections that other gateways pass
-// on, the balancer, other gateways.
-const servers = 4
+// Number of listeners: callers, connections offloaded by other gateways, the load balancer's
+// health checks, other gateways.
+const listenerCount = 4
 
-// stop lets the requests in flight end.
-func (g *Gateway) stop(front *http.Server, p *passer) {
+// shutdown waits for the requests in flight.
+func (g *Gateway) shutdown(callerServer *http.Server, o *offloader) {
 	began := time.Now()
 	g.stopping.Store(true)
-	g.log.Info().Str("event", "stop").Int64("requests", g.active.Load()).Msg("a stop was asked for")
-	time.Sleep(min(stopAccepting, g.options.ShutdownGrace/2))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(g.options.ShutdownGrace-stopReserve))
+	g.log.Info().Str("event", "stop").Int64("requests", g.active.Load()).Msg("shutdown requested")
+	time.Sleep(min(shutdownDelay, g.options.ShutdownGrace/2))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(g.options.ShutdownGrace-shutdownReserve))
 	defer cancel()
-	if err := front.Shutdown(ctx); err != nil {
-		g.log.Warn().Str("event", "stop.cut").Int64("requests", g.active.Load()).Err(err).Msg("grace is over")
+	if err := callerServer.Shutdown(ctx); err != nil {
+		g.log.Warn().Str("event", "stop.cut").Int64("requests", g.active.Load()).Err(err).Msg("shutdown grace period expired")
 	}
-	p.drain(ctx)
+	o.drain(ctx)
 }
 
-// readyHandler answers the balancer.
+// readyHandler handles the load balancer's health checks.
 func (g *Gateway) readyHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Get(g.options.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -122,19 +122,19 @@
 	return r
 }
 
-// Ready tells whether the gateway takes connections: it knows a configuration and
-// servers, and does not stop.
+// Ready reports whether the gateway takes connections: it has a configuration and servers, and
+// is not shutting down.
 func (g *Gateway) Ready() bool {
 	return g.hasView() && !g.stopping.Load()
 }
 
-// hasView tells whether the gateway knows a configuration and servers.
+// hasView reports whether the gateway has a configuration and servers.
 func (g *Gateway) hasView() bool {
 	v := g.view.Load()
 	return v.Configuration != nil && len(v.Servers) > 0
 }
 
-// peersHandler answers other gateways.
+// peersHandler handles requests of other gateways.
 func (g *Gateway) peersHandler(ctx context.Context, l *handoff.Listener) http.Handler {
 	r := chi.NewRouter()
 	r.Get(handoff.Path, g.linkHandler(ctx, l))
--- a/gateway/wait_queue.go
+++ b/gateway/wait_queue.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	// Requests that wait are looked through this often: a server reads some hundred to a
-	// thousand tokens meanwhile.
+	// Interval at which waiting requests are scanned: a server reads some hundred to a
+	// thousand tokens in it.
 	waitScanInterval = 10 * time.Millisecond
-	// Requests sent at one look. Other gateways see the same idle servers; they hear of
-	// these within 2 ms and look themselves up to 10 ms later.
-	mostSent = 4
-	// Requests placed anew at one look. A decision among 60 servers takes some 20 µs, so
-	// this bounds the cost at 2.5 % of a core.
-	mostPlaced = 12
-	// Requests that wait at once; more are refused. Each takes some 40 KB.
-	mostWaiting = 400
+	// Requests sent per scan. Other gateways see the same idle servers; they hear of these
+	// requests within 2 ms and scan up to 10 ms later.
+	maxSentPerScan = 4
+	// Requests placed again per scan. A decision among 60 servers takes some 20 µs, so this
+	// bounds the cost at 2.5 % of a core.
+	maxPlacedPerScan = 12
+	// Maximum number of waiting requests; more are refused. Each takes some 40 KB.
+	maxWaiting = 400
 )
 
-// waitQueue holds requests that no server should get now: those that can't be in time any
-// more until servers hardly wait, and those beyond their account's share for a moment. What
-// can be in time passes them by, so that the order is made before the engines, which
-// admit requests as they arrive.
+// waitQueue holds requests that no server should get yet: those that can no longer meet their
+// objective, until servers are nearly idle, and, for a moment, those beyond their account's
+// share. Requests that can meet their objective bypass the queue, so requests are ordered
+// before they reach the engines, which admit them in order of arrival.
 type waitQueue struct {
-	timer   *time.Timer // runs while somebody waits
-	list    []*waiter
-	reading time.Duration // of all that wait
+	timer       *time.Timer // runs while the queue is not empty
+	waiters     []*waiter
+	prefillTime time.Duration // sum over all waiting requests
 }
 
-// waiter is a request that waits.
+// waiter is a waiting request.
 type waiter struct {
-	message placementRequest
-	since   time.Time
-	ask     placement.Request // as it arrived
-	hold    placement.Hold
-	ahead   float64 // of its account, as of the latest look
+	message    placementRequest
+	since      time.Time
+	original   placement.Request // as it arrived
+	hold       placement.Hold
+	shareRatio float64 // share ratio of its account, as of the latest scan
 }
 
 func (q *waitQueue) add(w *waiter) {
-	if len(q.list) == 0 {
+	if len(q.waiters) == 0 {
 		q.timer.Reset(waitScanInterval)
 	}
-	q.list = append(q.list, w)
-	q.reading += w.hold.PrefillTime
+	q.waiters = append(q.waiters, w)
+	q.prefillTime += w.hold.PrefillTime
 }
 
-// furthest returns the waiter whose account is furthest ahead of its even share, among
-// those that are beyond their share; nil: none is.
-func (q *waitQueue) furthest() *waiter {
+// mostOverShare returns the waiter whose account has got most in relation to its even share,
+// among the waiters beyond their share; nil if there is none.
+func (q *waitQueue) mostOverShare() *waiter {
 	var found *waiter
-	for _, w := range q.list {
-		if w.hold.Reason == placement.OverShare && (found == nil || w.ahead > found.ahead) {
+	for _, w := range q.waiters {
+		if w.hold.Reason == placement.OverShare && (found == nil || w.shareRatio > found.shareRatio) {
 			found = w
 		}
 	}
@@ -62,12 +62,12 @@
 }
 
 func (q *waitQueue) remove(w *waiter) {
-	q.list = slices.DeleteFunc(q.list, func(x *waiter) bool { return x == w })
-	q.reading -= w.hold.PrefillTime
+	q.waiters = slices.DeleteFunc(q.waiters, func(x *waiter) bool { return x == w })
+	q.prefillTime -= w.hold.PrefillTime
 }
 
-// gone tells whether nobody waits for the decision any more.
-func (w *waiter) gone() bool {
+// cancelled reports whether the caller no longer waits for the decision.
+func (w *waiter) cancelled() bool {
 	select {
 	case <-w.message.done:
 		return true
@@ -76,18 +76,18 @@
 	}
 }
 
-// age brings the waiter's request up to date.
-func (w *waiter) age(now time.Time) {
+// refresh subtracts the time waited from the request's deadlines.
+func (w *waiter) refresh(now time.Time) {
 	waited := now.Sub(w.since)
 	a := w.message.request
-	*a = w.ask
+	*a = w.original
 	a.HoldReason, a.Waited = w.hold.Reason, waited
-	a.Objective = objectiveLeft(a.Objective, waited)
+	a.Objective = remainingObjective(a.Objective, waited)
 	a.Remaining -= waited
 	a.CallerTimeout -= waited
 }
 
-// place answers a request, or lets it wait.
+// place decides on a request or queues it.
 func (d *dispatcher) place(now time.Time, m placementRequest) {
 	decision := d.decide(now, m)
 	hold, ok := decision.(placement.Hold)
@@ -95,23 +95,23 @@
 		m.reply <- decision
 		return
 	}
-	w := &waiter{message: m, since: now, ask: *m.request, hold: hold, ahead: m.request.ShareRatio}
-	if !d.crowded(w) {
+	w := &waiter{message: m, since: now, original: *m.request, hold: hold, shareRatio: m.request.ShareRatio}
+	if !d.queueFull(w) {
 		d.queue.add(w)
 		return
 	}
-	// The account that is furthest ahead makes room.
-	if f := d.queue.furthest(); f != nil && f.ahead > w.ahead {
+	// The account with the highest share ratio makes room.
+	if f := d.queue.mostOverShare(); f != nil && f.shareRatio > w.shareRatio {
 		d.queue.remove(f)
-		d.turnAway(f)
+		d.refuse(f)
 		d.queue.add(w)
 		return
 	}
-	d.turnAway(w)
+	d.refuse(w)
 }
 
-// turnAway refuses a request for which the queue has no place.
-func (d *dispatcher) turnAway(w *waiter) {
+// refuse refuses a request that does not fit into the queue.
+func (d *dispatcher) refuse(w *waiter) {
 	after := d.settings.Policy.MinRetryAfter
 	if w.hold.Reason == placement.BackingOff {
 		after = max(after, w.hold.Predicted)
@@ -119,63 +119,63 @@
 	w.message.reply <- placement.Refuse{RetryAfter: after, Predicted: w.hold.Predicted, Reason: w.hold.Reason}
 }
 
-// crowded tells whether so many wait already that a request would come too late: it is
-// refused at once then. The other gateways are taken to hold as much as this one, and half
-// of the servers' time to be left by requests that pass.
-func (d *dispatcher) crowded(w *waiter) bool {
-	if len(d.queue.list) >= mostWaiting {
+// queueFull reports whether the queue is so long that a request would be served too late, in
+// which case it is refused at once. It assumes that the other gateways hold as much as this
+// one, and that requests that bypass the queue leave half of the servers' time.
+func (d *dispatcher) queueFull(w *waiter) bool {
+	if len(d.queue.waiters) >= maxWaiting {
 		return true
 	}
 	if w.hold.Reason == placement.BackingOff {
-		return false // nobody reads meanwhile
+		return false // servers read no prompts while they back off
 	}
-	servers := max(d.balancer.ServerCount(w.ask.Service), 1)
-	wait := 2 * d.queue.reading * time.Duration(d.fleetSize()) / time.Duration(servers)
+	servers := max(d.balancer.ServerCount(w.original.Service), 1)
+	wait := 2 * d.queue.prefillTime * time.Duration(d.fleetSize()) / time.Duration(servers)
 	if w.hold.Reason == placement.OverShare {
-		return wait > d.settings.Policy.SurplusHold(&w.ask)
+		return wait > d.settings.Policy.SurplusHold(&w.original)
 	}
-	return wait+w.hold.PrefillTime > w.ask.CallerTimeout/2
+	return wait+w.hold.PrefillTime > w.original.CallerTimeout/2
 }
 
-// scanWaiting finds servers that have room for those that wait: accounts that got least go first,
-// and of each the request that came first.
+// scanWaiting finds servers with capacity for waiting requests: accounts that got least go
+// first, and the oldest request of each account first.
 func (d *dispatcher) scanWaiting(now time.Time) {
-	for _, w := range d.queue.list {
-		w.ahead = d.shares.Status(w.ask.Account).ShareRatio
+	for _, w := range d.queue.waiters {
+		w.shareRatio = d.shares.Status(w.original.Account).ShareRatio
 	}
-	slices.SortStableFunc(d.queue.list, func(x, y *waiter) int { return cmp.Compare(x.ahead, y.ahead) })
+	slices.SortStableFunc(d.queue.waiters, func(x, y *waiter) int { return cmp.Compare(x.shareRatio, y.shareRatio) })
 	placed, sent := 0, 0
-	left := d.queue.list[:0]
-	for _, w := range d.queue.list {
-		if w.gone() {
-			d.queue.reading -= w.hold.PrefillTime
-			w.message.reply <- placement.NoServer{} // nobody reads it
+	remaining := d.queue.waiters[:0]
+	for _, w := range d.queue.waiters {
+		if w.cancelled() {
+			d.queue.prefillTime -= w.hold.PrefillTime
+			w.message.reply <- placement.NoServer{} // the reply is not read
 			continue
 		}
-		if placed >= mostPlaced || sent >= mostSent {
-			left = append(left, w)
+		if placed >= maxPlacedPerScan || sent >= maxSentPerScan {
+			remaining = append(remaining, w)
 			continue
 		}
 		placed++
-		w.age(now)
+		w.refresh(now)
 		decision := d.decide(now, w.message)
 		if h, ok := decision.(placement.Hold); ok {
 			if w.hold.Reason == placement.BackingOff {
-				d.queue.reading += h.PrefillTime - w.hold.PrefillTime
-				w.hold = h // why it waits now
+				d.queue.prefillTime += h.PrefillTime - w.hold.PrefillTime
+				w.hold = h // current reason for waiting
 			}
-			left = append(left, w)
+			remaining = append(remaining, w)
 			continue
 		}
 		if _, ok := decision.(placement.Assign); ok {
 			sent++
 		}
-		d.queue.reading -= w.hold.PrefillTime
+		d.queue.prefillTime -= w.hold.PrefillTime
 		w.message.reply <- decision
 	}
-	clear(d.queue.list[len(left):])
-	d.queue.list = left
-	if len(left) > 0 {
+	clear(d.queue.waiters[len(remaining):])
+	d.queue.waiters = remaining
+	if len(remaining) > 0 {
 		d.queue.timer.Reset(waitScanInterval)
 	}
 }
--- a/gateway/wait_queue_test.go
+++ b/gateway/wait_queue_test.go
@@ -14,7 +14,7 @@
 	"opalbridge.dev/gateway/placement"
 )
 
-// newTestDispatcher is a desk before model servers, whose duty does not run.
+// newTestDispatcher returns a dispatcher with model servers that is not running.
 func newTestDispatcher(t testing.TB, now time.Time, servers int) *dispatcher {
 	t.Helper()
 	g, err := New(Options{
@@ -37,21 +37,21 @@
 	return d
 }
 
-// busy gives every server so much to read.
-func (d *dispatcher) busy(now time.Time, work time.Duration) {
+// addWork gives every server an amount of prompt work.
+func (d *dispatcher) addWork(now time.Time, work time.Duration) {
 	for id := range d.serverIDs {
 		d.balancer.RecordSent(now, placement.Load{Server: d.serverIDs[id], Work: work}, false)
 	}
 }
 
-// placeRequest asks for a place for a placeRequest of an account.
-func (d *dispatcher) placeRequest(now time.Time, account string, change func(a *placement.Request)) (reply chan placement.Decision, leave func()) {
+// placeRequest asks for a placement of an account's request.
+func (d *dispatcher) placeRequest(now time.Time, account string, modify func(a *placement.Request)) (reply chan placement.Decision, leave func()) {
 	a := &placement.Request{
 		Service: "s", Account: account, Hall: "h", PromptTokens: 1000, Objective: 300 * time.Millisecond,
 		CallerTimeout: 2400 * time.Millisecond, Remaining: 10 * time.Second,
 	}
-	if change != nil {
-		change(a)
+	if modify != nil {
+		modify(a)
 	}
 	reply = make(chan placement.Decision, 1)
 	ended := make(chan struct{})
@@ -59,80 +59,80 @@
 	return reply, func() { close(ended) }
 }
 
-// overdrawn is an account that has got more than its share.
-func (d *dispatcher) overdrawn(now time.Time, account string, tokens float64) {
+// overdraw gives an account more than its share.
+func (d *dispatcher) overdraw(now time.Time, account string, tokens float64) {
 	d.shares.RecordAsked(now, account, 10*tokens)
 	d.shares.RecordAdmitted(now, account, tokens)
 	d.shares.Recompute(now, 1000)
 }
 
-// TestLateRequestsWait: what can't be in time any more is neither refused nor put before
-// those that can be; it is sent when servers hardly wait.
+// TestLateRequestsWait checks that a request that can no longer meet its objective is neither
+// refused nor sent ahead of those that can; it is sent when servers are nearly idle.
 func TestLateRequestsWait(t *testing.T) {
 	now := time.Now()
 	d := newTestDispatcher(t, now, 2)
-	d.busy(now, 600*time.Millisecond)
+	d.addWork(now, 600*time.Millisecond)
 	reply, _ := d.placeRequest(now, "a", nil)
 	require.Empty(t, reply)
 	d.scanWaiting(now.Add(300 * time.Millisecond))
-	require.Empty(t, reply, "servers have 300 ms to read")
+	require.Empty(t, reply, "servers have 300 ms of prompts left")
 	d.scanWaiting(now.Add(590 * time.Millisecond))
 	require.IsType(t, placement.Assign{}, <-reply)
-	require.Empty(t, d.queue.list)
-	require.Zero(t, d.queue.reading)
+	require.Empty(t, d.queue.waiters)
+	require.Zero(t, d.queue.prefillTime)
 }
 
-// TestBeyondShareWaitsAMoment: one that can still be in time is held until a server runs
-// dry, and refused soon if none does.
-func TestBeyondShareWaitsAMoment(t *testing.T) {
+// TestBeyondShareWaitsBriefly checks that a request beyond its account's share that can still
+// meet its objective is held until a server becomes idle, and refused soon if none does.
+func TestBeyondShareWaitsBriefly(t *testing.T) {
 	tests := []struct {
-		name string
-		work time.Duration // of every server
-		look time.Duration // after the arrival
-		want placement.Decision
+		name      string
+		work      time.Duration // of every server
+		scanAfter time.Duration // after the arrival
+		want      placement.Decision
 	}{
-		{"a server runs dry", 30 * time.Millisecond, 31 * time.Millisecond, placement.Assign{}},
-		{"none does", 120 * time.Millisecond, 38 * time.Millisecond, placement.Refuse{}},
+		{"a server becomes idle", 30 * time.Millisecond, 31 * time.Millisecond, placement.Assign{}},
+		{"no server becomes idle", 120 * time.Millisecond, 38 * time.Millisecond, placement.Refuse{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Now()
 			d := newTestDispatcher(t, now, 3)
-			d.overdrawn(now, "a", 9000)
-			d.busy(now, test.work)
+			d.overdraw(now, "a", 9000)
+			d.addWork(now, test.work)
 			reply, _ := d.placeRequest(now, "a", nil)
 			require.Empty(t, reply)
-			d.scanWaiting(now.Add(test.look))
+			d.scanWaiting(now.Add(test.scanAfter))
 			require.IsType(t, test.want, <-reply)
 		})
 	}
 }
 
-// TestFurthestAheadGoesLast: of accounts beyond their share, the one that got least is
-// served first, and a full queue turns away the one that got most.
+// TestFurthestAheadGoesLast checks that of accounts beyond their share, the one that got least
+// is served first, and that a full queue refuses the one that got most.
 func TestFurthestAheadGoesLast(t *testing.T) {
 	now := time.Now()
 	d := newTestDispatcher(t, now, 1)
-	d.overdrawn(now, "much", 9000)
-	d.overdrawn(now, "less", 6000)
-	d.busy(now, 100*time.Millisecond)
-	long := func(a *placement.Request) { a.PromptTokens = 1200 }
-	much, _ := d.placeRequest(now, "much", long)
+	d.overdraw(now, "much", 9000)
+	d.overdraw(now, "less", 6000)
+	d.addWork(now, 100*time.Millisecond)
+	longPrompt := func(a *placement.Request) { a.PromptTokens = 1200 }
+	much, _ := d.placeRequest(now, "much", longPrompt)
 	require.Empty(t, much)
-	less, _ := d.placeRequest(now, "less", long)
+	less, _ := d.placeRequest(now, "less", longPrompt)
 	require.Empty(t, less)
-	require.IsType(t, placement.Refuse{}, <-much, "there is place for one")
-	again, _ := d.placeRequest(now, "much", long)
-	require.IsType(t, placement.Refuse{}, <-again, "refused at once: nobody is further ahead")
+	require.IsType(t, placement.Refuse{}, <-much, "the queue has room for one")
+	again, _ := d.placeRequest(now, "much", longPrompt)
+	require.IsType(t, placement.Refuse{}, <-again, "refused at once: no account is further ahead")
 }
 
-// TestGapIsBounded: an account that got much more than another one that presses is refused at
-// once, with servers idle; the other one gets them.
+// TestGapIsBounded checks that an account that got much more than another one with demand is
+// refused at once even if servers are idle, so that the other one gets them.
 func TestGapIsBounded(t *testing.T) {
 	tests := []struct {
-		name string
-		got  float64
-		want placement.Decision
+		name  string
+		usage float64
+		want  placement.Decision
 	}{
 		{"far ahead", 6100, placement.Refuse{}},
 		{"ahead", 5900, placement.Assign{}},
@@ -142,20 +142,20 @@
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Now()
 			d := newTestDispatcher(t, now, 2)
-			d.overdrawn(now, "other", 4000)
-			d.overdrawn(now, "a", test.got)
+			d.overdraw(now, "other", 4000)
+			d.overdraw(now, "a", test.usage)
 			reply, _ := d.placeRequest(now, "a", nil)
-			require.NotEmpty(t, reply, "nobody is held in vain")
+			require.NotEmpty(t, reply, "no request is queued")
 			require.IsType(t, test.want, <-reply)
 		})
 	}
 }
 
-// TestLongQueueRefuses: who would come too late is told so at once.
+// TestLongQueueRefuses checks that a request that would be served too late is refused at once.
 func TestLongQueueRefuses(t *testing.T) {
 	now := time.Now()
 	d := newTestDispatcher(t, now, 1)
-	d.busy(now, time.Second)
+	d.addWork(now, time.Second)
 	waiting, refused := 0, 0
 	for range 100 {
 		reply, _ := d.placeRequest(now, "a", func(a *placement.Request) { a.PromptTokens = 4000 })
@@ -168,14 +168,14 @@
 	}
 	require.Positive(t, refused)
 	require.Positive(t, waiting)
-	require.Less(t, d.queue.reading, 1200*time.Millisecond, "half of what callers wait")
+	require.Less(t, d.queue.prefillTime, 1200*time.Millisecond, "half of the callers' timeout")
 }
 
-// TestWhoLeavesWaitsNoMore: a caller that has gone gets no server.
-func TestWhoLeavesWaitsNoMore(t *testing.T) {
+// TestCancelledWaiter checks that a request whose caller is gone gets no server.
+func TestCancelledWaiter(t *testing.T) {
 	now := time.Now()
 	d := newTestDispatcher(t, now, 1)
-	d.busy(now, time.Second)
+	d.addWork(now, time.Second)
 	reply, leave := d.placeRequest(now, "a", nil)
 	require.Empty(t, reply)
 	leave()
@@ -184,36 +184,36 @@
 	require.Empty(t, d.running)
 }
 
-// TestHeldAreServedAtLast: who has waited as long as its caller does is sent to a busy
-// server rather than refused.
-func TestHeldAreServedAtLast(t *testing.T) {
+// TestHeldServedEventually checks that a request that has waited for as long as its caller
+// does is sent to a busy server rather than refused.
+func TestHeldServedEventually(t *testing.T) {
 	now := time.Now()
 	d := newTestDispatcher(t, now, 1)
-	d.busy(now, time.Second)
+	d.addWork(now, time.Second)
 	reply, _ := d.placeRequest(now, "a", nil)
 	for at := 100 * time.Millisecond; at < 2400*time.Millisecond && len(reply) == 0; at += 100 * time.Millisecond {
-		d.busy(now.Add(at), 100*time.Millisecond) // those that are in time keep coming
+		d.addWork(now.Add(at), 100*time.Millisecond) // requests that can meet their objective keep arriving
 		d.scanWaiting(now.Add(at))
 	}
 	require.IsType(t, placement.Assign{}, <-reply)
 }
 
-// TestSpeedsAreHandedOn: a gateway that starts takes over what another one has learned of
-// engines; one that has learned itself doesn't.
-func TestSpeedsAreHandedOn(t *testing.T) {
+// TestSpeedsAdopted checks that a gateway that starts adopts the engine speeds that another
+// one has learned, and that one that has learned speeds itself does not.
+func TestSpeedsAdopted(t *testing.T) {
 	now := time.Now()
 	d := newTestDispatcher(t, now, 3)
 	require.Empty(t, d.learnedSpeeds(), "nothing is known yet")
-	told := peer.Speed{Service: hashString("s"), PrefillSlowdown: 0.4, FirstEventDelay: 20 * time.Millisecond}
-	d.applyUpdate(now, peer.Update{From: "p", Alive: true, Full: true, Speeds: []peer.Speed{told, {Service: 1, PrefillSlowdown: 9}}})
+	speed := peer.Speed{Service: hashString("s"), PrefillSlowdown: 0.4, FirstEventDelay: 20 * time.Millisecond}
+	d.applyUpdate(now, peer.Update{From: "p", Alive: true, Full: true, Speeds: []peer.Speed{speed, {Service: 1, PrefillSlowdown: 9}}})
 	require.Equal(t, placement.Speed{PrefillSlowdown: 0.4, FirstEventDelay: 20 * time.Millisecond, Learned: true}, d.balancer.Speed("s"))
-	require.Equal(t, []peer.Speed{told}, d.learnedSpeeds(), "it hands them on")
+	require.Equal(t, []peer.Speed{speed}, d.learnedSpeeds(), "it passes them on")
 	d.applyUpdate(now, peer.Update{From: "q", Alive: true, Full: true, Speeds: []peer.Speed{{Service: hashString("s"), PrefillSlowdown: 5, FirstEventDelay: time.Second}}})
-	require.Equal(t, []peer.Speed{told}, d.learnedSpeeds())
+	require.Equal(t, []peer.Speed{speed}, d.learnedSpeeds())
 }
 
-// TestOthersRunning: what other gateways run is known from whole beacons and from those
-// that tell changes only.
+// TestOthersRunning checks that the running requests of other gateways follow from full
+// heartbeats and from incremental ones.
 func TestOthersRunning(t *testing.T) {
 	now := time.Now()
 	d := newTestDispatcher(t, now, 2)
@@ -233,6 +233,6 @@
 		d.applyUpdate(now, s.update)
 		require.Equal(t, s.want, d.peerRunning["p"])
 	}
-	require.Equal(t, map[uint64]int{second: 4}, d.peerRunning["q"], "its whole beacon was lost")
+	require.Equal(t, map[uint64]int{second: 4}, d.peerRunning["q"], "its full heartbeat was lost")
 	require.EqualValues(t, 1, d.livePeers.Load())
 }
