--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -106,16 +106,16 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			answer, err := send(t, address, test.pieces...)
+			response, err := send(t, address, test.pieces...)
 			require.NoError(t, err)
-			require.Equal(t, http.StatusServiceUnavailable, answer.StatusCode)
-			require.Equal(t, "0.150", answer.Header.Get("Retry-After"))
-			require.True(t, answer.Close)
+			require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
+			require.Equal(t, "0.150", response.Header.Get("Retry-After"))
+			require.True(t, response.Close)
 		})
 	}
 	require.EqualValues(t, len(tests), m.denied.Load())
-	answer, err := send(t, address, "GET / HTTP/1.1\r\nHo")
-	require.Error(t, err, "an incomplete request gets no response: %v", answer)
+	response, err := send(t, address, "GET / HTTP/1.1\r\nHo")
+	require.Error(t, err, "an incomplete request gets no response: %v", response)
 }
 
 // TestConnectionsAreBounded checks that connections beyond the capacity are rejected, and that
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -66,7 +66,7 @@
 // failStep means that the request has failed for good.
 type failStep struct {
 	err            error
-	deadlinePassed bool // the deadline has passed
+	deadlinePassed bool
 }
 
 func (doneStep) step()  {}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -18,14 +18,14 @@
 // Placement: dispatcher.go makes all decisions with package placement, dispatcher_cold.go
 // limits the load of cold servers, dispatcher_rollout.go moves a service to a new version.
 //
-// State: view.go follows the source, lifetimes.go keeps the list of servers, warmth.go keeps
-// the state of cold servers and evacuated halls, handover.go fetches the views of other
+// State: view.go follows the source, lifetimes.go keeps the list of servers, cold_servers.go
+// keeps the state of cold servers and evacuated halls, handover.go fetches the views of other
 // gateways, and changelog.go keeps what has changed for incremental views.
 //
 // Protection: callers.go manages callers' connections, suspects.go keeps requests that crash
-// servers away from other servers, suspects_store.go persists them, crashes.go detects crashed
-// servers, signals.go applies what servers announce in responses. stop.go shuts the gateway
-// down.
+// servers away from other servers, call_quarantine.go applies that to a request in progress,
+// suspects_store.go persists suspects, crashes.go detects crashed servers, and signals.go
+// applies what servers announce in responses. stop.go shuts the gateway down.
 package gateway
 
 import (
--- a/gateway/handover_test.go
+++ b/gateway/handover_test.go
@@ -12,7 +12,7 @@
 
 // TestFetchDespiteStalePeer checks that a gateway fetches a later view even though a gateway
 // of its hall that is cut off from the store keeps reporting an old revision between the
-// heartbeats of the one that has it.
+// heartbeats of a gateway that has the later one.
 func TestFetchDespiteStalePeer(t *testing.T) {
 	g := newIdleGateway(t)
 	g.storeWatcher.publish(configurationVersion(1), nil, 16)
--- a/gateway/hot_account_test.go
+++ b/gateway/hot_account_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// wait returns how long ready work waits for the processor.
+// queueDelay returns how long ready work waits for the processor.
 func (h *simHost) queueDelay() time.Duration { return h.backlog * 1000 / hostMilliCPU }
 
 // measure takes a sample of the scheduling delay when the process gets to it.
@@ -160,7 +160,7 @@
 // TestSmallHostOffloads checks that under any load most of the processor time goes into
 // offloading, which gets callers served, and little into rejecting.
 func TestSmallHostOffloads(t *testing.T) {
-	maxPerSecond := float64(time.Second*hostMilliCPU/1000) / float64(offloadCost) // per second
+	maxPerSecond := float64(time.Second*hostMilliCPU/1000) / float64(offloadCost)
 	for _, callers := range []int{200, 800, 2000, 5000} {
 		t.Run(fmt.Sprintf("%d callers a second", callers), func(t *testing.T) {
 			h := newSimHost()
@@ -178,7 +178,7 @@
 // TestSmallHostAlone checks that a host with no gateway to offload to serves what it can
 // beside rejecting the rest.
 func TestSmallHostAlone(t *testing.T) {
-	maxPerSecond := float64(time.Second*hostMilliCPU/1000) / float64(serveCost) // per second
+	maxPerSecond := float64(time.Second*hostMilliCPU/1000) / float64(serveCost)
 	tests := []struct {
 		callers  int // per second
 		minShare float64
--- a/gateway/ingress.go
+++ b/gateway/ingress.go
@@ -95,7 +95,7 @@
 	if d := c.readBody(v.Configuration.Limits); d.status != 0 {
 		return nil, d
 	}
-	c.describe(v)
+	c.setPlaceReq(v)
 	return c, denial{}
 }
 
@@ -178,8 +178,8 @@
 	return denial{}
 }
 
-// describe fills in the input of the placement decision.
-func (c *call) describe(v *View) {
+// setPlaceReq sets the input of the placement decision.
+func (c *call) setPlaceReq(v *View) {
 	c.service = c.route.Pick(unitHash(c.meta.ID))
 	output := c.meta.ExpectedOutputTokens
 	if output == 0 {
--- a/gateway/retries_test.go
+++ b/gateway/retries_test.go
@@ -44,7 +44,7 @@
 		elapsed   time.Duration
 	}{
 		{"the same caller", 9 * time.Second, []string{"shared", "own"}, time.Second},
-		{"a caller with less patience", 8 * time.Second, []string{"shared", "own"}, 0},
+		{"a caller with an earlier deadline", 8 * time.Second, []string{"shared", "own"}, 0},
 		{"another prompt", 9 * time.Second, []string{"shared", "other"}, 0},
 		{"no prompt", 9 * time.Second, nil, 0},
 	}
