--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -333,9 +333,9 @@
 
 // rawConn returns the socket of a caller's connection.
 func rawConn(c net.Conn) (syscall.RawConn, error) {
-	socket, ok := c.(syscall.Conn)
+	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return nil, errors.Newf("gateway: connection type %T has no socket", c)
 	}
-	return socket.SyscallConn()
+	return sc.SyscallConn()
 }
--- a/gateway/offload.go
+++ b/gateway/offload.go
@@ -102,13 +102,13 @@
 // Maximum number of gateways tried per connection.
 const maxOffloadAttempts = 2
 
-func newOffloader(g *Gateway, failed func(rejectableConn)) (*offloader, error) {
+func newOffloader(g *Gateway, reject func(rejectableConn)) (*offloader, error) {
 	_, port, err := net.SplitHostPort(g.options.Peer.Address)
 	if err != nil {
 		return nil, errors.Wrap(err, "gateway: own peer address")
 	}
 	return &offloader{
-		log: g.log, port: port, targets: g.offloadTargets, forwarder: handoff.NewForwarder(), overload: &g.overload, reject: failed,
+		log: g.log, port: port, targets: g.offloadTargets, forwarder: handoff.NewForwarder(), overload: &g.overload, reject: reject,
 		ended: make(chan struct{}, endedQueueSize),
 	}, nil
 }
--- a/gateway/retries.go
+++ b/gateway/retries.go
@@ -16,7 +16,7 @@
 	history *retry.History
 }
 
-func (t *retryTracker) withHistory(fn func(m *retry.History)) {
+func (t *retryTracker) withHistory(fn func(h *retry.History)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.history == nil {
@@ -33,8 +33,8 @@
 		return 0
 	}
 	elapsed := time.Duration(0)
-	t.withHistory(func(m *retry.History) {
-		if first, found := m.First(c.arrived, key, c.arrived.Add(c.meta.Deadline)); found {
+	t.withHistory(func(h *retry.History) {
+		if first, found := h.First(c.arrived, key, c.arrived.Add(c.meta.Deadline)); found {
 			elapsed = max(c.arrived.Sub(first), time.Millisecond)
 		}
 	})
@@ -48,7 +48,7 @@
 		return
 	}
 	f := retry.Refusal{Key: key, Deadline: c.arrived.Add(c.meta.Deadline), FirstAttempt: c.arrived.Add(-c.sinceFirstTry)}
-	t.withHistory(func(m *retry.History) { m.Add(time.Now(), f) })
+	t.withHistory(func(h *retry.History) { h.Add(time.Now(), f) })
 	c.gateway.peers.PublishRefusal(peer.Refusal{Key: uint64(key), Deadline: f.Deadline, FirstAttempt: f.FirstAttempt})
 }
 
@@ -57,9 +57,9 @@
 	if len(list) == 0 {
 		return
 	}
-	t.withHistory(func(m *retry.History) {
+	t.withHistory(func(h *retry.History) {
 		for _, f := range list {
-			m.Add(now, retry.Refusal{Key: retry.Key(f.Key), Deadline: f.Deadline, FirstAttempt: f.FirstAttempt})
+			h.Add(now, retry.Refusal{Key: retry.Key(f.Key), Deadline: f.Deadline, FirstAttempt: f.FirstAttempt})
 		}
 	})
 }
