--- a/gateway/bundle_bench_test.go
+++ b/gateway/bundle_bench_test.go
@@ -13,10 +13,10 @@
 	"opalbridge.dev/gateway/peer/peerpb"
 )
 
-// BenchmarkBundle takes over a bundle of thirty beacons with two loads each, as a relay
-// sends seventy a second among a hundred gateways. On one processor it takes 250 us, of
-// which a half is making the bundle: 4 us a beacon are taken. Sent to each other directly,
-// the same gateways handled a thousand datagrams a second each, and sent as many.
+// BenchmarkBundle applies a bundle of thirty beacons with two loads each. A relay sends
+// seventy such bundles a second in a fleet of a hundred gateways. Half of the time goes
+// into building the bundle; applying it takes 4 us per beacon. Without relays, each of
+// these gateways would receive a thousand datagrams a second and send as many.
 func BenchmarkBundle(b *testing.B) {
 	node, err := peer.Listen(peer.Options{Address: "127.0.0.9:0", State: func() peer.State { return peer.State{} }, OnError: func(error) {}})
 	require.NoError(b, err)
--- a/gateway/warmth.go
+++ b/gateway/cold_servers.go
@@ -7,27 +7,27 @@
 	"opalbridge.dev/gateway/warmup"
 )
 
-// This file keeps what the view tells of halls that are evacuated and of servers that are
-// cold. package warmup decides what cold servers get.
+// This file keeps the evacuated halls and the cold servers of a view. Package warmup
+// decides what cold servers get.
 
-// evacuation is a hall whose servers shall get no new work.
+// evacuation is a hall whose servers get no new work.
 type evacuation struct {
-	Revision catalog.Revision // of the store, at which the operators said so
-	Since    time.Time        // when this gateway, or the one that told it, heard of it
+	Revision catalog.Revision // of the store, at which the operators ordered it
+	Since    time.Time        // when the first gateway that passed it on heard of it
 }
 
-// coldState is what is known of a server that is cold, was, or may become so.
+// coldState is what is known about a server that is cold, was cold or may become cold.
 type coldState struct {
-	Told      time.Time // it is cold until then, as it says itself; zero: it has not said so
-	Assumed   time.Time // it is taken to be cold until then, since its hall has come back
-	Episode   warmup.Episode
-	Clear     time.Time // see warmup.Server
-	Witnessed bool
-	Claimed   bool
+	ReportedUntil time.Time // end of the cold period that the server has reported; zero: none
+	AssumedUntil  time.Time // end of the cold period assumed after the evacuation of its hall has ended
+	Episode       warmup.Episode
+	Clear         time.Time // see warmup.Server
+	Witnessed     bool
+	Claimed       bool
 }
 
 // until returns when the server will be warm.
-func (c coldState) until() time.Time { return latest(c.Told, c.Assumed) }
+func (c coldState) until() time.Time { return latest(c.ReportedUntil, c.AssumedUntil) }
 
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
@@ -36,26 +36,26 @@
 	return b
 }
 
-// updateColdState takes over what a server's entry, as the store's watch has told it, says of its
-// coldness.
+// updateColdState applies a server's entry, as received by the watch.
 func (f *storeWatcher) updateColdState(now time.Time, s ServerChanged) {
 	id := s.Server.ID
-	c, told := f.cold[id]
+	c, tracked := f.cold[id]
 	_, known := f.servers[id]
 	hall, evacuated := f.evacuations[s.Server.Hall]
-	if !known && !told {
-		// What appears while the store settles may have been there before it came back.
+	if !known && !tracked {
+		// A server that appears while the store is being restored may have been there
+		// before.
 		c = coldState{Witnessed: !f.reconciling(now), Episode: startEpisode(f.changeRevision)}
 		if evacuated {
 			c.Episode = hall.Revision
 		}
 		if _, again := f.currentIDs[s.Server.Name()]; again && !evacuated {
-			c.Clear = now // the lifetime before got work until now, and the bound holds over both
+			c.Clear = now // its previous lifetime got work until now, and the limit covers both
 		}
 	}
 	if s.Cold <= 0 {
-		c.Told = time.Time{}
-		if told || !known {
+		c.ReportedUntil = time.Time{}
+		if tracked || !known {
 			f.cold[id] = c
 		}
 		return
@@ -65,16 +65,16 @@
 	}
 	if !now.Before(c.until()) {
 		f.gateway.log.Info().Str("event", "server.cold").Str("server", id).Dur("for", s.Cold).
-			Stringer("episode", c.Episode).Bool("new", !known).Msg("it gets what it bears, from the gateway that holds it")
+			Stringer("episode", c.Episode).Bool("new", !known).Msg("server is cold: only the gateway that holds it sends a limited number of requests")
 	}
-	c.Told = now.Add(s.Cold)
+	c.ReportedUntil = now.Add(s.Cold)
 	f.cold[id] = c
 }
 
-// startEpisode returns the episode of a server that starts.
+// startEpisode returns the episode of a server that starts in the revision's era.
 func startEpisode(r catalog.Revision) warmup.Episode { return catalog.NewRevision(r.Era(), 0) }
 
-// evacuate takes over that a hall is evacuated. A new episode begins for its servers.
+// evacuate marks a hall as evacuated. A new episode begins for its servers.
 func (f *storeWatcher) evacuate(now time.Time, e HallEvacuated) {
 	since := now
 	if old, already := f.evacuations[e.Hall]; already {
@@ -90,12 +90,12 @@
 		f.cold[id] = c
 		f.serverChanges.add(f.changeRevision, id)
 	}
-	f.gateway.log.Info().Str("event", "hall.evacuated").Str("hall", e.Hall).EmbedObject(revisionFields(e.Revision)).Msg("no new work for its servers")
+	f.gateway.log.Info().Str("event", "hall.evacuated").Str("hall", e.Hall).EmbedObject(revisionFields(e.Revision)).Msg("hall evacuated: no new requests for its servers")
 }
 
-// endEvacuation takes over that a hall's evacuation has ended. Its servers may have become cold
-// a moment before and not have said so, so they count as cold for as long as servers that
-// have just started, whatever they said last.
+// endEvacuation ends a hall's evacuation. Its servers may have become cold just before
+// without having reported it, so they are assumed to be cold for as long as servers that
+// have just started, whatever they reported last.
 func (f *storeWatcher) endEvacuation(now time.Time, hall string) {
 	e, evacuated := f.evacuations[hall]
 	if !evacuated {
@@ -107,15 +107,15 @@
 			continue
 		}
 		c := f.cold[id]
-		c.Assumed = latest(c.Assumed, now.Add(f.coldFor(s.Service)))
+		c.AssumedUntil = latest(c.AssumedUntil, now.Add(f.coldDuration(s.Service)))
 		f.cold[id] = c
 		f.serverChanges.add(f.changeRevision, id)
 	}
-	f.gateway.log.Info().Str("event", "hall.returned").Str("hall", hall).Dur("after", now.Sub(e.Since)).Msg("its servers get work as their warmth allows")
+	f.gateway.log.Info().Str("event", "hall.returned").Str("hall", hall).Dur("after", now.Sub(e.Since)).Msg("evacuation ended: servers count as cold at first")
 }
 
-// coldFor returns how long servers of a service are cold after their start.
-func (f *storeWatcher) coldFor(service string) time.Duration {
+// coldDuration returns how long a service's servers are cold after their start.
+func (f *storeWatcher) coldDuration(service string) time.Duration {
 	v := f.gateway.view.Load()
 	if v.Configuration == nil {
 		return 0
@@ -126,7 +126,7 @@
 	return 0
 }
 
-// markClaimed takes over that some gateway holds a server.
+// markClaimed records that some gateway holds a server.
 func (f *storeWatcher) markClaimed(claim warmup.Claim) {
 	if c, known := f.cold[claim.Server]; known && c.Episode == claim.Episode {
 		c.Claimed = true
@@ -135,8 +135,9 @@
 	}
 }
 
-// applyListedCold takes over what a list of the store tells. A list tells what there is, not what
-// has been, so nothing of it was witnessed.
+// applyListedCold takes over the cold servers and evacuated halls of a list from the store.
+// A list gives the present state and no history, so the start of an episode is not
+// witnessed.
 func (f *storeWatcher) applyListedCold(now time.Time, s Snapshot) {
 	for id, c := range f.cold {
 		c.Witnessed = false
@@ -149,11 +150,11 @@
 			if known := !c.until().IsZero(); !known || !now.Before(c.until()) {
 				c.Clear = now
 			}
-			told := now.Add(cold)
+			reported := now.Add(cold)
 			if f.reconciling(now) {
-				told = latest(told, c.Told) // it may have become cold again since the copy
+				reported = latest(reported, c.ReportedUntil) // it may have become cold again since the copy was made
 			}
-			c.Told = told
+			c.ReportedUntil = reported
 			f.cold[id] = c
 		}
 	}
@@ -169,23 +170,24 @@
 	}
 }
 
-// applyPeerCold takes over what another gateway knows. It is of a later revision, so it
-// replaces what was known here; only a longer coldness stays.
+// applyPeerCold takes over the cold servers and evacuated halls of another gateway's view.
+// It is of a later revision, so it replaces what was known, except for cold periods that
+// end later here.
 func (f *storeWatcher) applyPeerCold(now time.Time, h peerView) {
-	told := map[string]bool{}
+	listed := map[string]bool{}
 	for _, s := range h.snapshot.Servers {
-		told[s.ID] = true
+		listed[s.ID] = true
 	}
 	for id, c := range f.cold {
-		if _, cold := h.cold[id]; !cold && (told[id] || !h.partial) {
+		if _, cold := h.cold[id]; !cold && (listed[id] || !h.partial) {
 			c.Witnessed = false
 			f.cold[id] = c
 		}
 	}
 	for id, c := range h.cold {
-		c.Assumed = latest(c.Assumed, f.cold[id].Assumed)
+		c.AssumedUntil = latest(c.AssumedUntil, f.cold[id].AssumedUntil)
 		if f.reconciling(now) {
-			c.Told = latest(c.Told, f.cold[id].Told)
+			c.ReportedUntil = latest(c.ReportedUntil, f.cold[id].ReportedUntil)
 		}
 		f.cold[id] = c
 	}
@@ -202,26 +204,26 @@
 	}
 }
 
-// evacuationDocument is an evacuation on its way to another gateway.
+// evacuationDocument is the encoding of an evacuation in a view document.
 type evacuationDocument struct {
 	Revision catalog.Revision `json:"revision"`
 	AgeMS    int64            `json:"age_ms"`
 }
 
-// coldDocument is a server's coldness on its way to another gateway. Times are told as
-// spans, since clocks differ.
+// coldDocument is the encoding of a server's cold state in a view document. Times are
+// encoded as durations, since clocks differ.
 type coldDocument struct {
-	ToldMS    int64          `json:"told_ms,omitempty"`    // from now
-	AssumedMS int64          `json:"assumed_ms,omitempty"` // from now
-	ClearMS   *int64         `json:"clear_age_ms,omitempty"`
-	Episode   warmup.Episode `json:"episode,omitempty"`
-	Witnessed bool           `json:"witnessed,omitempty"`
-	Claimed   bool           `json:"claimed,omitempty"`
+	ReportedMS int64          `json:"told_ms,omitempty"`    // from now
+	AssumedMS  int64          `json:"assumed_ms,omitempty"` // from now
+	ClearMS    *int64         `json:"clear_age_ms,omitempty"`
+	Episode    warmup.Episode `json:"episode,omitempty"`
+	Witnessed  bool           `json:"witnessed,omitempty"`
+	Claimed    bool           `json:"claimed,omitempty"`
 }
 
-// addCold adds what a view tells of halls and of servers that are cold, or whose episode
-// others can't know.
-func (d *viewDocument) addCold(now time.Time, v *View, told func(server string) bool) {
+// addCold adds the evacuated halls of a view, and the servers that are cold or whose
+// episode the receiver can't derive.
+func (d *viewDocument) addCold(now time.Time, v *View, include func(server string) bool) {
 	for hall, e := range v.Evacuated {
 		if d.Evacuated == nil {
 			d.Evacuated = map[string]evacuationDocument{}
@@ -229,20 +231,20 @@
 		d.Evacuated[hall] = evacuationDocument{Revision: e.Revision, AgeMS: now.Sub(e.Since).Milliseconds()}
 	}
 	for id, c := range v.Cold {
-		if !told(id) || !now.Before(c.until()) && c.Episode.Number() == 0 {
+		if !include(id) || !now.Before(c.until()) && c.Episode.Number() == 0 {
 			continue
 		}
 		if d.Cold == nil {
 			d.Cold = map[string]coldDocument{}
 		}
 		d.Cold[id] = coldDocument{
-			ToldMS: millisUntil(now, c.Told), AssumedMS: millisUntil(now, c.Assumed), ClearMS: millisSince(now, c.Clear),
+			ReportedMS: millisUntil(now, c.ReportedUntil), AssumedMS: millisUntil(now, c.AssumedUntil), ClearMS: millisSince(now, c.Clear),
 			Episode: c.Episode, Witnessed: c.Witnessed, Claimed: c.Claimed,
 		}
 	}
 }
 
-// decodeCold returns what a view document that has arrived tells.
+// decodeCold returns the evacuated halls and cold servers of a received view document.
 func (d viewDocument) decodeCold(now time.Time) (halls map[string]evacuation, cold map[string]coldState) {
 	halls, cold = map[string]evacuation{}, map[string]coldState{}
 	for hall, e := range d.Evacuated {
@@ -250,11 +252,11 @@
 	}
 	for id, c := range d.Cold {
 		k := coldState{Episode: c.Episode, Witnessed: c.Witnessed, Claimed: c.Claimed}
-		if c.ToldMS > 0 {
-			k.Told = now.Add(time.Duration(c.ToldMS) * time.Millisecond)
+		if c.ReportedMS > 0 {
+			k.ReportedUntil = now.Add(time.Duration(c.ReportedMS) * time.Millisecond)
 		}
 		if c.AssumedMS > 0 {
-			k.Assumed = now.Add(time.Duration(c.AssumedMS) * time.Millisecond)
+			k.AssumedUntil = now.Add(time.Duration(c.AssumedMS) * time.Millisecond)
 		}
 		if c.ClearMS != nil {
 			k.Clear = timeAgo(now, *c.ClearMS)
@@ -264,12 +266,13 @@
 	return halls, cold
 }
 
-// millisUntil returns how far a time lies millisUntil, in milliseconds, rounded up.
+// millisUntil returns the time from now until at in milliseconds, rounded up, or 0 if it
+// has passed.
 func millisUntil(now, at time.Time) int64 {
 	return max((at.Sub(now) + time.Millisecond - 1).Milliseconds(), 0)
 }
 
-// millisSince returns how long ago a time was, in milliseconds; nil: there is no such time.
+// millisSince returns the time since at in milliseconds, or nil if at is zero.
 func millisSince(now, at time.Time) *int64 {
 	if at.IsZero() {
 		return nil
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -14,160 +14,163 @@
 	"opalbridge.dev/gateway/catalog"
 )
 
-// This file finds out which servers have ended, as against connections that have broken, and
-// which requests were there then. A server has ended if a connection to it broke while a
-// request was there, and then either it takes no connections any more, which is asked at
-// once, or its entry goes, or another lifetime of it begins. One that was leaving, or whose
-// entry had gone before, has ended as was planned: that blames nobody.
+// This file tells crashed servers from broken connections, and finds the requests that a
+// crashed server had in flight. A server has crashed if a connection to it broke while it
+// had a request, and then it refuses connections (it is probed at once), its entry
+// disappears, or another lifetime of it starts. A server that was leaving, or whose entry
+// had disappeared before, has stopped as planned, and no request is blamed.
 
 const (
-	// A connection that is neither taken nor refused in this time says nothing.
+	// probeTimeout limits a probe. A connection that is neither accepted nor refused in
+	// this time proves nothing.
 	probeTimeout = 300 * time.Millisecond
-	// A server is not asked again within this time.
-	probeAgain = 200 * time.Millisecond
-	// Servers that wait to be asked; of more, their entries tell.
-	probeQueue = 64
-	// Servers that are asked at once.
+	// probeInterval is the minimum time between two probes of a server.
+	probeInterval = 200 * time.Millisecond
+	// probeQueueSize limits the servers that wait for a probe. Crashes of others are
+	// detected by their entries.
+	probeQueueSize = 64
+	// probeWorkers is the number of concurrent probes.
 	probeWorkers = 4
-	// What broke is remembered for this long: the entry of a server that has ended goes after
-	// three to four seconds, and later by two if the store was away.
-	brokenFor = 10 * time.Second
-	// A request whose caller had left it is blamed if its server ends this soon after: the
-	// server may have gone on with it.
-	leftFor = 500 * time.Millisecond
-	// Requests remembered of one server.
-	mostThere = 256
+	// lossRetention is how long losses are remembered. The entry of a crashed server
+	// disappears after three to four seconds, and up to two seconds later if the store was
+	// away.
+	lossRetention = 10 * time.Second
+	// callerLeftWindow is how soon after its caller has left a request is still blamed for
+	// a crash: the server may have gone on with it.
+	callerLeftWindow = 500 * time.Millisecond
+	// maxLostPerServer limits the lost requests remembered for a server.
+	maxLostPerServer = 256
 )
 
-// crashDetector is what this gateway has seen of servers that may have ended. It is safe for use by
-// several goroutines.
+// crashDetector tracks servers that may have crashed. It is safe for concurrent use.
 type crashDetector struct {
 	log     zerolog.Logger
-	verdict func(now time.Time, server string, there []suspect)
+	onCrash func(now time.Time, server string, requests []suspect)
 	probes  chan catalog.Server
 
-	mutex  sync.Mutex
-	broken map[string]*breakage // by lifetime
-	gone   map[string]time.Time // lifetimes whose entry has gone although they were not leaving
+	mutex   sync.Mutex
+	losses  map[string]*serverLosses // by lifetime
+	removed map[string]time.Time     // lifetimes whose entry disappeared although they were not leaving
 }
 
-// breakage is what has broken at a server.
-type breakage struct {
-	since  time.Time
-	probed time.Time
-	ended  time.Time // when it was known to have ended; zero: it is not
-	there  []lost
+// serverLosses holds the requests lost at a server.
+type serverLosses struct {
+	since     time.Time
+	lastProbe time.Time
+	crashedAt time.Time // when the crash was detected; zero: it was not
+	requests  []lostRequest
 }
 
-// lost is a request without an answer.
-type lost struct {
+// lostRequest is a request that got no complete answer.
+type lostRequest struct {
 	suspect
-	how lossKind
-	at  time.Time
+	kind lossKind
+	at   time.Time
 }
 
-// lossKind tells how a request was lost at a server.
+// lossKind is how a request was lost.
 type lossKind int
 
 const (
 	lossConnectionBroke lossKind = iota // its connection broke
-	lostBySilence                       // nothing was heard until its time was over
-	lostByCaller                        // its caller left
+	lossTimeout                         // nothing was received until its deadline
+	lossCallerLeft                      // its caller left
 )
 
-func newCrashDetector(log zerolog.Logger, verdict func(now time.Time, server string, there []suspect)) *crashDetector {
+func newCrashDetector(log zerolog.Logger, onCrash func(now time.Time, server string, requests []suspect)) *crashDetector {
 	return &crashDetector{
-		log: log, verdict: verdict, probes: make(chan catalog.Server, probeQueue),
-		broken: map[string]*breakage{}, gone: map[string]time.Time{},
+		log: log, onCrash: onCrash, probes: make(chan catalog.Server, probeQueueSize),
+		losses: map[string]*serverLosses{}, removed: map[string]time.Time{},
 	}
 }
 
-// requestLost takes over that a request was lost at a server. It was sent, or last heard of, at a
-// time; planned tells that the server takes no new work, or has no entry.
-func (c *crashDetector) requestLost(now time.Time, s catalog.Server, planned bool, heard time.Time, l lost) {
+// requestLost records that a request was lost at a server. heard is when it was sent or
+// last received an event. planned says that the server was leaving or had no entry.
+func (c *crashDetector) requestLost(now time.Time, s catalog.Server, planned bool, heard time.Time, l lostRequest) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	l.at = now
-	gone, hasGone := c.gone[s.ID]
-	if hasGone && l.how == lostBySilence && heard.Before(gone) {
-		c.ended(now, s.ID, "its entry has gone", []lost{l})
+	removedAt, wasRemoved := c.removed[s.ID]
+	if wasRemoved && l.kind == lossTimeout && heard.Before(removedAt) {
+		c.reportCrash(now, s.ID, "its entry has gone", []lostRequest{l})
 		return
 	}
 	if planned {
 		return
 	}
-	b := c.broken[s.ID]
+	b := c.losses[s.ID]
 	if b == nil {
-		c.sweep(now)
-		b = &breakage{since: now}
-		c.broken[s.ID] = b
+		c.expire(now)
+		b = &serverLosses{since: now}
+		c.losses[s.ID] = b
 	}
-	if !b.ended.IsZero() {
-		if heard.Before(b.ended) && l.how != lostByCaller {
-			c.ended(now, s.ID, "", []lost{l})
+	if !b.crashedAt.IsZero() {
+		if heard.Before(b.crashedAt) && l.kind != lossCallerLeft {
+			c.reportCrash(now, s.ID, "", []lostRequest{l})
 		}
 		return
 	}
-	b.there = append(b.there, l)
-	b.there = b.there[max(0, len(b.there)-mostThere):]
-	if l.how == lossConnectionBroke && now.Sub(b.probed) >= probeAgain {
-		b.probed = now
+	b.requests = append(b.requests, l)
+	b.requests = b.requests[max(0, len(b.requests)-maxLostPerServer):]
+	if l.kind == lossConnectionBroke && now.Sub(b.lastProbe) >= probeInterval {
+		b.lastProbe = now
 		select {
 		case c.probes <- s:
-		default: // its entry tells
+		default: // its entry in the store shows a crash
 		}
 	}
 }
 
-// connectionRefused takes over that a server takes no connections.
+// connectionRefused records that a server refuses connections.
 func (c *crashDetector) connectionRefused(now time.Time, server string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.decide(now, server, "it refuses connections")
+	c.declareCrashed(now, server, "it refuses connections")
 }
 
-// decide takes a server for ended if something broke there.
-func (c *crashDetector) decide(now time.Time, server, why string) {
-	b := c.broken[server]
-	broke := func(l lost) bool { return l.how != lostByCaller }
-	if b == nil || !b.ended.IsZero() || !slices.ContainsFunc(b.there, broke) {
+// declareCrashed marks a server as crashed if a request was lost there other than by its
+// caller.
+func (c *crashDetector) declareCrashed(now time.Time, server, cause string) {
+	b := c.losses[server]
+	notByCaller := func(l lostRequest) bool { return l.kind != lossCallerLeft }
+	if b == nil || !b.crashedAt.IsZero() || !slices.ContainsFunc(b.requests, notByCaller) {
 		return
 	}
-	b.ended = now
-	there := slices.DeleteFunc(b.there, func(l lost) bool { return l.how == lostByCaller && now.Sub(l.at) > leftFor })
-	b.there = nil
-	c.ended(now, server, why, there)
+	b.crashedAt = now
+	requests := slices.DeleteFunc(b.requests, func(l lostRequest) bool { return l.kind == lossCallerLeft && now.Sub(l.at) > callerLeftWindow })
+	b.requests = nil
+	c.reportCrash(now, server, cause, requests)
 }
 
-func (c *crashDetector) ended(now time.Time, server, why string, there []lost) {
-	if why != "" {
-		c.log.Warn().Str("event", "server.ended").Str("server", server).Str("by", why).Int("requests", len(there)).Msg("unplanned; each of its requests may be the cause")
+func (c *crashDetector) reportCrash(now time.Time, server, cause string, requests []lostRequest) {
+	if cause != "" {
+		c.log.Warn().Str("event", "server.ended").Str("server", server).Str("by", cause).Int("requests", len(requests)).Msg("server crashed: any of its requests may be the cause")
 	}
-	list := make([]suspect, len(there))
-	for i, l := range there {
+	list := make([]suspect, len(requests))
+	for i, l := range requests {
 		list[i] = l.suspect
 	}
-	c.verdict(now, server, list)
+	c.onCrash(now, server, list)
 }
 
-// viewChanged takes over which servers there are.
+// viewChanged handles a change of the server list.
 func (c *crashDetector) viewChanged(now time.Time, before, after []catalog.Server) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, s := range missing(before, after) {
+	for _, s := range removedServers(before, after) {
 		if s.Leaving || s.Evacuated {
-			delete(c.broken, s.ID)
+			delete(c.losses, s.ID)
 			continue
 		}
-		c.gone[s.ID] = now
-		c.decide(now, s.ID, "its entry has gone")
+		c.removed[s.ID] = now
+		c.declareCrashed(now, s.ID, "its entry has gone")
 	}
-	c.sweep(now)
+	c.expire(now)
 }
 
-// missing returns the servers that are in the first of two lists only. Both are in the order
-// of their IDs.
-func missing(before, after []catalog.Server) []catalog.Server {
+// removedServers returns the servers that are only in the first list. Both lists are sorted
+// by ID.
+func removedServers(before, after []catalog.Server) []catalog.Server {
 	var list []catalog.Server
 	for _, s := range before {
 		for len(after) > 0 && after[0].ID < s.ID {
@@ -180,21 +183,21 @@
 	return list
 }
 
-// sweep forgets what is over.
-func (c *crashDetector) sweep(now time.Time) {
-	for id, b := range c.broken {
-		if now.Sub(b.since) > brokenFor {
-			delete(c.broken, id)
+// expire removes old records.
+func (c *crashDetector) expire(now time.Time) {
+	for id, b := range c.losses {
+		if now.Sub(b.since) > lossRetention {
+			delete(c.losses, id)
 		}
 	}
-	for id, at := range c.gone {
-		if now.Sub(at) > brokenFor {
-			delete(c.gone, id)
+	for id, at := range c.removed {
+		if now.Sub(at) > lossRetention {
+			delete(c.removed, id)
 		}
 	}
 }
 
-// runProbes asks servers whether they take connections, until ctx ends.
+// runProbes probes whether servers accept connections, until ctx ends.
 func (c *crashDetector) runProbes(ctx context.Context) {
 	dialer := net.Dialer{Timeout: probeTimeout}
 	for {
--- a/gateway/rollout_test.go
+++ b/gateway/rollout_test.go
@@ -14,21 +14,21 @@
 	"opalbridge.dev/gateway/rollout"
 )
 
-// orderOf is an order of the tests' service, as it stands at a revision.
-func orderOf(revision catalog.Revision) rollout.Order {
+// testOrder returns an order for the test service with the given store revision.
+func testOrder(revision catalog.Revision) rollout.Order {
 	return rollout.Order{Service: "s", Target: "v2", Duration: 10 * time.Second, Revision: revision}
 }
 
-// TestRolloutsAreKnown: a gateway knows of a roll-out and its age however it hears of it, and an
-// order that is taken back, or that a copy of the store has lost, is one no more.
-func TestRolloutsAreKnown(t *testing.T) {
+// TestRolloutTracking checks that a gateway learns of a rollout and its age from each
+// source, and drops an order that was withdrawn or that a restored store has lost.
+func TestRolloutTracking(t *testing.T) {
 	now := time.Now()
 	old, later := catalog.NewRevision(1, 9), catalog.NewRevision(2, 4)
 	first := listOf(old, 1, readyServer("i-1"))
-	first.snapshot.RolloutOrders = map[string]rollout.Order{"s": orderOf(old)}
+	first.snapshot.RolloutOrders = map[string]rollout.Order{"s": testOrder(old)}
 	within := func(revision catalog.Revision) sourceResult {
 		a := listOf(revision, 1, readyServer("i-1"))
-		a.snapshot.RolloutOrders = map[string]rollout.Order{"s": orderOf(revision)}
+		a.snapshot.RolloutOrders = map[string]rollout.Order{"s": testOrder(revision)}
 		return a
 	}
 	tests := []struct {
@@ -37,32 +37,32 @@
 		want  rollout.Order
 		since time.Time
 	}{
-		{"by a list", func(g *Gateway) {}, orderOf(old), now},
-		{"once more", func(g *Gateway) {
-			g.storeWatcher.applyResult(now.Add(time.Second), sourceResult{since: old, revision: old + 1, changes: []Change{RolloutOrdered{orderOf(old)}}})
-		}, orderOf(old), now},
-		{"another one", func(g *Gateway) {
-			g.storeWatcher.applyResult(now.Add(time.Second), sourceResult{since: old, revision: old + 1, changes: []Change{RolloutOrdered{orderOf(old + 1)}}})
-		}, orderOf(old + 1), now.Add(time.Second)},
-		{"taken back", func(g *Gateway) {
+		{"list", func(g *Gateway) {}, testOrder(old), now},
+		{"order repeated", func(g *Gateway) {
+			g.storeWatcher.applyResult(now.Add(time.Second), sourceResult{since: old, revision: old + 1, changes: []Change{RolloutOrdered{testOrder(old)}}})
+		}, testOrder(old), now},
+		{"new order", func(g *Gateway) {
+			g.storeWatcher.applyResult(now.Add(time.Second), sourceResult{since: old, revision: old + 1, changes: []Change{RolloutOrdered{testOrder(old + 1)}}})
+		}, testOrder(old + 1), now.Add(time.Second)},
+		{"withdrawn", func(g *Gateway) {
 			g.storeWatcher.applyResult(now, sourceResult{since: old, revision: old + 1, changes: []Change{RolloutWithdrawn{"s"}}})
 		}, rollout.Order{}, time.Time{}},
-		{"the list does not have it any more", func(g *Gateway) {
+		{"missing in a later list", func(g *Gateway) {
 			g.storeWatcher.applyResult(now.Add(reconcilePeriod+time.Second), listOf(old+5, 1, readyServer("i-1")))
 		}, rollout.Order{}, time.Time{}},
-		{"the store has come back from a copy that has it", func(g *Gateway) {
+		{"store restored from a copy that has it", func(g *Gateway) {
 			g.storeWatcher.applyResult(now.Add(time.Second), within(later))
-		}, orderOf(later), now},
-		{"from one that lacks it, and operators have not written it again", func(g *Gateway) {
+		}, testOrder(later), now},
+		{"restored from a copy that lacks it, not written again", func(g *Gateway) {
 			g.storeWatcher.applyResult(now, listOf(later, 1, readyServer("i-1")))
-			require.Equal(t, orderOf(old), g.view.Load().Rollouts["s"].Order, "kept for a moment")
+			require.Equal(t, testOrder(old), g.view.Load().Rollouts["s"].Order, "kept while the store is reconciled")
 			g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Second))
 		}, rollout.Order{}, time.Time{}},
-		{"from one that lacks it, and operators have", func(g *Gateway) {
+		{"restored from a copy that lacks it, written again", func(g *Gateway) {
 			g.storeWatcher.applyResult(now, listOf(later, 1, readyServer("i-1")))
-			g.storeWatcher.applyResult(now.Add(time.Second), sourceResult{since: later, revision: later + 1, changes: []Change{RolloutOrdered{orderOf(later + 1)}}})
+			g.storeWatcher.applyResult(now.Add(time.Second), sourceResult{since: later, revision: later + 1, changes: []Change{RolloutOrdered{testOrder(later + 1)}}})
 			g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Second))
-		}, orderOf(later + 1), now.Add(time.Second)},
+		}, testOrder(later + 1), now.Add(time.Second)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -78,19 +78,19 @@
 	}
 }
 
-// TestRolloutsAreHandedOver with their age and what the operators were told.
-func TestRolloutsAreHandedOver(t *testing.T) {
+// TestRolloutHandover checks that rollouts are handed over with their age and status.
+func TestRolloutHandover(t *testing.T) {
 	now := time.Now()
 	from, to := newIdleGateway(t), newIdleGateway(t)
 	a := listOf(9, 1, readyServer("i-1"))
-	a.snapshot.RolloutOrders = map[string]rollout.Order{"s": orderOf(7)}
+	a.snapshot.RolloutOrders = map[string]rollout.Order{"s": testOrder(7)}
 	a.snapshot.RolloutStatuses = map[string]rollout.Status{"s": {State: rollout.InProgress, Target: "v2", Revision: 8}}
 	from.storeWatcher.applyResult(now, a)
 	later := now.Add(3 * time.Second)
 	d := from.view.Load().document(later)
 	to.storeWatcher.applyPeerView(later, d.peerView(later))
 	known := to.view.Load().Rollouts["s"]
-	require.Equal(t, orderOf(7), known.Order)
+	require.Equal(t, testOrder(7), known.Order)
 	require.WithinDuration(t, now, known.Since, time.Millisecond)
 	require.Equal(t, rollout.InProgress, known.Status.StateFor(known.Order))
 	from.storeWatcher.applyResult(later, sourceResult{since: 9, revision: 10, changes: []Change{RolloutWithdrawn{"s"}, RolloutStatusChanged{Service: "s"}}})
@@ -100,8 +100,9 @@
 	require.Empty(t, to.view.Load().Rollouts)
 }
 
-// versionDesk is a desk with five servers of each version and a roll-out.
-func versionDesk(t *testing.T, now time.Time, o rolloutRecord) *dispatcher {
+// newRolloutDispatcher returns a dispatcher with five servers of each version and a
+// rollout.
+func newRolloutDispatcher(t *testing.T, now time.Time, o rolloutRecord) *dispatcher {
 	d := newTestDispatcher(t, now, 10)
 	d.viewFresh = func(time.Time) bool { return true }
 	v := *d.view
@@ -111,84 +112,85 @@
 	}
 	v.Rollouts = map[string]rolloutRecord{"s": o}
 	d.setView(now, &v)
-	d.lookRollouts(now)
+	d.advanceRollouts(now)
 	return d
 }
 
-// got counts which versions requests go to.
-func (d *dispatcher) got(now time.Time, requests int) (old, new int) {
+// countVersions sends requests and counts which versions they go to.
+func (d *dispatcher) countVersions(now time.Time, requests int) (baseline, target int) {
 	for range requests {
 		reply, _ := d.placeRequest(now, "", func(a *placement.Request) { a.PromptTokens, a.Objective = 10, 0 })
 		assign := (<-reply).(placement.Assign)
 		if assign.Server.Version == "v2" {
-			new++
+			target++
 		} else {
-			old++
+			baseline++
 		}
 		d.recordEnd(now, attemptEnded{ticket: assign.ID, server: assign.Server.ID, end: placement.Served, status: 200})
 	}
-	return old, new
+	return baseline, target
 }
 
-// TestWhichVersionGetsRequests, by how far the roll-out is.
-func TestWhichVersionGetsRequests(t *testing.T) {
+// TestVersionSplit checks which version gets requests in each state of a rollout.
+func TestVersionSplit(t *testing.T) {
 	now := time.Now()
 	status := func(s rollout.State) rollout.Status {
 		return rollout.Status{State: s, Target: "v2", Revision: 8}
 	}
 	tests := []struct {
-		name     string
-		known    rolloutRecord
-		change   func(d *dispatcher)
-		old, new int // of 1,000
+		name             string
+		known            rolloutRecord
+		change           func(d *dispatcher)
+		baseline, target int // out of 1,000
 	}{
-		{"ordered", rolloutRecord{Order: orderOf(7), Since: now}, nil, 950, 50},
-		{"in progress", rolloutRecord{Order: orderOf(7), Since: now, Status: status(rollout.InProgress)}, nil, 950, 50},
-		{"rolled back", rolloutRecord{Order: orderOf(7), Since: now, Status: status(rollout.RolledBack)}, nil, 1000, 0},
-		{"rolled back, and the order withdrawn", rolloutRecord{Status: status(rollout.RolledBack)}, nil, 1000, 0},
-		{"an earlier order was rolled back", rolloutRecord{Order: orderOf(9), Since: now, Status: status(rollout.RolledBack)}, nil, 950, 50},
-		{"no fresh news", rolloutRecord{Order: orderOf(7), Since: now}, func(d *dispatcher) { d.viewFresh = func(time.Time) bool { return false } }, 1000, 0},
-		{"another gateway has taken it back", rolloutRecord{Order: orderOf(7), Since: now}, func(d *dispatcher) {
-			r := rollout.New(orderOf(7), now)
+		{"ordered", rolloutRecord{Order: testOrder(7), Since: now}, nil, 950, 50},
+		{"in progress", rolloutRecord{Order: testOrder(7), Since: now, Status: status(rollout.InProgress)}, nil, 950, 50},
+		{"rolled back", rolloutRecord{Order: testOrder(7), Since: now, Status: status(rollout.RolledBack)}, nil, 1000, 0},
+		{"rolled back and order withdrawn", rolloutRecord{Status: status(rollout.RolledBack)}, nil, 1000, 0},
+		{"earlier order rolled back", rolloutRecord{Order: testOrder(9), Since: now, Status: status(rollout.RolledBack)}, nil, 950, 50},
+		{"view is not fresh", rolloutRecord{Order: testOrder(7), Since: now}, func(d *dispatcher) { d.viewFresh = func(time.Time) bool { return false } }, 1000, 0},
+		{"reverted by another gateway", rolloutRecord{Order: testOrder(7), Since: now}, func(d *dispatcher) {
+			r := rollout.New(testOrder(7), now)
 			r.TakeBack()
-			told, _ := reportOf(now, r)
-			d.applyUpdate(now, peer.Update{From: "b", Alive: true, Rollouts: []*peerpb.Rollout{told}})
+			report, _ := encodeReport(now, r)
+			d.applyUpdate(now, peer.Update{From: "b", Alive: true, Rollouts: []*peerpb.Rollout{report}})
 		}, 1000, 0},
-		{"complete", rolloutRecord{Order: orderOf(7), Since: now, Status: status(rollout.InProgress)}, func(d *dispatcher) {
-			d.stated(now, statedMessage{service: "s", status: rollout.Status{State: rollout.Complete, Target: "v2", Revision: 9}})
+		{"complete", rolloutRecord{Order: testOrder(7), Since: now, Status: status(rollout.InProgress)}, func(d *dispatcher) {
+			d.applyStatusWritten(now, rolloutStatusWritten{service: "s", status: rollout.Status{State: rollout.Complete, Target: "v2", Revision: 9}})
 		}, 0, 1000},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			d := versionDesk(t, now, test.known)
+			d := newRolloutDispatcher(t, now, test.known)
 			if test.change != nil {
 				test.change(d)
 			}
-			d.lookRollouts(now)
-			old, new := d.got(now, 1000)
-			require.Equal(t, [2]int{test.old, test.new}, [2]int{old, new})
+			d.advanceRollouts(now)
+			baseline, target := d.countVersions(now, 1000)
+			require.Equal(t, [2]int{test.baseline, test.target}, [2]int{baseline, target})
 		})
 	}
 }
 
-// TestCompleteWaitsForOtherGateways: as long as any gateway has something at a server of the old
-// version, the operators are not told that these may end.
+// TestCompleteWaitsForOtherGateways checks that a rollout is not reported as complete while
+// another gateway has a request at a server of the old version: the operators would stop
+// that server.
 func TestCompleteWaitsForOtherGateways(t *testing.T) {
 	now := time.Now()
-	statements := make(chan rolloutStatusWrite, statusQueueSize)
-	d := versionDesk(t, now, rolloutRecord{Order: orderOf(7), Since: now, Status: rollout.Status{State: rollout.InProgress, Target: "v2", Revision: 8}})
-	d.statusWrites = statements
+	writes := make(chan rolloutStatusWrite, statusQueueSize)
+	d := newRolloutDispatcher(t, now, rolloutRecord{Order: testOrder(7), Since: now, Status: rollout.Status{State: rollout.InProgress, Target: "v2", Revision: 8}})
+	d.statusWrites = writes
 	d.applyUpdate(now, peer.Update{From: "b", Alive: true, Full: true, Running: map[uint64]int{hashString("i-0"): 1}})
 	step := func(until time.Duration) {
 		for end := now.Add(until); now.Before(end); now = now.Add(50 * time.Millisecond) {
-			d.got(now, 20)
-			d.lookRollouts(now)
+			d.countVersions(now, 20)
+			d.advanceRollouts(now)
 		}
 	}
 	step(9 * time.Second)
-	require.Equal(t, rollout.Full, d.rollouts["s"].work.Stage())
-	require.Empty(t, statements)
+	require.Equal(t, rollout.Full, d.rollouts["s"].rollout.Stage())
+	require.Empty(t, writes)
 	d.applyUpdate(now, peer.Update{From: "b", Alive: true, Full: true, Running: map[uint64]int{}})
-	step(3 * idleBeforeEnd)
-	require.Equal(t, rolloutStatusWrite{"s", rollout.Status{State: rollout.Complete, Target: "v2", Revision: 8}}, <-statements)
+	step(3 * minBaselineIdle)
+	require.Equal(t, rolloutStatusWrite{"s", rollout.Status{State: rollout.Complete, Target: "v2", Revision: 8}}, <-writes)
 }
--- a/gateway/rollout_view.go
+++ b/gateway/rollout_view.go
@@ -8,16 +8,16 @@
 	"opalbridge.dev/gateway/rollout"
 )
 
-// This file keeps what the view tells of roll-outs. package rollout decides on them.
+// This file keeps the rollouts of a view. Package rollout decides how they proceed.
 
-// rolloutRecord is what is known of a service's roll-out.
+// rolloutRecord is the order and the status of a service's rollout.
 type rolloutRecord struct {
-	Order  rollout.Order // zero: there is none, or it has been withdrawn
-	Since  time.Time     // when this gateway, or the one that told it, heard of the order
+	Order  rollout.Order // zero: none, or withdrawn
+	Since  time.Time     // when the first gateway that passed it on heard of the order
 	Status rollout.Status
 }
 
-// applyOrder takes over what operators want of a service.
+// applyOrder takes over an order of the operators.
 func (f *storeWatcher) applyOrder(now time.Time, o rollout.Order) {
 	known := f.rollouts[o.Service]
 	if known.Order == o {
@@ -26,11 +26,11 @@
 	known.Order, known.Since = o, now
 	f.setRollout(o.Service, known)
 	f.gateway.log.Info().Str("event", "rollout.ordered").Str("service", o.Service).Str("target", o.Target).
-		Dur("within", o.Duration).EmbedObject(revisionFields(o.Revision)).Msg("a new version gets a few requests first")
+		Dur("within", o.Duration).EmbedObject(revisionFields(o.Revision)).Msg("new version gets a small share of requests first")
 }
 
-// withdrawOrder takes over that operators have taken an order back. What was said of it still holds:
-// a version that was taken back gets nothing.
+// withdrawOrder removes an order that the operators have withdrawn. Its status stays in
+// force: a version that was rolled back gets no requests.
 func (f *storeWatcher) withdrawOrder(service string) {
 	known := f.rollouts[service]
 	if known.Order == (rollout.Order{}) {
@@ -38,10 +38,10 @@
 	}
 	known.Order = rollout.Order{}
 	f.setRollout(service, known)
-	f.gateway.log.Info().Str("event", "rollout.withdrawn").Str("service", service).Msg("no order any more")
+	f.gateway.log.Info().Str("event", "rollout.withdrawn").Str("service", service).Msg("rollout order withdrawn")
 }
 
-// applyRolloutStatus takes over what was said of a service's roll-out.
+// applyRolloutStatus takes over the stored status of a service's rollout.
 func (f *storeWatcher) applyRolloutStatus(service string, s rollout.Status) {
 	known := f.rollouts[service]
 	if s != (rollout.Status{}) && s.Revision < known.Status.Revision {
@@ -51,7 +51,7 @@
 	f.setRollout(service, known)
 }
 
-// setRollout replaces what is known of a roll-out; views share the map.
+// setRollout replaces a rollout. Views share the map, so it is copied.
 func (f *storeWatcher) setRollout(service string, o rolloutRecord) {
 	changed := make(map[string]rolloutRecord, len(f.rollouts)+1)
 	maps.Copy(changed, f.rollouts)
@@ -62,12 +62,12 @@
 	f.rollouts = changed
 }
 
-// applyListedRollouts takes over what a list of the store tells. While the store may lack what it
-// had, nothing is taken from it that it does not name.
+// applyListedRollouts takes over the rollouts of a list from the store. While the store may
+// lack recent writes, rollouts that the list does not name are kept.
 func (f *storeWatcher) applyListedRollouts(now time.Time, s Snapshot) {
 	for service, o := range s.RolloutOrders {
 		if known := f.rollouts[service]; known.Order.Target == o.Target && known.Order.Duration == o.Duration && f.reconciling(now) {
-			known.Order = o // as it stands in the copy: the same order, and as old
+			known.Order = o // the same order under the revision of the restored copy; its age stays
 			f.setRollout(service, known)
 			continue
 		}
@@ -83,22 +83,22 @@
 	}
 }
 
-// applyPeerRollouts takes over what another gateway knows that knows more of the store.
-func (f *storeWatcher) applyPeerRollouts(now time.Time, told map[string]rolloutRecord) {
-	for service, o := range told {
+// applyPeerRollouts takes over the rollouts of a gateway whose view is newer.
+func (f *storeWatcher) applyPeerRollouts(now time.Time, received map[string]rolloutRecord) {
+	for service, o := range received {
 		if known := f.rollouts[service]; known.Order == o.Order && known.Since.Before(o.Since) {
 			o.Since = known.Since
 		}
 		f.setRollout(service, o)
 	}
 	for service := range f.rollouts {
-		if _, still := told[service]; !still && !f.reconciling(now) {
+		if _, still := received[service]; !still && !f.reconciling(now) {
 			f.setRollout(service, rolloutRecord{})
 		}
 	}
 }
 
-// rolloutDocument is a roll-out on its way to another gateway.
+// rolloutDocument is the encoding of a rollout in a view document.
 type rolloutDocument struct {
 	Target         string           `json:"target,omitempty"`
 	DurationMS     int64            `json:"duration_ms,omitempty"`
@@ -109,7 +109,7 @@
 	StatusRevision catalog.Revision `json:"status_revision,omitempty"`
 }
 
-// addRollouts adds what a view tells of roll-outs.
+// addRollouts adds the rollouts of a view.
 func (d *viewDocument) addRollouts(now time.Time, v *View) {
 	for service, o := range v.Rollouts {
 		if d.Rollouts == nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-// decodeRollouts returns what a view document that has arrived tells.
+// decodeRollouts returns the rollouts of a received view document.
 func (d viewDocument) decodeRollouts(now time.Time) map[string]rolloutRecord {
 	list := make(map[string]rolloutRecord, len(d.Rollouts))
 	for service, r := range d.Rollouts {
--- a/gateway/signals.go
+++ b/gateway/signals.go
@@ -12,107 +12,112 @@
 	"opalbridge.dev/gateway/upstream"
 )
 
-// This file takes over what servers say of themselves in their answers: that they leave, and
-// that they want rest. Their entries tell the first one too, but not while the store takes
-// nothing (platform: TestServerSaysItLeaves).
+// This file handles what servers announce about themselves in answers: that they are
+// leaving, and that they want clients to back off (a 503 with a time to come back). A
+// server's entry in the store also says that it is leaving, but not while the store accepts
+// no writes (platform: TestServerSaysItLeaves).
 //
-// Two places act on it. The desk places nothing at such a server any more; and whoever was
-// placed there before looks once more when its connection is there, just before it is sent.
-// That a server leaves is told to the other gateways, also to one that starts. Rest is asked
-// of this gateway alone: the others may well be served at the same moment.
+// Both are checked twice. The dispatcher places no more requests at such a server, and a
+// request that was placed there before is checked again just before it is sent on its
+// connection. A leaving server is announced to the other gateways, including one that
+// starts later. A backoff applies to this gateway only: the server may be able to serve the
+// others at the same moment.
 
 const (
-	// A server that has said that it leaves is not believed to be ready again for so long
-	// after its entry has gone: an entry that lapses while the store is away comes back, and a
-	// server serves on for some seconds, at times many, after it has said so. One that starts
-	// again is another lifetime, and free at once.
-	leavingKept = time.Minute
-	// Servers that leave and have no entry here, remembered at most; a fleet of 10,000 that
-	// is replaced at once fits.
-	mostLeaving = 1 << 14
+	// leavingRetention is how long a leaving server is remembered after its entry has gone.
+	// An entry that lapses while the store is away may come back, and a server may serve
+	// for some seconds or more after it has announced that it is leaving. A server that
+	// starts again is another lifetime and is available at once.
+	leavingRetention = time.Minute
+	// maxLeaving limits the remembered leaving servers. A fleet of 10,000 that is replaced
+	// at once fits.
+	maxLeaving = 1 << 14
 )
 
-// Why a request is not sent to a server after all.
+// Reasons not to send a request that was already placed.
 var (
-	errServerLeaving = errors.New("gateway: the server has said that it leaves")
-	errServerBackoff = errors.New("gateway: the server has asked for rest")
+	errServerLeaving = errors.New("gateway: server is leaving")
+	errServerBackoff = errors.New("gateway: server has asked for backoff")
 )
 
-// serverSignals is what servers have said of themselves. It is safe for use by several goroutines.
+// serverSignals holds what servers have announced about themselves. It is safe for
+// concurrent use.
 type serverSignals struct {
-	mutex   sync.Mutex
-	leaving map[string]time.Time // when the entry was there last, by lifetime
-	rests   map[string]time.Time // ends, by lifetime
+	mutex        sync.Mutex
+	leaving      map[string]time.Time // when the entry was last seen, by lifetime
+	backoffUntil map[string]time.Time // by lifetime
 }
 
 func newServerSignals() *serverSignals {
-	return &serverSignals{leaving: map[string]time.Time{}, rests: map[string]time.Time{}}
+	return &serverSignals{leaving: map[string]time.Time{}, backoffUntil: map[string]time.Time{}}
 }
 
-// leaves takes over that a server leaves. It returns whether that is news.
-func (s *serverSignals) leaves(now time.Time, server string) bool {
+// addLeaving records that a server is leaving. It reports whether that was not known
+// before.
+func (s *serverSignals) addLeaving(now time.Time, server string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if _, known := s.leaving[server]; known || len(s.leaving) >= mostLeaving {
+	if _, known := s.leaving[server]; known || len(s.leaving) >= maxLeaving {
 		return false
 	}
 	s.leaving[server] = now
 	return true
 }
 
-// rest takes over that a server wants rest. Of several rests the latest end holds.
-func (s *serverSignals) rest(server string, until time.Time) {
+// addBackoff records that a server has asked for backoff. Of several backoffs the latest
+// end applies.
+func (s *serverSignals) addBackoff(server string, until time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.rests[server] = latest(s.rests[server], until)
+	s.backoffUntil[server] = latest(s.backoffUntil[server], until)
 }
 
-// checkAvailable returns why a server gets no request now; nil: it may get one.
+// checkAvailable returns an error if the server may not get a request now.
 func (s *serverSignals) checkAvailable(now time.Time, server string) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if _, leaving := s.leaving[server]; leaving {
 		return errServerLeaving
 	}
-	if now.Before(s.rests[server]) {
+	if now.Before(s.backoffUntil[server]) {
 		return errServerBackoff
 	}
 	return nil
 }
 
-// count returns how many servers have said that they leave, and how many rest.
-func (s *serverSignals) count(now time.Time) (leaving, resting int) {
+// count returns the numbers of leaving servers and of servers with a backoff.
+func (s *serverSignals) count(now time.Time) (leaving, backingOff int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, until := range s.rests {
+	for _, until := range s.backoffUntil {
 		if now.Before(until) {
-			resting++
+			backingOff++
 		}
 	}
-	return len(s.leaving), resting
+	return len(s.leaving), backingOff
 }
 
-// applyTo notes in a list of servers which of them have said that they leave, and forgets what is
-// over. It returns all that leave.
+// applyTo marks the leaving servers in a list and removes expired records. It returns the
+// IDs of all leaving servers.
 func (s *serverSignals) applyTo(now time.Time, servers []catalog.Server) (leaving []string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for id, until := range s.rests {
+	for id, until := range s.backoffUntil {
 		if !now.Before(until) {
-			delete(s.rests, id)
+			delete(s.backoffUntil, id)
 		}
 	}
 	if len(s.leaving) == 0 {
 		return nil
 	}
 	for i := range servers {
-		if _, said := s.leaving[servers[i].ID]; said {
+		if _, announced := s.leaving[servers[i].ID]; announced {
 			s.leaving[servers[i].ID] = now
 			servers[i].Leaving = true
 		}
 	}
 	for id, seen := range s.leaving {
-		if now.Sub(seen) > leavingKept {
+		if now.Sub(seen) > leavingRetention {
 			delete(s.leaving, id)
 			continue
 		}
@@ -121,37 +126,38 @@
 	return leaving
 }
 
-// handleSignal takes over what an answer says of its server. It is called by any goroutine.
+// handleSignal handles what an answer says about its server. It may be called by any
+// goroutine.
 func (g *Gateway) handleSignal(server catalog.Server, s upstream.Signal) {
 	now := time.Now()
-	if s.Leaving && g.signals.leaves(now, server.ID) {
-		g.log.Info().Str("event", "server.says_leaving").Str("server", server.ID).Int("status", s.Status).Msg("no new work")
+	if s.Leaving && g.signals.addLeaving(now, server.ID) {
+		g.log.Info().Str("event", "server.says_leaving").Str("server", server.ID).Int("status", s.Status).Msg("server announced that it is leaving: no new requests")
 		g.peers.PublishLeaving(server.ID)
-		g.leaves(server.ID)
+		g.serverLeft(server.ID)
 	}
 	if s.Backoff > 0 && s.Status == http.StatusServiceUnavailable {
 		until := now.Add(min(s.Backoff, placement.MaxBackoff))
-		g.log.Info().Str("event", "server.asks_rest").Str("server", server.ID).Int("status", s.Status).Dur("rest", s.Backoff).Msg("no work until then")
-		g.signals.rest(server.ID, until)
-		g.dispatcher.send(restMessage{server: server.ID, until: until})
+		g.log.Info().Str("event", "server.asks_rest").Str("server", server.ID).Int("status", s.Status).Dur("rest", s.Backoff).Msg("server asked for backoff: no requests until it ends")
+		g.signals.addBackoff(server.ID, until)
+		g.dispatcher.send(backoffRequested{server: server.ID, until: until})
 	}
 }
 
-// applyPeerLeaving takes over which servers have told other gateways that they leave.
+// applyPeerLeaving takes over the leaving servers that another gateway has announced.
 func (g *Gateway) applyPeerLeaving(now time.Time, from string, servers []string) {
 	for _, id := range servers {
-		if g.signals.leaves(now, id) {
-			g.log.Info().Str("event", "server.told_leaving").Str("server", id).Str("peer", from).Msg("no new work")
-			g.leaves(id)
+		if g.signals.addLeaving(now, id) {
+			g.log.Info().Str("event", "server.told_leaving").Str("server", id).Str("peer", from).Msg("another gateway reported that the server is leaving: no new requests")
+			g.serverLeft(id)
 		}
 	}
 }
 
-// leaves lets the desk know at once that a server leaves, and the view with the next one.
-func (g *Gateway) leaves(server string) {
-	g.dispatcher.send(leavesMessage{server: server})
+// serverLeft tells the dispatcher at once that a server is leaving; the view follows.
+func (g *Gateway) serverLeft(server string) {
+	g.dispatcher.send(leavingAnnounced{server: server})
 	select {
 	case g.storeWatcher.leavingSignal <- struct{}{}:
-	default: // the follower is about to look
+	default: // the follower has a notification pending
 	}
 }
--- a/gateway/signals_test.go
+++ b/gateway/signals_test.go
@@ -13,7 +13,7 @@
 	"opalbridge.dev/gateway/upstream"
 )
 
-// leavingIDs returns the lifetimes that get no new work since they leave.
+// leavingIDs returns the IDs of the servers that get no new work because they are leaving.
 func (g *Gateway) leavingIDs() []string {
 	var list []string
 	for _, s := range g.view.Load().Servers {
@@ -24,10 +24,10 @@
 	return list
 }
 
-// TestSaidLeavingHolds: once a server has said that it leaves, nothing that the store or
-// another gateway tells later makes it ready again, until its entry is gone for good or
-// another lifetime of it begins.
-func TestSaidLeavingHolds(t *testing.T) {
+// TestLeavingPersists checks that a server that has announced that it is leaving stays so,
+// whatever the store or another gateway reports later, until its entry has gone for good or
+// another lifetime of it starts.
+func TestLeavingPersists(t *testing.T) {
 	one, two := lifetime("i-1", 5000), lifetime("i-2", 1)
 	plain := lifetime("i-1", 0)
 	all := func(list ...catalog.Server) sourceResult {
@@ -35,33 +35,33 @@
 	}
 	tests := []struct {
 		name string
-		then func(g *worldGateway, now time.Time)
+		then func(g *simGateway, now time.Time)
 		want []string
 	}{
-		{"nothing else", func(*worldGateway, time.Time) {}, []string{one.ID}},
-		{"its entry says ready", func(g *worldGateway, now time.Time) {
+		{"no further report", func(*simGateway, time.Time) {}, []string{one.ID}},
+		{"entry says ready", func(g *simGateway, now time.Time) {
 			g.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: one}}})
 		}, []string{one.ID}},
-		{"a list says ready", func(g *worldGateway, now time.Time) { g.storeWatcher.applyResult(now, all(one, two)) }, []string{one.ID}},
-		{"a whole view says ready", func(g *worldGateway, now time.Time) {
+		{"list says ready", func(g *simGateway, now time.Time) { g.storeWatcher.applyResult(now, all(one, two)) }, []string{one.ID}},
+		{"full view from a peer says ready", func(g *simGateway, now time.Time) {
 			g.storeWatcher.applyPeerView(now, peerView{from: "b", snapshot: all(one, two).snapshot})
 		}, []string{one.ID}},
-		{"a part of a view says ready", func(g *worldGateway, now time.Time) {
+		{"partial view from a peer says ready", func(g *simGateway, now time.Time) {
 			g.storeWatcher.applyPeerView(now, peerView{from: "b", partial: true, snapshot: Snapshot{Servers: []catalog.Server{one}, Revision: 9}})
 		}, []string{one.ID}},
-		{"its entry lapses and comes back", func(g *worldGateway, now time.Time) {
+		{"entry lapses and comes back", func(g *simGateway, now time.Time) {
 			g.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
 			g.storeWatcher.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: one}}})
 		}, []string{one.ID}},
-		{"and is missing in a list meanwhile", func(g *worldGateway, now time.Time) {
+		{"entry is missing in a list and comes back", func(g *simGateway, now time.Time) {
 			g.storeWatcher.recordFailure(now, http.ErrHandlerTimeout)
 			g.storeWatcher.applyResult(now, all(two))
 			g.storeWatcher.applyResult(now, sourceResult{since: 9, revision: 10, changes: []Change{ServerChanged{Server: one}}})
 		}, []string{one.ID}},
-		{"it starts again", func(g *worldGateway, now time.Time) {
+		{"server restarts", func(g *simGateway, now time.Time) {
 			g.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
 		}, nil},
-		{"it starts again and its start is not told", func(g *worldGateway, now time.Time) {
+		{"server restarts without a start time", func(g *simGateway, now time.Time) {
 			g.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: plain}}})
 		}, nil},
 	}
@@ -90,27 +90,28 @@
 	}
 }
 
-// TestSaidLeavingIsForgotten: only after its entry has gone for good.
-func TestSaidLeavingIsForgotten(t *testing.T) {
+// TestLeavingExpires checks that a leaving server is forgotten only after its entry has
+// gone for good.
+func TestLeavingExpires(t *testing.T) {
 	w, now := newServerSignals(), time.Now()
 	s := lifetime("i-1", 0)
-	require.True(t, w.leaves(now, s.ID))
-	require.False(t, w.leaves(now, s.ID), "no news")
+	require.True(t, w.addLeaving(now, s.ID))
+	require.False(t, w.addLeaving(now, s.ID), "already known")
 	present := func(at time.Time) []string { return w.applyTo(at, []catalog.Server{s}) }
 	absent := func(at time.Time) []string { return w.applyTo(at, nil) }
 	require.Equal(t, []string{s.ID}, present(now.Add(time.Hour)))
-	require.Equal(t, []string{s.ID}, absent(now.Add(time.Hour+leavingKept)))
-	require.Empty(t, absent(now.Add(time.Hour+leavingKept+time.Second)))
+	require.Equal(t, []string{s.ID}, absent(now.Add(time.Hour+leavingRetention)))
+	require.Empty(t, absent(now.Add(time.Hour+leavingRetention+time.Second)))
 	require.NoError(t, w.checkAvailable(now, s.ID))
-	for n := range mostLeaving + 10 {
-		w.leaves(now, catalog.LifetimeID("x", int64(n)))
+	for n := range maxLeaving + 10 {
+		w.addLeaving(now, catalog.LifetimeID("x", int64(n)))
 	}
-	require.Len(t, w.leaving, mostLeaving, "bounded")
+	require.Len(t, w.leaving, maxLeaving, "bounded")
 }
 
-// TestSaidLeavingIsHandedOver: to a gateway that starts, and to one that knows of later changes
-// in the store.
-func TestSaidLeavingIsHandedOver(t *testing.T) {
+// TestLeavingHandover checks that leaving servers are handed over to a gateway that starts
+// and to one that knows of later changes in the store.
+func TestLeavingHandover(t *testing.T) {
 	one := lifetime("i-1", 5000)
 	for _, partial := range []bool{false, true} {
 		w := newSimWorld(t, newPeerNode(t))
@@ -135,8 +136,9 @@
 	}
 }
 
-// TestRestBars: what was placed before a rest was asked for is not sent in it.
-func TestRestBars(t *testing.T) {
+// TestBackoffBlocksSends checks that a request that was placed before its server asked for
+// backoff is not sent during the backoff.
+func TestBackoffBlocksSends(t *testing.T) {
 	w := newSimWorld(t, newPeerNode(t))
 	g, s := w.newGateway(), lifetime("i-1", 5000)
 	g.handleSignal(s, upstream.Signal{Status: http.StatusServiceUnavailable, Backoff: 2 * time.Second})
@@ -147,14 +149,15 @@
 	require.NoError(t, g.signals.checkAvailable(now, lifetime("i-1", 6000).ID), "another lifetime")
 	require.Equal(t, 1, g.Status().BackingOff)
 	g.handleSignal(s, upstream.Signal{Status: http.StatusServiceUnavailable, Backoff: time.Second})
-	require.ErrorIs(t, g.signals.checkAvailable(now.Add(1900*time.Millisecond), s.ID), errServerBackoff, "the later end holds")
+	require.ErrorIs(t, g.signals.checkAvailable(now.Add(1900*time.Millisecond), s.ID), errServerBackoff, "the latest end applies")
 	g.signals.applyTo(now.Add(3*time.Second), nil)
-	require.Empty(t, g.signals.rests)
+	require.Empty(t, g.signals.backoffUntil)
 }
 
-// TestRestOutlastsAnEntry: a server whose entry lapses and comes back still rests; without that
-// its requests were placed there and taken back again and again until the rest was over.
-func TestRestOutlastsAnEntry(t *testing.T) {
+// TestBackoffSurvivesEntryLapse checks that a server's backoff still applies after its
+// entry lapses and comes back. Otherwise requests are placed there and taken back
+// repeatedly until the backoff is over.
+func TestBackoffSurvivesEntryLapse(t *testing.T) {
 	w := newSimWorld(t, newPeerNode(t))
 	g, s, now := w.newGateway(), lifetime("i-1", 5000), time.Now()
 	g.storeWatcher.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{s}, Revision: 3}})
@@ -167,5 +170,5 @@
 	later := now.Add(11 * time.Second)
 	g.dispatcher.setView(later, g.view.Load())
 	require.IsType(t, placement.Assign{}, g.dispatcher.balancer.Place(later, ask))
-	require.Empty(t, g.dispatcher.rests)
+	require.Empty(t, g.dispatcher.backoffUntil)
 }
