--- a/gateway/call_quarantine.go
+++ b/gateway/call_quarantine.go
@@ -54,10 +54,10 @@
 // attempts have run, so it does not say that the request has not run.
 var errQuarantined = errors.New("gateway: servers have ended under this request; it reaches no more of them")
 
-// maxCrashesToRetry is the number of crashes under a request from which on a call does not
+// noRetryCrashes is the number of crashes under a request from which on a call does not
 // try a second server. Its caller decides whether to send it again, and the report of the
 // latest crash may still be on its way.
-const maxCrashesToRetry = quarantine.CrashThreshold - 1
+const noRetryCrashes = quarantine.CrashThreshold - 1
 
 // maxSummaryLength limits the part of a request that is logged.
 const maxSummaryLength = 200
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -48,7 +48,7 @@
 		return false
 	}
 	n, _ := c.crashesSeen()
-	return n < maxCrashesToRetry
+	return n < noRetryCrashes
 }
 
 // passWhole passes on an answer that is no stream.
