--- a/gateway/cold_servers.go
+++ b/gateway/cold_servers.go
@@ -21,7 +21,7 @@
 	ReportedUntil time.Time // end of the cold period that the server has reported; zero: none
 	AssumedUntil  time.Time // end of the cold period assumed after the evacuation of its hall has ended
 	Episode       warmup.Episode
-	Clear         time.Time // see warmup.Server
+	IdleSince     time.Time // see warmup.Server
 	Witnessed     bool
 	Claimed       bool
 }
@@ -29,6 +29,7 @@
 // until returns when the server will be warm.
 func (c coldState) until() time.Time { return latest(c.ReportedUntil, c.AssumedUntil) }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -50,7 +51,7 @@
 			c.Episode = hall.Revision
 		}
 		if _, again := f.currentIDs[s.Server.Name()]; again && !evacuated {
-			c.Clear = now // its previous lifetime got work until now, and the limit covers both
+			c.IdleSince = now // its previous lifetime got work until now, and the limit covers both
 		}
 	}
 	if s.Cold <= 0 {
@@ -61,7 +62,7 @@
 		return
 	}
 	if known && !evacuated && !now.Before(c.until()) {
-		c.Clear = now // it got work until now
+		c.IdleSince = now // it got work until now
 	}
 	if !now.Before(c.until()) {
 		f.gateway.log.Info().Str("event", "server.cold").Str("server", id).Dur("for", s.Cold).
@@ -86,7 +87,7 @@
 			continue
 		}
 		c := f.cold[id]
-		c.Episode, c.Clear, c.Witnessed, c.Claimed = e.Revision, since, true, false
+		c.Episode, c.IdleSince, c.Witnessed, c.Claimed = e.Revision, since, true, false
 		f.cold[id] = c
 		f.serverChanges.add(f.changeRevision, id)
 	}
@@ -136,8 +137,8 @@
 }
 
 // applyListedCold takes over the cold servers and evacuated halls of a list from the store.
-// A list gives the present state and no history, so the start of an episode is not
-// witnessed.
+// A list gives the present state and no history, so the start of an episode was not
+// observed.
 func (f *storeWatcher) applyListedCold(now time.Time, s Snapshot) {
 	for id, c := range f.cold {
 		c.Witnessed = false
@@ -148,7 +149,7 @@
 		if cold := s.ColdFor[id]; cold > 0 {
 			c := f.cold[id]
 			if known := !c.until().IsZero(); !known || !now.Before(c.until()) {
-				c.Clear = now
+				c.IdleSince = now
 			}
 			reported := now.Add(cold)
 			if f.reconciling(now) {
@@ -215,7 +216,7 @@
 type coldDocument struct {
 	ReportedMS int64          `json:"told_ms,omitempty"`    // from now
 	AssumedMS  int64          `json:"assumed_ms,omitempty"` // from now
-	ClearMS    *int64         `json:"clear_age_ms,omitempty"`
+	IdleMS     *int64         `json:"clear_age_ms,omitempty"`
 	Episode    warmup.Episode `json:"episode,omitempty"`
 	Witnessed  bool           `json:"witnessed,omitempty"`
 	Claimed    bool           `json:"claimed,omitempty"`
@@ -238,7 +239,7 @@
 			d.Cold = map[string]coldDocument{}
 		}
 		d.Cold[id] = coldDocument{
-			ReportedMS: millisUntil(now, c.ReportedUntil), AssumedMS: millisUntil(now, c.AssumedUntil), ClearMS: millisSince(now, c.Clear),
+			ReportedMS: millisUntil(now, c.ReportedUntil), AssumedMS: millisUntil(now, c.AssumedUntil), IdleMS: millisSince(now, c.IdleSince),
 			Episode: c.Episode, Witnessed: c.Witnessed, Claimed: c.Claimed,
 		}
 	}
@@ -258,8 +259,8 @@
 		if c.AssumedMS > 0 {
 			k.AssumedUntil = now.Add(time.Duration(c.AssumedMS) * time.Millisecond)
 		}
-		if c.ClearMS != nil {
-			k.Clear = timeAgo(now, *c.ClearMS)
+		if c.IdleMS != nil {
+			k.IdleSince = timeAgo(now, *c.IdleMS)
 		}
 		cold[id] = k
 	}
@@ -281,6 +282,7 @@
 	return &ms
 }
 
+// timeAgo returns the time ageMS milliseconds before now.
 func timeAgo(now time.Time, ageMS int64) time.Time {
 	return now.Add(-time.Duration(ageMS) * time.Millisecond)
 }
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -142,6 +142,8 @@
 	c.reportCrash(now, server, cause, requests)
 }
 
+// reportCrash logs a crash, unless cause is empty, and passes on the requests that may have
+// caused it.
 func (c *crashDetector) reportCrash(now time.Time, server, cause string, requests []lostRequest) {
 	if cause != "" {
 		c.log.Warn().Str("event", "server.ended").Str("server", server).Str("by", cause).Int("requests", len(requests)).Msg("server crashed: any of its requests may be the cause")
--- a/gateway/dispatcher.go
+++ b/gateway/dispatcher.go
@@ -52,16 +52,16 @@
 	settings  DispatcherOptions
 	lateness  func(since, now time.Time) time.Duration // worst scheduling delay of this process in a period
 	claims    chan<- warmup.Claim                      // claims to write; one that finds the channel full is queued again later
-	// Roll-out statuses to write. One that finds the channel full is queued again later.
+	// Rollout statuses to write. One that finds the channel full is queued again later.
 	statusWrites chan<- rolloutStatusWrite
 	viewFresh    func(now time.Time) bool // whether the view is known to match the store
 
 	livePeers atomic.Int64 // live gateways other than this one
 
 	// The fields below are owned by run.
-	lastTicket      uint64                     // last ticket issued
+	lastAttemptID   uint64                     // last attempt ID issued; messages call it the ticket
 	shareUpdates    int                        // number of times shares were recomputed
-	pending         map[uint64]*pendingAttempt // own requests without a first event, by ticket
+	pending         map[uint64]*pendingAttempt // own requests without a first event, by attempt ID
 	lastHeard       map[string]time.Time       // last sign of life, by server
 	loggedSpeeds    map[string]placement.Speed // as last logged, by service
 	balancer        *placement.Balancer
@@ -82,7 +82,7 @@
 	demandByGateway map[string]float64        // tokens asked for in the share window, by gateway, including this one
 }
 
-// DispatcherOptions configure placement, shares and retries.
+// DispatcherOptions configures placement, shares and retries.
 type DispatcherOptions struct {
 	Retries     budget.Limits
 	ShareWindow time.Duration // sliding window of account shares
@@ -124,10 +124,12 @@
 		account string
 		tokens  float64
 	}
+	// firstEventReceived reports the first event of an attempt.
 	firstEventReceived struct {
 		ticket uint64
 		server string
 	}
+	// attemptEnded reports the end of an attempt.
 	attemptEnded struct {
 		ticket uint64
 		server string
@@ -136,23 +138,30 @@
 		status int           // of the server's answer; 0: none, or an incomplete answer
 		pause  time.Duration // mean time between events of a stream; 0: unknown
 	}
+	// cacheReported reports the contents of a server's cache.
 	cacheReported struct {
 		server string
 		parts  []uint64 // held in its cache
 	}
+	// claimWritten reports the outcome of a claim on a cold server.
 	claimWritten struct {
 		claim   warmup.Claim
 		outcome warmup.Outcome
 	}
-	leavingAnnounced struct{ server string } // the server has announced that it is leaving
+	// leavingAnnounced reports that a server has announced that it is leaving.
+	leavingAnnounced struct{ server string }
+	// backoffRequested reports that a server has asked for backoff.
 	backoffRequested struct {
 		server string
 		until  time.Time // it wants no requests before then
 	}
+	// viewReplaced passes on a new view.
 	viewReplaced struct{ view *View }
+	// peersUpdated passes on updates from other gateways.
 	peersUpdated struct{ updates []peer.Update }
 )
 
+// newDispatcher returns a dispatcher that does not run yet.
 func newDispatcher(log zerolog.Logger, s DispatcherOptions, now time.Time) *dispatcher {
 	d := &dispatcher{
 		log: log, settings: s, lateness: func(_, _ time.Time) time.Duration { return 0 }, messages: make(chan any, messageQueueSize), done: make(chan struct{}),
@@ -177,6 +186,7 @@
 	}
 }
 
+// viewChanged passes a new view to the dispatcher.
 func (d *dispatcher) viewChanged(v *View) { d.send(viewReplaced{v}) }
 
 // requestPlacement returns the decision for a request, which may take until the request
@@ -238,6 +248,7 @@
 	}
 }
 
+// handle handles a message.
 func (d *dispatcher) handle(now time.Time, m any) {
 	switch m := m.(type) {
 	case placementRequest:
@@ -275,6 +286,7 @@
 // retryBudgetSpent is the reason of a refusal when the fleet's retry budget is used up.
 const retryBudgetSpent placement.Reason = "budget of repeats spent"
 
+// decide places a request and records it as sent if the decision is to send it.
 func (d *dispatcher) decide(now time.Time, m placementRequest) placement.Decision {
 	if m.retry && d.retryBudget.Remaining(now, m.request.Service, d.fleetSize()) < 1 {
 		return placement.Refuse{RetryAfter: d.settings.Policy.MinRetryAfter, Reason: retryBudgetSpent}
@@ -298,8 +310,8 @@
 		d.shares.RecordAdmitted(now, m.request.Account, m.tokens)
 	}
 	position := d.balancer.RecordSent(now, assign.Load, true)
-	d.lastTicket++
-	assign.ID = d.lastTicket
+	d.lastAttemptID++
+	assign.ID = d.lastAttemptID
 	d.pending[assign.ID] = &pendingAttempt{
 		server: assign.Server.ID, due: now.Add(assign.Predicted), position: position, copiesCache: assign.CopyFrom != "",
 		sentAt: now, queueTime: assign.QueueTime, prefillTime: assign.PrefillTime, account: m.request.Account, tokens: m.tokens,
@@ -328,6 +340,7 @@
 	a.OverShare, a.Capped, a.ShareRatio = status.OverShare, status.Capped, status.ShareRatio
 }
 
+// recordEnd handles the end of an attempt.
 func (d *dispatcher) recordEnd(now time.Time, m attemptEnded) {
 	d.refundTokens(now, m)
 	d.recordRolloutAnswer(now, m)
@@ -387,6 +400,7 @@
 	d.peerState.Store(s)
 }
 
+// setView takes over the configuration and the servers of a new view.
 func (d *dispatcher) setView(now time.Time, v *View) {
 	d.view = v
 	d.balancer.SetServers(now, v.Servers, func(service string) *catalog.Engine {
@@ -437,6 +451,8 @@
 	return sums
 }
 
+// updateShares recomputes the account shares and updates what beacons report about this
+// gateway. It also runs the periodic checks that need no shorter interval.
 func (d *dispatcher) updateShares(now time.Time) {
 	rate := 0.0
 	if d.view.Configuration != nil {
--- a/gateway/dispatcher_cold.go
+++ b/gateway/dispatcher_cold.go
@@ -46,7 +46,7 @@
 		if limits := d.coldLimits(v, s.Service); limits.PerSecond > 0 {
 			list = append(list, warmup.Server{
 				Claim: warmup.Claim{Server: s.ID, Episode: c.Episode}, Hall: s.Hall, Limits: limits,
-				ColdUntil: c.until(), IdleSince: c.Clear, StartObserved: c.Witnessed, Claimed: c.Claimed,
+				ColdUntil: c.until(), IdleSince: c.IdleSince, StartObserved: c.Witnessed, Claimed: c.Claimed,
 			})
 		}
 	}
@@ -135,6 +135,7 @@
 	return -weight / math.Log(unitHash(gateway+"/"+server))
 }
 
+// sum returns the sum of all counts.
 func sum[K comparable](counts map[K]int) int {
 	n := 0
 	for _, count := range counts {
@@ -155,6 +156,7 @@
 	}
 }
 
+// writeClaim writes a claim and returns its outcome.
 func (g *Gateway) writeClaim(ctx context.Context, c warmup.Claim) warmup.Outcome {
 	if g.options.Claims == nil || g.stopping.Load() {
 		return warmup.Lost
--- a/gateway/dispatcher_rollout.go
+++ b/gateway/dispatcher_rollout.go
@@ -151,6 +151,7 @@
 	}
 }
 
+// targetVersion returns the version that the rollout moves to.
 func (s *serviceRollout) targetVersion() string {
 	if s.rollout != nil {
 		return s.rollout.Target
@@ -432,6 +433,7 @@
 	}
 }
 
+// writeRolloutStatus writes a status and returns the result.
 func (g *Gateway) writeRolloutStatus(ctx context.Context, s rolloutStatusWrite) rolloutStatusWritten {
 	ctx, cancel := context.WithTimeout(ctx, statusWriteTimeout)
 	defer cancel()
--- a/gateway/rollout_test.go
+++ b/gateway/rollout_test.go
@@ -33,7 +33,7 @@
 	}
 	tests := []struct {
 		name  string
-		hear  func(g *Gateway)
+		apply func(g *Gateway)
 		want  rollout.Order
 		since time.Time
 	}{
@@ -68,7 +68,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			g := newIdleGateway(t)
 			g.storeWatcher.applyResult(now, first)
-			test.hear(g)
+			test.apply(g)
 			known := g.view.Load().Rollouts["s"]
 			require.Equal(t, test.want, known.Order)
 			if test.want != (rollout.Order{}) {
--- a/gateway/signals_test.go
+++ b/gateway/signals_test.go
@@ -93,20 +93,20 @@
 // TestLeavingExpires checks that a leaving server is forgotten only after its entry has
 // gone for good.
 func TestLeavingExpires(t *testing.T) {
-	w, now := newServerSignals(), time.Now()
+	signals, now := newServerSignals(), time.Now()
 	s := lifetime("i-1", 0)
-	require.True(t, w.addLeaving(now, s.ID))
-	require.False(t, w.addLeaving(now, s.ID), "already known")
-	present := func(at time.Time) []string { return w.applyTo(at, []catalog.Server{s}) }
-	absent := func(at time.Time) []string { return w.applyTo(at, nil) }
+	require.True(t, signals.addLeaving(now, s.ID))
+	require.False(t, signals.addLeaving(now, s.ID), "already known")
+	present := func(at time.Time) []string { return signals.applyTo(at, []catalog.Server{s}) }
+	absent := func(at time.Time) []string { return signals.applyTo(at, nil) }
 	require.Equal(t, []string{s.ID}, present(now.Add(time.Hour)))
 	require.Equal(t, []string{s.ID}, absent(now.Add(time.Hour+leavingRetention)))
 	require.Empty(t, absent(now.Add(time.Hour+leavingRetention+time.Second)))
-	require.NoError(t, w.checkAvailable(now, s.ID))
+	require.NoError(t, signals.checkAvailable(now, s.ID))
 	for n := range maxLeaving + 10 {
-		w.addLeaving(now, catalog.LifetimeID("x", int64(n)))
+		signals.addLeaving(now, catalog.LifetimeID("x", int64(n)))
 	}
-	require.Len(t, w.leaving, maxLeaving, "bounded")
+	require.Len(t, signals.leaving, maxLeaving, "bounded")
 }
 
 // TestLeavingHandover checks that leaving servers are handed over to a gateway that starts
@@ -165,10 +165,10 @@
 	g.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
 	g.storeWatcher.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: s}}})
 	g.handleMessages(now)
-	ask := &placement.Request{Service: "s", TieBreak: 1}
-	require.IsType(t, placement.Refuse{}, g.dispatcher.balancer.Place(now, ask))
+	request := &placement.Request{Service: "s", TieBreak: 1}
+	require.IsType(t, placement.Refuse{}, g.dispatcher.balancer.Place(now, request))
 	later := now.Add(11 * time.Second)
 	g.dispatcher.setView(later, g.view.Load())
-	require.IsType(t, placement.Assign{}, g.dispatcher.balancer.Place(later, ask))
+	require.IsType(t, placement.Assign{}, g.dispatcher.balancer.Place(later, request))
 	require.Empty(t, g.dispatcher.backoffUntil)
 }
