--- a/gateway/cold_servers.go
+++ b/gateway/cold_servers.go
@@ -22,7 +22,7 @@
 	AssumedUntil  time.Time // end of the cold period assumed after the evacuation of its hall has ended
 	Episode       warmup.Episode
 	IdleSince     time.Time // see warmup.Server
-	Witnessed     bool
+	StartObserved bool
 	Claimed       bool
 }
 
@@ -46,7 +46,7 @@
 	if !known && !tracked {
 		// A server that appears while the store is being restored may have been there
 		// before.
-		c = coldState{Witnessed: !f.reconciling(now), Episode: startEpisode(f.changeRevision)}
+		c = coldState{StartObserved: !f.reconciling(now), Episode: startEpisode(f.changeRevision)}
 		if evacuated {
 			c.Episode = hall.Revision
 		}
@@ -87,7 +87,7 @@
 			continue
 		}
 		c := f.cold[id]
-		c.Episode, c.IdleSince, c.Witnessed, c.Claimed = e.Revision, since, true, false
+		c.Episode, c.IdleSince, c.StartObserved, c.Claimed = e.Revision, since, true, false
 		f.cold[id] = c
 		f.serverChanges.add(f.changeRevision, id)
 	}
@@ -141,7 +141,7 @@
 // observed.
 func (f *storeWatcher) applyListedCold(now time.Time, s Snapshot) {
 	for id, c := range f.cold {
-		c.Witnessed = false
+		c.StartObserved = false
 		f.cold[id] = c
 	}
 	for _, server := range s.Servers {
@@ -181,7 +181,7 @@
 	}
 	for id, c := range f.cold {
 		if _, cold := h.cold[id]; !cold && (listed[id] || !h.partial) {
-			c.Witnessed = false
+			c.StartObserved = false
 			f.cold[id] = c
 		}
 	}
@@ -214,12 +214,12 @@
 // coldDocument is the encoding of a server's cold state in a view document. Times are
 // encoded as durations, since clocks differ.
 type coldDocument struct {
-	ReportedMS int64          `json:"told_ms,omitempty"`    // from now
-	AssumedMS  int64          `json:"assumed_ms,omitempty"` // from now
-	IdleMS     *int64         `json:"clear_age_ms,omitempty"`
-	Episode    warmup.Episode `json:"episode,omitempty"`
-	Witnessed  bool           `json:"witnessed,omitempty"`
-	Claimed    bool           `json:"claimed,omitempty"`
+	ReportedMS    int64          `json:"told_ms,omitempty"`    // from now
+	AssumedMS     int64          `json:"assumed_ms,omitempty"` // from now
+	IdleMS        *int64         `json:"clear_age_ms,omitempty"`
+	Episode       warmup.Episode `json:"episode,omitempty"`
+	StartObserved bool           `json:"witnessed,omitempty"`
+	Claimed       bool           `json:"claimed,omitempty"`
 }
 
 // addCold adds the evacuated halls of a view, and the servers that are cold or whose
@@ -240,7 +240,7 @@
 		}
 		d.Cold[id] = coldDocument{
 			ReportedMS: millisUntil(now, c.ReportedUntil), AssumedMS: millisUntil(now, c.AssumedUntil), IdleMS: millisSince(now, c.IdleSince),
-			Episode: c.Episode, Witnessed: c.Witnessed, Claimed: c.Claimed,
+			Episode: c.Episode, StartObserved: c.StartObserved, Claimed: c.Claimed,
 		}
 	}
 }
@@ -252,7 +252,7 @@
 		halls[hall] = evacuation{Revision: e.Revision, Since: timeAgo(now, e.AgeMS)}
 	}
 	for id, c := range d.Cold {
-		k := coldState{Episode: c.Episode, Witnessed: c.Witnessed, Claimed: c.Claimed}
+		k := coldState{Episode: c.Episode, StartObserved: c.StartObserved, Claimed: c.Claimed}
 		if c.ReportedMS > 0 {
 			k.ReportedUntil = now.Add(time.Duration(c.ReportedMS) * time.Millisecond)
 		}
--- a/gateway/dispatcher_cold.go
+++ b/gateway/dispatcher_cold.go
@@ -46,7 +46,7 @@
 		if limits := d.coldLimits(v, s.Service); limits.PerSecond > 0 {
 			list = append(list, warmup.Server{
 				Claim: warmup.Claim{Server: s.ID, Episode: c.Episode}, Hall: s.Hall, Limits: limits,
-				ColdUntil: c.until(), IdleSince: c.IdleSince, StartObserved: c.Witnessed, Claimed: c.Claimed,
+				ColdUntil: c.until(), IdleSince: c.IdleSince, StartObserved: c.StartObserved, Claimed: c.Claimed,
 			})
 		}
 	}
--- a/gateway/lifetime_test.go
+++ b/gateway/lifetime_test.go
@@ -108,7 +108,7 @@
 	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 400), Cold: time.Second}}})
 	hand(from, to)
 	require.Equal(t, []string{"i-1@400"}, to.ids())
-	require.True(t, to.view.Load().Cold["i-1@400"].Witnessed)
+	require.True(t, to.view.Load().Cold["i-1@400"].StartObserved)
 	to.storeWatcher.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
 	hand(from, to)
 	require.Equal(t, []string{"i-1@6000"}, to.ids(), "what is older is passed over")
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -224,10 +224,10 @@
 		g.storeWatcher.applyResult(now, sourceResult{since: at - 1, revision: at, changes: []Change{ServerChanged{Server: lifetime(id, 1), Cold: time.Second}}})
 		return g.view.Load().Cold[id+"@1"]
 	}
-	require.False(t, appears("i-1", after+1).Witnessed)
+	require.False(t, appears("i-1", after+1).StartObserved)
 	now = now.Add(reconcilePeriod + time.Millisecond)
 	g.storeWatcher.expireMissing(now)
 	later := appears("i-2", after+2)
-	require.True(t, later.Witnessed)
+	require.True(t, later.StartObserved)
 	require.Equal(t, uint64(2), later.Episode.Era())
 }
