--- a/gateway/dispatcher_cold.go
+++ b/gateway/dispatcher_cold.go
@@ -21,8 +21,8 @@
 
 const (
 	// claimDemandWindow is how recent a gateway's last request for a service must be for it
-	// to claim the service's servers. Another gateway can make better use of them
-	// otherwise.
+	// to claim the service's servers. Otherwise another gateway can make better use of
+	// them.
 	claimDemandWindow = time.Second
 	// claimQueueSize limits the claims that wait to be written. The store answers within
 	// milliseconds.
