--- a/gateway/dispatcher_rollout.go
+++ b/gateway/dispatcher_rollout.go
@@ -169,7 +169,7 @@
 	for _, id := range s.baseline {
 		s.withheldFromTarget[id] = true
 	}
-	// Ranked returns the same order at each gateway, whatever the order of its input.
+	// RendezvousOrder returns the same order at each gateway, whatever the order of its input.
 	for i, id := range placement.RendezvousOrder(uint64(s.record.Order.Revision), s.target) {
 		if i >= s.activeTargets {
 			s.withheldFromTarget[id] = true
