--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -48,7 +48,7 @@
 		return false
 	}
 	n, _ := c.crashesSeen()
-	return n < maxCrashesToRetry
+	return n < noRetryCrashes
 }
 
 // relayBuffered relays a response that is not a stream.
