--- a/gateway/quarantine/key.go
+++ b/gateway/quarantine/key.go
@@ -8,19 +8,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Key names what a request asks, and of which account, so that each try of it has the same
-// wherever it comes. It has 128 bits of SHA-256: with fewer, or with a hash that is quick to
-// collide, one account could find a request that bars another account's.
+// Key identifies a request by its content and its client account, so that every attempt has the
+// same key on every gateway. It holds 128 bits of SHA-256: with fewer bits, or with a hash that
+// is not collision-resistant, one account could craft a request that gets another account's
+// request quarantined.
 type Key [16]byte
 
-// Request is what tells one question from another. What differs between tries of the same
-// one is left out: the id of the try, the time that it has left, how its body is framed, the
-// event after which a stream goes on, and whatever a gateway adds.
+// Request holds the fields that identify a request. Whatever differs between attempts of the
+// same request is left out: the attempt's ID, its remaining time, the framing of its body, the
+// event from which a stream resumes, and whatever a gateway adds.
 type Request struct {
 	Account string
 	Method  string
 	Host    string
-	Target  string // path and query as the caller wrote them
+	Target  string // path and query as sent by the caller
 	Body    []byte
 }
 
@@ -29,7 +30,7 @@
 	h := sha256.New()
 	var size [8]byte
 	for _, field := range [...]string{r.Account, r.Method, r.Host, r.Target} {
-		// Lengths keep the end of one field from being taken for the beginning of the next.
+		// Length prefixes keep the boundaries between fields unambiguous.
 		binary.BigEndian.PutUint64(size[:], uint64(len(field)))
 		h.Write(size[:])
 		h.Write([]byte(field))
@@ -40,10 +41,10 @@
 	return k
 }
 
-// String returns the key in hexadecimal digits.
+// String returns the key as 32 hexadecimal digits.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// ParseKey reads what [Key.String] returns.
+// ParseKey parses the output of [Key.String].
 func ParseKey(text string) (k Key, err error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(k) {
--- a/gateway/quarantine/quarantine.go
+++ b/gateway/quarantine/quarantine.go
@@ -1,27 +1,28 @@
-// Package quarantine decides which requests are kept from the backend servers, because
-// servers end while they run them.
+// Package quarantine decides which requests are kept away from backend servers because servers
+// crash while running them.
 //
-// One that ends takes all its requests with it, and nobody can see which of them was the
-// cause. But a cause comes again: the same question of the same account is there when the
-// next server ends, and it is never answered. So the package counts, for each request that
-// was at a server when that server ended, how many have. With [CrashThreshold] it is barred. What
-// is answered whole was not the cause, and starts anew; and what was answered lately
-// ([RecentAnswers]) is not blamed at all, since many copies of a question that is asked often are
-// under way when several servers end at once.
+// A server that crashes takes all its requests with it, and nothing shows which of them was the
+// cause. But the cause recurs: the same request of the same account is present at the next
+// crash, and it is never answered. The package therefore counts, for each request that was
+// running on a server when it crashed, the number of such servers. At [CrashThreshold] the
+// request is quarantined ("barred" in logs and metrics). A request that is answered completely
+// was not the cause, and its count starts over. A request that was answered recently
+// ([RecentAnswers]) is not counted at all, because many copies of a frequent request are in
+// flight when several servers crash at once.
 //
-// All that a [Registry] holds are sets that only grow: pairs of a request and a server that has
-// ended, and pairs that no longer count. So news that come twice, late or in another order
-// make no difference, and gateways that have heard the same news bar the same requests.
+// A [Registry] holds only sets that grow: pairs of a request and a crashed server, and pairs
+// that no longer count. News that arrives twice, late or out of order therefore makes no
+// difference, and gateways that have received the same news quarantine the same requests.
 //
 // # Usage
 //
 //	r := quarantine.NewRegistry()
 //	key := quarantine.KeyOf(quarantine.Request{Account: "quito", Method: "POST", …})
-//	changed := r.Ended(now, "i-7f3a@1760000000000", keys) // a server has ended under these
-//	if r.Barred(key) { … }                                // it reaches no server
-//	cleared := r.Answered(key)                            // it was not the cause
+//	changed := r.AddCrash(now, "i-7f3a@1760000000000", keys) // a server crashed while running these
+//	if r.IsQuarantined(key) { … }                            // must not be sent to a server
+//	cleared := r.MarkAnswered(key)                           // was not the cause
 //
-// The package takes no lock, does no input or output and reads no clock.
+// The package takes no locks, does no I/O and does not read the clock.
 package quarantine
 
 import (
@@ -30,249 +31,254 @@
 )
 
 const (
-	// CrashThreshold is how many servers may end under a request before it is barred. One fewer would
-	// spare servers and bar innocent requests (TestThresholds).
+	// CrashThreshold is the number of servers that may crash under a request before it is
+	// quarantined. A threshold of two would spare servers but quarantine innocent requests
+	// (TestThresholds).
 	CrashThreshold = 3
-	// Suspects are worth a record from this count on: what was at one end only is one of
-	// some fifty that were there.
-	repeated = 2
-	// Pairs of a request and a server that are remembered: 250 servers that ended with 64
-	// requests each. With more, who was at one end only is forgotten, oldest first.
-	mostPairs = 16384
-	// Requests that were at two ends or more. With more, those that are not barred are
-	// forgotten first, then those that were barred longest ago: whoever wants to be
-	// forgotten has to end 12,000 servers.
-	mostRepeated = 4096
-	// Ends that are remembered of one request; more do not change what is done with it.
-	mostOfOne = 8
-	// Ends within this time of the first one may have a cause that is none of the requests:
-	// many servers end at once, and copies of a question are at several of them.
-	atOnce = time.Second
-	// A request that is barred by such ends alone may be tried. So many later ends leave no
-	// doubt; one server may have ended under a try by chance.
-	certain = 2
+	// From this number of crashes on, a suspect is worth a record. A request that was present at
+	// a single crash is one of about fifty.
+	recordThreshold = 2
+	// maxPairs bounds the pairs of a request and a server that are remembered: 250 crashed
+	// servers with 64 requests each. Beyond it, requests that were present at only one crash are
+	// evicted, oldest first.
+	maxPairs = 16384
+	// maxRepeatSuspects bounds the requests with two crashes or more. Beyond it, those that are
+	// not quarantined are evicted first, then those quarantined longest ago, so an attacker
+	// would have to crash 12,000 servers to have a request forgotten.
+	maxRepeatSuspects = 4096
+	// maxCrashesPerRequest bounds the crashes remembered per request; more would not change how
+	// the request is treated.
+	maxCrashesPerRequest = 8
+	// Crashes within this time of a request's first one may have a cause other than the request:
+	// many servers crash at once, and copies of the request are running on several of them.
+	simultaneousWindow = time.Second
+	// A request that is quarantined only by simultaneous crashes may be given a trial. This many
+	// later crashes settle the matter; a single one may have happened during a trial by chance.
+	conclusiveLaterCrashes = 2
 )
 
-// Registry holds which requests were at servers that have ended. Its zero value is not ready;
-// see [NewRegistry].
+// Registry records which requests were running on servers that crashed. The zero value is not
+// usable; see [NewRegistry].
 type Registry struct {
-	limit    int
-	suspects map[Key]*suspect
-	repeats  map[Key]bool // suspects that have seen two ends or more
-	ends     []ending     // oldest news first
-	pairs    int          // of all ends
+	threshold      int
+	suspects       map[Key]*suspect
+	repeatSuspects map[Key]bool // suspects with at least recordThreshold crashes
+	crashes        []crash      // in the order in which they became known
+	pairs          int          // sum of len(keys) over crashes
 }
 
-// ending is a server's end, and who was there.
-type ending struct {
+// crash is the crash of a server, and the requests that were running there.
+type crash struct {
 	server string
 	keys   []Key
 }
 
-// suspect is a request that was at a server when it ended.
+// suspect is a request that was running on a server when it crashed.
 type suspect struct {
-	ended   []string  // servers that count, in the order of the news
-	cleared []string  // servers that don't: something else was the cause
-	barred  time.Time // since when it is kept from servers; zero: it is not
-	first   time.Time // news of an end that counts
-	last    time.Time
-	late    int  // ends that came later than atOnce after the first one
-	merged  bool // of some ends it is not known when they came, nor that it was at one moment
+	crashedServers []string  // crashes that count, in the order in which they became known
+	clearedServers []string  // crashes that do not count because they had another cause
+	quarantinedAt  time.Time // zero: not quarantined
+	firstCrash     time.Time // when the first crash that counts became known
+	lastCrash      time.Time
+	laterCrashes   int  // number of crashes more than simultaneousWindow after the first
+	timesUnknown   bool // some crashes have an unknown time and are not known to be simultaneous
 }
 
-// Record is what is known of a request that was at two ends or more.
+// Record is what is known of a request that was present at two crashes or more.
 type Record struct {
-	Servers       []string  // that have ended, in the order of the news
-	QuarantinedAt time.Time // since when; zero: it is not barred
-	Simultaneous  bool      // the ends came at one moment, but for one at most
+	Servers       []string  // that crashed, in the order in which this became known
+	QuarantinedAt time.Time // zero: not quarantined
+	Simultaneous  bool      // all crashes but at most one came at the same time
 }
 
-// StoredRecord is what is kept of such a request where all gateways find it.
+// StoredRecord is the part of a record that is kept in the store shared by all gateways.
 type StoredRecord struct {
-	Servers      []string `json:"servers"`           // that have ended
-	Simultaneous bool     `json:"at_once,omitempty"` // they did so at one moment, but for one at most
-	Probes       int      `json:"tries,omitempty"`   // how often it was sent although it is barred
+	Servers      []string `json:"servers"`           // that crashed
+	Simultaneous bool     `json:"at_once,omitempty"` // all crashes but at most one came at the same time
+	Probes       int      `json:"tries,omitempty"`   // number of times it was sent although quarantined
 }
 
-// Equal tells whether both say the same.
-func (k StoredRecord) Equal(other StoredRecord) bool {
-	return k.Simultaneous == other.Simultaneous && k.Probes == other.Probes && slices.Equal(k.Servers, other.Servers)
+// Equal reports whether both records hold the same values.
+func (r StoredRecord) Equal(o StoredRecord) bool {
+	return r.Simultaneous == o.Simultaneous && r.Probes == o.Probes && slices.Equal(r.Servers, o.Servers)
 }
 
-// Merge returns what both say together. Only if both say so did the ends come at one moment.
-func (k StoredRecord) Merge(other StoredRecord) StoredRecord {
-	if len(other.Servers) == 0 {
-		return k
+// Merge returns the union of both records. The crashes count as simultaneous only if both
+// records say so.
+func (r StoredRecord) Merge(o StoredRecord) StoredRecord {
+	if len(o.Servers) == 0 {
+		return r
 	}
-	both := StoredRecord{Servers: slices.Clone(k.Servers), Simultaneous: k.Simultaneous && other.Simultaneous, Probes: max(k.Probes, other.Probes)}
-	for _, server := range other.Servers {
-		if !slices.Contains(both.Servers, server) {
-			both.Servers = append(both.Servers, server)
+	merged := StoredRecord{Servers: slices.Clone(r.Servers), Simultaneous: r.Simultaneous && o.Simultaneous, Probes: max(r.Probes, o.Probes)}
+	for _, server := range o.Servers {
+		if !slices.Contains(merged.Servers, server) {
+			merged.Servers = append(merged.Servers, server)
 		}
 	}
-	return both
+	return merged
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
-	return &Registry{limit: CrashThreshold, suspects: map[Key]*suspect{}, repeats: map[Key]bool{}}
+	return &Registry{threshold: CrashThreshold, suspects: map[Key]*suspect{}, repeatSuspects: map[Key]bool{}}
 }
 
-// AddCrash notes that a server has ended while it had these requests. It returns those of which
-// [Registry.Record] tells something else than before.
+// AddCrash records that a server crashed while it was running these requests. It returns the
+// requests whose [Registry.Record] has changed.
 func (r *Registry) AddCrash(now time.Time, server string, keys []Key) (changed []Key) {
-	var news []Key
+	var added []Key
 	for _, k := range keys {
-		if !r.add(now, server, k) {
+		if !r.addPair(now, server, k) {
 			continue
 		}
-		news = append(news, k)
-		if r.repeats[k] {
+		added = append(added, k)
+		if r.repeatSuspects[k] {
 			changed = append(changed, k)
 		}
 	}
-	r.remember(ending{server, news})
+	r.appendCrash(crash{server, added})
 	return changed
 }
 
-// Merge takes over what is kept of a request. It returns whether that was news.
-func (r *Registry) Merge(now time.Time, k Key, kept StoredRecord) (news bool) {
-	for _, server := range kept.Servers {
+// Merge adds the stored record of a request. It reports whether that changed anything.
+func (r *Registry) Merge(now time.Time, k Key, stored StoredRecord) (changed bool) {
+	for _, server := range stored.Servers {
 		late := 0
 		if s := r.suspects[k]; s != nil {
-			late = s.late
+			late = s.laterCrashes
 		}
-		if !r.add(now, server, k) {
+		if !r.addPair(now, server, k) {
 			continue
 		}
 		s := r.suspects[k]
-		s.late = late // when it came is not known
-		s.merged = s.merged || !kept.Simultaneous
-		r.remember(ending{server, []Key{k}})
-		news = true
+		s.laterCrashes = late // the time of this crash is unknown
+		s.timesUnknown = s.timesUnknown || !stored.Simultaneous
+		r.appendCrash(crash{server, []Key{k}})
+		changed = true
 	}
-	return news
+	return changed
 }
 
-// add notes one pair; it returns whether that is news.
-func (r *Registry) add(now time.Time, server string, k Key) bool {
+// addPair adds the pair of a request and a server. It reports whether the pair is new and was
+// added.
+func (r *Registry) addPair(now time.Time, server string, k Key) bool {
 	s := r.suspects[k]
 	if s == nil {
 		s = &suspect{}
 		r.suspects[k] = s
 	}
-	if slices.Contains(s.ended, server) || slices.Contains(s.cleared, server) {
+	if slices.Contains(s.crashedServers, server) || slices.Contains(s.clearedServers, server) {
 		return false
 	}
-	if s.first.IsZero() {
-		s.first = now
+	if s.firstCrash.IsZero() {
+		s.firstCrash = now
 	}
-	if now.Sub(s.first) > atOnce {
-		s.late++
+	if now.Sub(s.firstCrash) > simultaneousWindow {
+		s.laterCrashes++
 	}
-	s.last = now
-	if len(s.ended) >= mostOfOne {
+	s.lastCrash = now
+	if len(s.crashedServers) >= maxCrashesPerRequest {
 		return false
 	}
-	s.ended = append(s.ended, server)
-	if len(s.ended) >= repeated {
-		r.repeats[k] = true
+	s.crashedServers = append(s.crashedServers, server)
+	if len(s.crashedServers) >= recordThreshold {
+		r.repeatSuspects[k] = true
 	}
-	if len(s.ended) >= r.limit && s.barred.IsZero() {
-		s.barred = now
+	if len(s.crashedServers) >= r.threshold && s.quarantinedAt.IsZero() {
+		s.quarantinedAt = now
 	}
 	return true
 }
 
-// MarkAnswered notes that a request was answered whole: it was the cause of no end so far. It
-// returns the servers whose ends it has seen.
+// MarkAnswered records that a request was answered completely, so it caused none of the crashes
+// so far. It returns the servers whose crashes no longer count.
 func (r *Registry) MarkAnswered(k Key) (cleared []string) {
 	s := r.suspects[k]
-	if s == nil || len(s.ended) == 0 {
+	if s == nil || len(s.crashedServers) == 0 {
 		return nil
 	}
-	cleared = slices.Clone(s.ended)
+	cleared = slices.Clone(s.crashedServers)
 	r.Clear(k, cleared)
 	return cleared
 }
 
-// Release lets nothing count any more that a request has seen.
+// Release stops counting all crashes recorded for a request.
 func (r *Registry) Release(k Key) {
 	if s := r.suspects[k]; s != nil {
-		r.Clear(k, slices.Clone(s.ended))
+		r.Clear(k, slices.Clone(s.crashedServers))
 	}
 }
 
-// Clear lets the ends of these servers count no more for a request, as another gateway has
-// found. News of them that come later do not count either.
+// Clear stops counting the crashes of these servers for a request, as another gateway found that
+// it did not cause them. Later news of the same crashes is ignored too.
 func (r *Registry) Clear(k Key, servers []string) {
 	s := r.suspects[k]
 	if s == nil {
-		return // who was at no end that is known is not worth the memory
+		return // a request without a known crash is not worth the memory
 	}
 	for _, server := range servers {
-		if !slices.Contains(s.cleared, server) {
-			s.cleared = append(s.cleared, server)
+		if !slices.Contains(s.clearedServers, server) {
+			s.clearedServers = append(s.clearedServers, server)
 		}
-		if at := slices.Index(s.ended, server); at >= 0 {
-			s.ended = slices.Delete(s.ended, at, at+1)
+		if i := slices.Index(s.crashedServers, server); i >= 0 {
+			s.crashedServers = slices.Delete(s.crashedServers, i, i+1)
 		}
 	}
-	s.cleared = s.cleared[max(0, len(s.cleared)-mostOfOne):]
-	if len(s.ended) == 0 {
-		s.first, s.late, s.merged = time.Time{}, 0, false
+	s.clearedServers = s.clearedServers[max(0, len(s.clearedServers)-maxCrashesPerRequest):]
+	if len(s.crashedServers) == 0 {
+		s.firstCrash, s.laterCrashes, s.timesUnknown = time.Time{}, 0, false
 	}
-	if len(s.ended) < repeated {
-		delete(r.repeats, k)
+	if len(s.crashedServers) < recordThreshold {
+		delete(r.repeatSuspects, k)
 	}
-	if len(s.ended) < r.limit {
-		s.barred = time.Time{}
+	if len(s.crashedServers) < r.threshold {
+		s.quarantinedAt = time.Time{}
 	}
 }
 
-// IsCleared tells whether none of these servers' ends counts for a request any more.
+// IsCleared reports whether none of these servers' crashes counts for a request any more.
 func (r *Registry) IsCleared(k Key, servers []string) bool {
 	s := r.suspects[k]
-	return s != nil && !slices.ContainsFunc(servers, func(server string) bool { return !slices.Contains(s.cleared, server) })
+	return s != nil && !slices.ContainsFunc(servers, func(server string) bool { return !slices.Contains(s.clearedServers, server) })
 }
 
-// CrashCount returns how many servers have ended under a request, as far as they count.
+// CrashCount returns the number of servers whose crashes count for a request.
 func (r *Registry) CrashCount(k Key) int {
 	if s := r.suspects[k]; s != nil {
-		return len(s.ended)
+		return len(s.crashedServers)
 	}
 	return 0
 }
 
-// IsQuarantined tells whether a request is kept from servers.
+// IsQuarantined reports whether a request must not be sent to servers.
 func (r *Registry) IsQuarantined(k Key) bool {
 	s := r.suspects[k]
-	return s != nil && !s.barred.IsZero()
+	return s != nil && !s.quarantinedAt.IsZero()
 }
 
-// Ambiguous tells whether a request is barred by ends that all came at once, but for one at
-// most, and if so for how long no other has come.
+// Ambiguous reports whether a request is quarantined by crashes that all came at the same time,
+// but for at most one, and if so how long ago the latest crash was.
 func (r *Registry) Ambiguous(now time.Time, k Key) (quiet time.Duration, ok bool) {
 	s := r.suspects[k]
-	if s == nil || s.merged || len(s.ended)-s.late < r.limit || s.late >= certain {
+	if s == nil || s.timesUnknown || len(s.crashedServers)-s.laterCrashes < r.threshold || s.laterCrashes >= conclusiveLaterCrashes {
 		return 0, false
 	}
-	return now.Sub(s.last), true
+	return now.Sub(s.lastCrash), true
 }
 
-// Record returns what is known of a request; ok is false if it has seen less than two ends.
+// Record returns what is known of a request; ok is false if it has fewer than two crashes.
 func (r *Registry) Record(k Key) (known Record, ok bool) {
-	if !r.repeats[k] {
+	if !r.repeatSuspects[k] {
 		return Record{}, false
 	}
 	s := r.suspects[k]
-	return Record{Servers: slices.Clone(s.ended), QuarantinedAt: s.barred, Simultaneous: !s.merged && s.late < certain}, true
+	return Record{Servers: slices.Clone(s.crashedServers), QuarantinedAt: s.quarantinedAt, Simultaneous: !s.timesUnknown && s.laterCrashes < conclusiveLaterCrashes}, true
 }
 
-// CountQuarantined returns how many requests are barred.
+// CountQuarantined returns the number of quarantined requests.
 func (r *Registry) CountQuarantined() int {
 	n := 0
-	for k := range r.repeats {
+	for k := range r.repeatSuspects {
 		if r.IsQuarantined(k) {
 			n++
 		}
@@ -280,45 +286,46 @@
 	return n
 }
 
-// Len returns how many requests are known.
+// Len returns the number of known requests.
 func (r *Registry) Len() int { return len(r.suspects) }
 
-// remember keeps an end, and drops what is then beyond the bounds.
-func (r *Registry) remember(e ending) {
-	if len(e.keys) == 0 {
+// appendCrash stores a crash and evicts what exceeds the bounds.
+func (r *Registry) appendCrash(c crash) {
+	if len(c.keys) == 0 {
 		return
 	}
-	r.ends = append(r.ends, e)
-	r.pairs += len(e.keys)
-	for r.pairs > mostPairs {
-		r.forget(r.ends[0])
-		r.ends = r.ends[1:]
+	r.crashes = append(r.crashes, c)
+	r.pairs += len(c.keys)
+	for r.pairs > maxPairs {
+		r.evictCrash(r.crashes[0])
+		r.crashes = r.crashes[1:]
 	}
-	for len(r.repeats) > mostRepeated {
-		k := r.leastNeeded()
-		delete(r.repeats, k)
+	for len(r.repeatSuspects) > maxRepeatSuspects {
+		k := r.evictionCandidate()
+		delete(r.repeatSuspects, k)
 		delete(r.suspects, k)
 	}
 }
 
-// forget drops those that were at this end and at no other one.
-func (r *Registry) forget(e ending) {
-	r.pairs -= len(e.keys)
-	for _, k := range e.keys {
+// evictCrash drops the requests that were present at this crash and at no other.
+func (r *Registry) evictCrash(c crash) {
+	r.pairs -= len(c.keys)
+	for _, k := range c.keys {
 		s := r.suspects[k]
-		if s != nil && (len(s.ended) == 0 || len(s.ended) < repeated && s.ended[0] == e.server) {
+		if s != nil && (len(s.crashedServers) == 0 || len(s.crashedServers) < recordThreshold && s.crashedServers[0] == c.server) {
 			delete(r.suspects, k)
 		}
 	}
 }
 
-// leastNeeded returns one that is not barred, or else the one that was barred first.
-func (r *Registry) leastNeeded() (least Key) {
+// evictionCandidate returns a request that is not quarantined, or else the one quarantined
+// first.
+func (r *Registry) evictionCandidate() (candidate Key) {
 	first := true
-	for k := range r.repeats {
-		if first || r.suspects[k].barred.Before(r.suspects[least].barred) {
-			least, first = k, false
+	for k := range r.repeatSuspects {
+		if first || r.suspects[k].quarantinedAt.Before(r.suspects[candidate].quarantinedAt) {
+			candidate, first = k, false
 		}
 	}
-	return least
+	return candidate
 }
