--- a/gateway/upstream/silence.go
+++ b/gateway/upstream/keepalive.go
@@ -9,21 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// KeepAlive tells when a connection on which nothing arrives counts as gone, although
+// KeepAlive configures when a connection on which nothing arrives is considered dead although
 // nobody has closed or reset it.
 type KeepAlive struct {
-	UserTimeout time.Duration // written bytes that nobody acknowledges for so long
-	Idle        time.Duration // a connection is probed after so long without bytes; whole seconds at a listener
-	Interval    time.Duration // between probes; whole seconds at a listener
-	Count       int           // that are lost in a row
+	UserTimeout time.Duration // limit for sent data to stay unacknowledged
+	Idle        time.Duration // time without data before the first probe; whole seconds for a listener
+	Interval    time.Duration // time between probes; whole seconds for a listener
+	Count       int           // consecutive lost probes before the connection is dead
 }
 
-func (s KeepAlive) probes() net.KeepAliveConfig {
+func (s KeepAlive) probeConfig() net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: s.Idle, Interval: s.Interval, Count: s.Count}
 }
 
-// Control sets all of it on a socket. Its signature is that of net.ListenConfig.Control;
-// connections have what their listener had.
+// Control sets all options on a socket. Its signature is that of net.ListenConfig.Control;
+// accepted connections inherit the options of their listener.
 func (s KeepAlive) Control(network, address string, raw syscall.RawConn) error {
 	options := []struct{ level, name, value int }{
 		{unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
@@ -37,12 +37,12 @@
 			failed = errors.CombineErrors(failed, unix.SetsockoptInt(int(fd), o.level, o.name, o.value))
 		}
 	})
-	return errors.CombineErrors(errors.CombineErrors(err, failed), s.limitUnacknowledged(network, address, raw))
+	return errors.CombineErrors(errors.CombineErrors(err, failed), s.setUserTimeout(network, address, raw))
 }
 
-// limitUnacknowledged bounds how long written bytes may stay unacknowledged. Its signature
-// is that of net.Dialer.Control.
-func (s KeepAlive) limitUnacknowledged(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout limits how long sent data may stay unacknowledged. Its signature is that of
+// net.Dialer.Control.
+func (s KeepAlive) setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
 		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(s.UserTimeout.Milliseconds()))
@@ -50,7 +50,7 @@
 	return errors.CombineErrors(err, failed)
 }
 
-// Dialer returns a dialer whose connections have all of it.
+// Dialer returns a dialer that sets all options on its connections.
 func (s KeepAlive) Dialer() net.Dialer {
-	return net.Dialer{KeepAliveConfig: s.probes(), Control: s.limitUnacknowledged}
+	return net.Dialer{KeepAliveConfig: s.probeConfig(), Control: s.setUserTimeout}
 }
--- a/gateway/upstream/silence_test.go
+++ b/gateway/upstream/keepalive_test.go
@@ -11,10 +11,11 @@
 	"opalbridge.dev/gateway/upstream"
 )
 
-// TestSilentConnections: connections have the times of silence that their listener had.
-func TestSilentConnections(t *testing.T) {
-	silence := upstream.KeepAlive{UserTimeout: 4 * time.Second, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
-	config := net.ListenConfig{KeepAlive: -1, Control: silence.Control}
+// TestListenerKeepAlive checks that accepted connections inherit the keep-alive options of their
+// listener.
+func TestListenerKeepAlive(t *testing.T) {
+	keepAlive := upstream.KeepAlive{UserTimeout: 4 * time.Second, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
+	config := net.ListenConfig{KeepAlive: -1, Control: keepAlive.Control}
 	l, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
--- a/gateway/upstream/pool.go
+++ b/gateway/upstream/pool.go
@@ -15,45 +15,45 @@
 	"opalbridge.dev/gateway/protocol"
 )
 
-// Times of connections.
+// Timeouts and sizes of connections.
 const (
-	// A connection that does not come up in this time is given up. Within a region
-	// the way there and back takes a few milliseconds; one lost packet costs a second.
+	// A connection attempt fails after this time. Within a region the round trip takes a few
+	// milliseconds; one lost packet costs a second.
 	dialTimeout = 1500 * time.Millisecond
-	// A second connection is tried when the first has not come up by then: its first
-	// packet may have been lost, which the kernel notices only after a second.
-	dialAgain = 150 * time.Millisecond
-	// A connection is not used again in the last part of the time for which the
-	// server keeps it: the request would cross the close.
-	lifetimeReserve = 1500 * time.Millisecond
-	// A connection whose server tells no lifetime is used again up to this age.
-	unknownLifetime = 4 * time.Second
-	// A request that may not repeat uses a connection again only up to this age: a
-	// server that closes it meanwhile leaves it open whether the request ran.
-	oneShotIdle = time.Second
-	readBuffer  = 4 << 10
-	// Idle connections kept for a server; more are closed. Before 40 servers they may
-	// take a sixth of the 4,000 descriptors of a small host.
-	mostIdle = 16
+	// A second attempt starts when the first has not succeeded by then: its first packet may
+	// have been lost, which the kernel notices only after a second.
+	dialHedgeDelay = 150 * time.Millisecond
+	// A connection is not reused in the last part of the server's keep-alive time, because the
+	// request could cross the server's close on the way.
+	keepAliveMargin = 1500 * time.Millisecond
+	// Maximum idle time of a connection whose server announces no keep-alive timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// Maximum idle time of a connection that is reused for a request that must not run twice: if
+	// the server closes it meanwhile, it is unknown whether the request ran.
+	nonIdempotentIdleTimeout = time.Second
+	readBufferSize           = 4 << 10
+	// Idle connections kept per server; further ones are closed. With 40 servers they take up to
+	// a sixth of the 4,000 file descriptors of a small host.
+	maxIdlePerServer = 16
 )
 
-// Pool keeps connections to servers for use again. It is safe for use by several
+// Pool keeps idle connections to servers for reuse. It is safe for concurrent use by multiple
 // goroutines.
 type Pool struct {
-	// OnSignal hears what answers say of their servers, as soon as their heads are read, whoever
-	// still waits for the answer. It must not block; nil: nobody does.
-	OnSignal func(s catalog.Server, w Signal)
+	// OnSignal, if not nil, is called with what a response says about its server as soon as its
+	// head has been read, even if the caller no longer waits for it. It must not block.
+	OnSignal func(s catalog.Server, sig Signal)
 
 	codec protocol.Codec
 	mutex sync.Mutex
-	idle  map[string][]*conn // by server incarnation, the latest used last
+	idle  map[string][]*conn // by server lifetime, most recently used last
 	dials int64
 }
 
 // NewPool returns an empty pool.
 func NewPool(c protocol.Codec) *Pool { return &Pool{codec: c, idle: map[string][]*conn{}} }
 
-// Dials returns how many connections were opened.
+// Dials returns the number of connection attempts so far.
 func (p *Pool) Dials() int64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -61,20 +61,20 @@
 }
 
 // get returns an idle connection that still looks alive, or a new one.
-func (p *Pool) get(ctx context.Context, s catalog.Server, mayRepeat bool) (*conn, error) {
+func (p *Pool) get(ctx context.Context, s catalog.Server, idempotent bool) (*conn, error) {
 	for {
-		c := p.take(s.ID)
+		c := p.takeIdle(s.ID)
 		if c == nil {
 			return p.dial(ctx, s)
 		}
-		if c.usable(time.Now(), mayRepeat) {
+		if c.usable(time.Now(), idempotent) {
 			return c, nil
 		}
 		c.Close()
 	}
 }
 
-func (p *Pool) take(server string) *conn {
+func (p *Pool) takeIdle(server string) *conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	list := p.idle[server]
@@ -87,18 +87,18 @@
 }
 
 func (p *Pool) put(server string, c *conn) {
-	c.idle = time.Now()
+	c.idleSince = time.Now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.idle[server]) >= mostIdle {
+	if len(p.idle[server]) >= maxIdlePerServer {
 		c.Close()
 		return
 	}
 	p.idle[server] = append(p.idle[server], c)
 }
 
-// drop closes the idle connections to a server.
-func (p *Pool) drop(server string) {
+// closeIdle closes the idle connections to a server.
+func (p *Pool) closeIdle(server string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, c := range p.idle[server] {
@@ -107,8 +107,8 @@
 	delete(p.idle, server)
 }
 
-// Retain closes the idle connections to servers that are not among those given, and
-// those that are too old for use.
+// Retain closes the idle connections to servers that are not in the given set, and those that
+// have been idle too long.
 func (p *Pool) Retain(servers map[string]bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -116,7 +116,7 @@
 	for id, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if servers[id] && c.young(now, true) {
+			if servers[id] && c.withinIdleTimeout(now, true) {
 				kept = append(kept, c)
 				continue
 			}
@@ -130,95 +130,96 @@
 	}
 }
 
-func (c *conn) young(now time.Time, mayRepeat bool) bool {
-	age := now.Sub(c.idle)
-	most := unknownLifetime
-	if c.lifetime > 0 {
-		most = c.lifetime - lifetimeReserve
+func (c *conn) withinIdleTimeout(now time.Time, idempotent bool) bool {
+	age := now.Sub(c.idleSince)
+	limit := defaultIdleTimeout
+	if c.idleTimeout > 0 {
+		limit = c.idleTimeout - keepAliveMargin
 	}
-	if !mayRepeat {
-		most = min(most, oneShotIdle)
+	if !idempotent {
+		limit = min(limit, nonIdempotentIdleTimeout)
 	}
-	return age < most
+	return age < limit
 }
 
-// usable tells whether the connection is young enough, open and silent.
-func (c *conn) usable(now time.Time, mayRepeat bool) bool {
-	return c.young(now, mayRepeat) && c.reader.Buffered() == 0 && c.silent()
+// usable reports whether the connection is within its idle timeout, open, and has no unread
+// input.
+func (c *conn) usable(now time.Time, idempotent bool) bool {
+	return c.withinIdleTimeout(now, idempotent) && c.reader.Buffered() == 0 && c.openAndIdle()
 }
 
-// silent tells whether the peer has neither closed the connection nor sent bytes
-// that nobody asked for.
-func (c *conn) silent() bool {
+// openAndIdle reports whether the peer has neither closed the connection nor sent unsolicited
+// bytes.
+func (c *conn) openAndIdle() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	silent := false
+	idle := false
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent = err == unix.EAGAIN
+		idle = err == unix.EAGAIN
 	})
-	return err == nil && silent
+	return err == nil && idle
 }
 
-// outcome is the end of one try to connect.
-type outcome struct {
+// dialResult is the result of one connection attempt.
+type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// dial opens a connection, with a second try beside the first when that is slow.
+// dial opens a connection. If the first attempt is slow, it starts a second one in parallel.
 func (p *Pool) dial(ctx context.Context, s catalog.Server) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
-	defer cancel() // ends a try that is still under way
-	ends := make(chan outcome, 2)
-	open := 1
-	go p.connect(ctx, s, ends)
-	again := time.NewTimer(dialAgain)
-	defer again.Stop()
+	defer cancel() // stops an attempt that is still running
+	results := make(chan dialResult, 2)
+	running := 1
+	go p.connect(ctx, s, results)
+	hedge := time.NewTimer(dialHedgeDelay)
+	defer hedge.Stop()
 	for {
 		select {
-		case <-again.C:
-			open++
-			go p.connect(ctx, s, ends)
-		case o := <-ends:
-			open--
-			if o.err == nil {
-				if open > 0 {
-					go closeLate(ends)
+		case <-hedge.C:
+			running++
+			go p.connect(ctx, s, results)
+		case r := <-results:
+			running--
+			if r.err == nil {
+				if running > 0 {
+					go closeUnusedDial(results)
 				}
-				return &conn{Conn: o.conn, reader: bufio.NewReaderSize(o.conn, readBuffer)}, nil
+				return &conn{Conn: r.conn, reader: bufio.NewReaderSize(r.conn, readBufferSize)}, nil
 			}
-			if open == 0 {
-				return nil, errors.Wrapf(o.err, "upstream: connect to server %s", s.ID)
+			if running == 0 {
+				return nil, errors.Wrapf(r.err, "upstream: connect to server %s", s.ID)
 			}
 		}
 	}
 }
 
-func (p *Pool) connect(ctx context.Context, s catalog.Server, ends chan<- outcome) {
+func (p *Pool) connect(ctx context.Context, s catalog.Server, results chan<- dialResult) {
 	p.mutex.Lock()
 	p.dials++
 	p.mutex.Unlock()
 	c, err := dialer.DialContext(ctx, "tcp4", s.Address)
-	ends <- outcome{conn: c, err: err}
+	results <- dialResult{conn: c, err: err}
 }
 
-// closeLate closes the connection of a try that came second.
-func closeLate(ends <-chan outcome) {
-	if o := <-ends; o.err == nil {
-		o.conn.Close()
+// closeUnusedDial closes the connection of the attempt that finished second.
+func closeUnusedDial(results <-chan dialResult) {
+	if r := <-results; r.err == nil {
+		r.conn.Close()
 	}
 }
 
-// serverSilence finds connections to servers that have gone silent, and hosts without
-// power, in 2.5 seconds at most. A request that a cut link holds back must not reach a
-// server that has said meanwhile that it leaves, which is two seconds at the least; three
-// losses in a row take 1.4 s.
-var serverSilence = KeepAlive{
+// serverKeepAlive detects unresponsive connections to servers, and hosts without power, within
+// 2.5 seconds. A request held back by a broken link must not reach a server that has announced
+// in the meantime that it is leaving, which takes two seconds at least; three packet losses in a
+// row take 1.4 s.
+var serverKeepAlive = KeepAlive{
 	UserTimeout: 1500 * time.Millisecond, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3,
 }
 
-var dialer = serverSilence.Dialer()
+var dialer = serverKeepAlive.Dialer()
--- a/gateway/upstream/upstream.go
+++ b/gateway/upstream/upstream.go
@@ -1,20 +1,20 @@
-// Package upstream sends requests to backend servers over HTTP/1.1 and tells
-// exactly what is known of each: that it was not sent, that the server did not run
-// it, that nobody can say, or its answer.
+// Package upstream sends requests to backend servers over HTTP/1.1 and reports exactly what is
+// known about each: that it was not sent, that the server did not run it, that its outcome is
+// unknown, or its response.
 //
 // # Usage
 //
 //	p := upstream.NewPool(codec)
 //	switch r := p.Send(ctx, server, request).(type) {
-//	case upstream.Unsent:   // no byte went out: another server may have it
-//	case upstream.NotRun:   // the server says so: another server may have it
-//	case upstream.Lost:     // it may have run
-//	case upstream.Answered: // read r.Answer.Body, then r.Answer.Close
+//	case upstream.Unsent:        // no byte was sent: another server may get it
+//	case upstream.NotExecuted:   // the server says so: another server may get it
+//	case upstream.Indeterminate: // it may have run
+//	case upstream.Responded:     // read r.Response.Body, then call r.Response.Close
 //	}
 //
-// net/http's client is not used because it sends some requests again by itself when
-// a connection breaks. An answer is handed out only if it names the request and, for
-// a success, bears the server's seal. Bytes that nobody asked for end a connection.
+// The client of net/http is not used because it retries some requests on its own when a
+// connection breaks. A response is returned only if it names the request and, for a success,
+// carries the server's seal. A connection that has received unsolicited bytes is not reused.
 package upstream
 
 import (
@@ -35,45 +35,45 @@
 	"opalbridge.dev/gateway/protocol"
 )
 
-// Request is a request for a server. Header is sent as it stands and must not hold
-// headers of a single connection.
+// Request is a request to a server. Header is sent unchanged and must not contain hop-by-hop
+// headers.
 type Request struct {
-	ID         string // answers must name it
+	ID         string // responses must carry it
 	Method     string
-	Target     string // path and query as the caller sent them
+	Target     string // path and query as sent by the caller
 	Host       string
 	Header     http.Header
 	Body       []byte
-	Idempotent bool      // false: only connections that are surely alive are used again
-	SendBefore time.Time // it must not be sent later than this; zero: whenever that is
-	// BeforeSend is asked once a connection is there, which may take a second: with an error the
-	// request is not sent. nil: it may be.
+	Idempotent bool      // false: must not run twice, so only recently used connections are reused
+	SendBefore time.Time // latest time to send it; zero: no limit
+	// BeforeSend, if not nil, is called once a connection is available, which may take a second.
+	// If it returns an error, the request is not sent.
 	BeforeSend func() error
 }
 
-// ErrTooLate is why a request was not sent: its time to leave had passed.
+// ErrTooLate reports that a request was not sent because its SendBefore time had passed.
 var ErrTooLate = errors.New("upstream: too late to be sent")
 
-// Result is what is known of a request after it was sent.
+// Result is what is known about a request after Send.
 type Result interface{ result() }
 
-// Unsent means that no byte of the request reached the server.
+// Unsent means that no byte of the request was sent.
 type Unsent struct{ Err error }
 
-// NotExecuted means that the server states it has not run the request.
+// NotExecuted means that the server states that it did not run the request.
 type NotExecuted struct {
 	Status        int
-	WrongInstance bool // the address belongs to another server now
+	WrongInstance bool // the address now belongs to another server
 }
 
-// Indeterminate means that the request may have run and no usable answer came. Broken tells that the
-// connection ended, as against an answer that is none.
+// Indeterminate means that the request may have run and no usable response arrived.
+// ConnectionFailed is set if the connection broke, and not if an unusable response was received.
 type Indeterminate struct {
 	Err              error
 	ConnectionFailed bool
 }
 
-// Responded holds the head of a usable answer.
+// Responded holds the head of a usable response.
 type Responded struct{ Response *Response }
 
 func (Unsent) result()        {}
@@ -81,10 +81,10 @@
 func (Indeterminate) result() {}
 func (Responded) result()     {}
 
-// Response is a server's answer. Body returns io.EOF only at its true end.
+// Response is a server's response. Body returns io.EOF only at its true end.
 type Response struct {
 	Status int
-	Header http.Header // without headers of a single connection
+	Header http.Header // without hop-by-hop headers
 	Length int64       // of the body; -1: unknown
 	Body   io.Reader
 
@@ -94,59 +94,58 @@
 	written  <-chan error
 	stop     func() bool
 	reusable bool
-	whole    bool
+	complete bool
 }
 
-// Close ends the exchange. The connection is kept only if the answer was read to its
-// end and nothing came after it; otherwise it is closed, which stops the server's
-// work.
-func (a *Response) Close() {
-	if !a.stop() {
-		a.conn.Close() // the context ended: its closing may still be under way
+// Close ends the exchange. The connection is kept only if the response was read to its end and
+// nothing followed it; otherwise it is closed, which stops the server's work.
+func (r *Response) Close() {
+	if !r.stop() {
+		r.conn.Close() // ctx has ended: its closing of the connection may still be in progress
 		return
 	}
-	if !a.whole || !a.reusable || !a.sent() || a.conn.reader.Buffered() > 0 {
-		a.conn.Close()
+	if !r.complete || !r.reusable || !r.requestWritten() || r.conn.reader.Buffered() > 0 {
+		r.conn.Close()
 		return
 	}
-	a.pool.put(a.server, a.conn)
+	r.pool.put(r.server, r.conn)
 }
 
-// sent tells whether the whole request was written.
-func (a *Response) sent() bool {
+// requestWritten reports whether the whole request was written.
+func (r *Response) requestWritten() bool {
 	select {
-	case err := <-a.written:
+	case err := <-r.written:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// wholeReader notes the body's true end.
-type wholeReader struct {
+// eofTracker records that the body was read to its true end.
+type eofTracker struct {
 	io.Reader
-	answer *Response
+	response *Response
 }
 
-func (r wholeReader) Read(p []byte) (int, error) {
+func (r eofTracker) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if err == io.EOF {
-		r.answer.whole = true
+		r.response.complete = true
 	}
 	return n, err
 }
 
-// Sizes and times of an exchange.
+// Limits of an exchange.
 const (
-	// A body up to this size is written before the answer is read; it fits into any
-	// socket buffer. A longer one is written beside, since a server may answer early.
-	smallBody = 8 << 10
-	// A server's interim answers (1xx) before the real one.
-	mostInterim = 8
+	// A body up to this size is written before the response is read; it fits into any socket
+	// buffer. A larger one is written concurrently, since a server may respond early.
+	maxInlineBody = 8 << 10
+	// Interim responses (1xx) accepted before the final one.
+	maxInterimResponses = 8
 )
 
-// Send sends a request to a server and waits for the head of the answer. When ctx
-// ends, the connection is closed.
+// Send sends a request to a server and waits for the head of the response. When ctx ends, the
+// connection is closed.
 func (p *Pool) Send(ctx context.Context, s catalog.Server, r *Request) Result {
 	c, err := p.get(ctx, s, r.Idempotent)
 	if err != nil {
@@ -163,97 +162,98 @@
 		}
 	}
 	stop := context.AfterFunc(ctx, func() { c.Close() })
-	written := c.send(r)
-	response, err := c.head(r)
+	written := c.writeRequest(r)
+	response, err := c.readResponseHead(r)
 	if err != nil {
 		stop()
 		c.Close()
-		if silent(ctx, err) {
-			p.drop(s.ID)
+		if timedOut(ctx, err) {
+			p.closeIdle(s.ID)
 		}
 		return Indeterminate{Err: errors.CombineErrors(context.Cause(ctx), err), ConnectionFailed: true}
 	}
-	return p.judge(c, s, r, response, written, stop)
+	return p.classify(c, s, r, response, written, stop)
 }
 
-// silent tells whether a connection gave no sign of life to the end. Others that were open
-// beside it may have gone silent with it, which shows only when they are used.
-func silent(ctx context.Context, err error) bool {
+// timedOut reports whether a connection showed no sign of life until it was given up. Other
+// connections that were open at the same time may be dead too, which would only show on use.
+func timedOut(ctx context.Context, err error) bool {
 	return errors.Is(ctx.Err(), context.DeadlineExceeded) || errors.Is(err, syscall.ETIMEDOUT)
 }
 
-// Signal is what an answer says of its server, beside the request.
+// Signal is what a response says about its server rather than about the request.
 type Signal struct {
 	Status  int
-	Leaving bool          // the server takes no new work
-	Backoff time.Duration // it wants nothing from this gateway for so long; 0: it did not say so
+	Leaving bool          // the server accepts no new work
+	Backoff time.Duration // it wants no requests from this gateway for this long; 0: not stated
 }
 
-// signalOf returns what an answer says of a server. ok is false if it says nothing, or is not
-// surely that server's: its request was for that server only, so whoever answers it, but for
-// a refusal as another one, is that one. An answer that could not be handed out says nothing
-// of its server either.
-func signalOf(s catalog.Server, r *Request, status int, told protocol.Response) (g Signal, ok bool) {
+// serverSignal returns what a response says about a server. ok is false if it says nothing, or
+// if it may come from another server. The request was meant for this server only, so whoever
+// responds is that server, unless it refuses the request as misdirected. A response that could
+// not be returned to the caller says nothing about its server either.
+func serverSignal(s catalog.Server, r *Request, status int, info protocol.Response) (sig Signal, ok bool) {
 	switch {
-	case told.RequestID == "" || told.RequestID != r.ID, status == http.StatusMisdirectedRequest:
-		return g, false
-	case told.Server != "" && told.Server != s.Name():
-		return g, false
-	case status < http.StatusMultipleChoices && !told.Sealed:
-		return g, false
+	case info.RequestID == "" || info.RequestID != r.ID, status == http.StatusMisdirectedRequest:
+		return sig, false
+	case info.Server != "" && info.Server != s.Name():
+		return sig, false
+	case status < http.StatusMultipleChoices && !info.Sealed:
+		return sig, false
 	}
-	return Signal{Status: status, Leaving: told.Leaving, Backoff: told.Backoff}, told.Leaving || told.Backoff > 0
+	return Signal{Status: status, Leaving: info.Leaving, Backoff: info.Backoff}, info.Leaving || info.Backoff > 0
 }
 
-// judge turns the head of an answer into a result.
-func (p *Pool) judge(c *conn, s catalog.Server, r *Request, response *http.Response, written <-chan error, stop func() bool) Result {
-	a := &Response{
+// classify turns the head of a response into a result.
+func (p *Pool) classify(c *conn, s catalog.Server, r *Request, response *http.Response, written <-chan error, stop func() bool) Result {
+	resp := &Response{
 		Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
 		conn: c, pool: p, server: s.ID, written: written, stop: stop,
 		reusable: !response.Close && response.ProtoAtLeast(1, 1),
 	}
-	a.Body = wholeReader{response.Body, a}
-	c.lifetime = keepAlive(response.Header)
-	told := p.codec.Answer(response.StatusCode, response.Header)
-	RemoveHopByHopHeaders(a.Header)
-	if w, ok := signalOf(s, r, response.StatusCode, told); ok && p.OnSignal != nil {
-		p.OnSignal(s, w)
+	resp.Body = eofTracker{response.Body, resp}
+	c.idleTimeout = keepAliveTimeout(response.Header)
+	info := p.codec.Answer(response.StatusCode, response.Header)
+	RemoveHopByHopHeaders(resp.Header)
+	if sig, ok := serverSignal(s, r, response.StatusCode, info); ok && p.OnSignal != nil {
+		p.OnSignal(s, sig)
 	}
 	switch {
-	case told.RequestID != "" && told.RequestID != r.ID:
-		a.Close()
-		return Indeterminate{Err: errors.Newf("upstream: server %s answered request %s in place of %s", s.ID, told.RequestID, r.ID)}
-	case told.NotExecuted:
-		discard(a)
+	case info.RequestID != "" && info.RequestID != r.ID:
+		resp.Close()
+		return Indeterminate{Err: errors.Newf("upstream: server %s responded to request %s instead of %s", s.ID, info.RequestID, r.ID)}
+	case info.NotExecuted:
+		discardAndClose(resp)
 		return NotExecuted{Status: response.StatusCode, WrongInstance: response.StatusCode == http.StatusMisdirectedRequest}
-	case response.StatusCode < 300 && (!told.Sealed || told.RequestID == ""):
-		a.Close()
-		return Indeterminate{Err: errors.Newf("upstream: server %s: success without seal or request id", s.ID)}
+	case response.StatusCode < 300 && (!info.Sealed || info.RequestID == ""):
+		resp.Close()
+		return Indeterminate{Err: errors.Newf("upstream: server %s: success response without seal or request ID", s.ID)}
 	case response.StatusCode < 300 && response.Header.Get("Content-Encoding") != "":
-		a.Close()
-		return Indeterminate{Err: errors.Newf("upstream: server %s encoded a body that was asked for plain", s.ID)}
+		resp.Close()
+		return Indeterminate{Err: errors.Newf("upstream: server %s sent a content encoding that was not requested", s.ID)}
 	}
-	return Responded{Response: a}
+	return Responded{Response: resp}
 }
 
-// The body of an answer that is not handed on is read up to this size, so that its
-// connection can be kept.
-const mostDiscarded = 16 << 10
+// Up to this size, the body of a response that is not returned is read to its end, so that the
+// connection can be reused.
+const maxDiscardSize = 16 << 10
 
-// discard reads a short body that nobody needs and closes the exchange.
-func discard(a *Response) {
-	if a.Length >= 0 && a.Length <= mostDiscarded {
-		_, err := io.Copy(io.Discard, a.Body)
-		a.whole = a.whole && err == nil
+// discardAndClose reads a short body that is not needed and closes the exchange.
+func discardAndClose(resp *Response) {
+	if resp.Length >= 0 && resp.Length <= maxDiscardSize {
+		_, err := io.Copy(io.Discard, resp.Body)
+		resp.complete = resp.complete && err == nil
 	}
-	a.Close()
+	resp.Close()
 }
 
-// send writes the request; the channel holds the error, or nil, when all is written.
-func (c *conn) send(r *Request) <-chan error {
+// writeRequest writes the request. The returned channel receives the error, or nil, once
+// everything has been written.
+func (c *conn) writeRequest(r *Request) <-chan error {
 	written := make(chan error, 1)
 	head := encodeHead(r)
-	if len(r.Body) <= smallBody {
+	if len(r.Body) <= maxInlineBody {
 		_, err := c.Write(append(head, r.Body...))
 		written <- err
 		return written
@@ -266,12 +266,12 @@
 	return written
 }
 
-// encodeHead writes the request line and the headers.
+// encodeHead encodes the request line and the headers.
 func encodeHead(r *Request) []byte {
 	var b bytes.Buffer
 	b.Grow(1024 + len(r.Body))
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	// The errors of a bytes.Buffer are always nil.
+	// Writes to a bytes.Buffer never fail.
 	_ = r.Header.WriteSubset(&b, map[string]bool{"Host": true, "Content-Length": true, "Transfer-Encoding": true})
 	if len(r.Body) > 0 || (r.Method != http.MethodGet && r.Method != http.MethodHead) {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
@@ -280,25 +280,25 @@
 	return b.Bytes()
 }
 
-// head reads the head of the answer, past interim ones.
-func (c *conn) head(r *Request) (*http.Response, error) {
-	for range mostInterim {
+// readResponseHead reads the head of the final response, skipping interim ones.
+func (c *conn) readResponseHead(r *Request) (*http.Response, error) {
+	for range maxInterimResponses {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
 		if err != nil {
-			return nil, errors.Wrap(err, "upstream: read answer")
+			return nil, errors.Wrap(err, "upstream: read response")
 		}
 		if response.StatusCode >= 200 {
 			return response, nil
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("upstream: server switches protocols")
+			return nil, errors.New("upstream: unexpected switch of protocols")
 		}
 	}
-	return nil, errors.New("upstream: too many interim answers")
+	return nil, errors.New("upstream: too many interim responses")
 }
 
-// keepAlive returns how long the server keeps the connection idle; 0: not told.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns how long the server keeps an idle connection open; 0: not stated.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -312,20 +312,20 @@
 	return 0
 }
 
-// hopHeaders concern a single connection (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopByHopHeaders deletes the headers that concern a single connection.
+// RemoveHopByHopHeaders deletes the headers that apply to a single connection.
 func RemoveHopByHopHeaders(h http.Header) {
 	for _, line := range h.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
@@ -333,7 +333,7 @@
 // conn is a connection to a server.
 type conn struct {
 	net.Conn
-	reader   *bufio.Reader
-	lifetime time.Duration // how long the server keeps it idle; 0: not told
-	idle     time.Time     // since when it is idle
+	reader      *bufio.Reader
+	idleTimeout time.Duration // announced by the server; 0: not stated
+	idleSince   time.Time     // when the connection became idle
 }
