--- a/gateway/handoff/handoff.go
+++ b/gateway/handoff/handoff.go
@@ -1,22 +1,22 @@
-// Package handoff carries callers' connections from a gateway that has no processor for
-// them to another one, which serves them as its own. Nothing of a request is read on the
-// way: the bytes of all connections between two gateways share one TCP connection
-// (yamux), so that an event costs the first gateway one write and a part of a read.
+// Package handoff forwards callers' connections from a gateway that is short of processor time
+// to another one, which serves them as its own. The first gateway does not parse the requests:
+// the bytes of all connections between two gateways share one TCP connection (yamux), so that an
+// event costs the first gateway one write and part of a read.
 //
 // # Usage
 //
-//	c := handoff.NewCarrier()
-//	defer c.Close()
-//	err := c.Carry(ctx, "10.1.0.34:7400", conn) // until the connection has ended
+//	f := handoff.NewForwarder()
+//	defer f.Close()
+//	err := f.Carry(ctx, "10.1.0.34:7400", conn) // until the connection has ended
 //
-// and at the other gateway, with a connection that asked for [Path] and was hijacked:
+// At the other gateway, with a hijacked connection that requested [Path]:
 //
 //	l := handoff.NewListener(address)
 //	go server.Serve(l)
 //	err := l.Link(ctx, hijacked) // until the link has ended
 //
-// A link that breaks takes its connections along, as a gateway that dies does. A caller
-// that has had no byte of an answer yet is told so (502), since its request may have run.
+// A link that breaks ends its connections, just as a gateway that dies does. A caller that has
+// not received any byte of a response gets a 502, since its request may have run.
 package handoff
 
 import (
@@ -34,52 +34,53 @@
 	"opalbridge.dev/gateway/upstream"
 )
 
-// Path is what a gateway asks another one for to open a link, with [Protocol] as the
-// upgrade it wants.
+// Path is the path that a gateway requests from another one to open a link, with [Protocol] as
+// the requested upgrade.
 const (
 	Path     = "/callers"
 	Protocol = "opalbridge-callers"
 )
 
-// Sizes and times of links.
+// Sizes and timeouts of links.
 const (
-	// A link that does not come up in this time is given up: within a hall the way there
-	// and back takes less than a millisecond.
-	linkTimeout = 300 * time.Millisecond
-	// After a link could not be opened, none to the same gateway is tried for so long.
-	linkRest = time.Second
-	// Connections of a link that the other gateway has not taken yet.
-	linkBacklog = 256
-	// A stream that one side has closed is forgotten by it after this time.
-	closedFor = 5 * time.Second
-	// Answers are passed on in pieces of this size: a few events.
-	answerPiece = 4 << 10
-	// Requests in larger ones: most prompts of 17,000 tokens are one or two, which takes
-	// six system calls in place of sixteen.
-	requestPiece = 16 << 10
+	// Opening a link fails after this time: within a hall the round trip takes less than a
+	// millisecond.
+	linkDialTimeout = 300 * time.Millisecond
+	// After a failure to open a link, no other attempt to the same gateway is made for this
+	// long.
+	linkRetryDelay = time.Second
+	// Connections of a link that the other gateway has not accepted yet.
+	linkAcceptBacklog = 256
+	// A stream closed by one side only is dropped after this time.
+	streamCloseTimeout = 5 * time.Second
+	// Responses are copied in chunks of this size: a few events.
+	responseBufferSize = 4 << 10
+	// Requests are copied in larger chunks: most prompts of 17,000 tokens take one or two, which
+	// needs six system calls instead of sixteen.
+	requestBufferSize = 16 << 10
 )
 
-// linkSilence finds links that have gone silent.
-var linkSilence = upstream.KeepAlive{
+// linkKeepAlive detects dead links.
+var linkKeepAlive = upstream.KeepAlive{
 	UserTimeout: 1500 * time.Millisecond, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3,
 }
 
 func linkConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
 	c.LogOutput = io.Discard
-	c.EnableKeepAlive = false // the kernel's probes do it (linkSilence)
+	c.EnableKeepAlive = false // the kernel's probes do this (linkKeepAlive)
 	c.ConnectionWriteTimeout = 2 * time.Second
-	c.AcceptBacklog = linkBacklog
+	c.AcceptBacklog = linkAcceptBacklog
 	c.StreamOpenTimeout = 0
-	c.StreamCloseTimeout = closedFor
+	c.StreamCloseTimeout = streamCloseTimeout
 	return c
 }
 
-// ErrNotForwarded means that no byte of the connection was passed on, and the caller has
-// got no answer: it can still be served in another way.
-var ErrNotForwarded = errors.New("handoff: no link")
+// ErrNotForwarded means that no byte of the connection was forwarded and the caller has received
+// no response, so the connection can still be served in another way.
+var ErrNotForwarded = errors.New("handoff: connection not forwarded")
 
-// Forwarder carries connections to other gateways. It is safe for use by several
+// Forwarder forwards connections to other gateways. It is safe for concurrent use by multiple
 // goroutines.
 type Forwarder struct {
 	mutex  sync.Mutex
@@ -87,22 +88,22 @@
 	closed bool
 }
 
-// NewForwarder returns a carrier without links.
+// NewForwarder returns a forwarder without links.
 func NewForwarder() *Forwarder { return &Forwarder{links: map[string]*link{}} }
 
-// link is the way to one gateway.
+// link is the connection to one gateway.
 type link struct {
-	mutex   sync.Mutex // held while it is opened
-	session *yamux.Session
-	failed  time.Time
+	mutex    sync.Mutex // held while the link is opened
+	session  *yamux.Session
+	failedAt time.Time
 }
 
-// Close breaks all links, and so the connections that are being carried.
-func (c *Forwarder) Close() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.closed = true
-	for _, l := range c.links {
+// Close breaks all links, and with them the connections being forwarded.
+func (f *Forwarder) Close() {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.closed = true
+	for _, l := range f.links {
 		l.close()
 	}
 }
@@ -115,51 +116,51 @@
 	}
 }
 
-// Carry passes a caller's connection on to the gateway at an address until it has ended,
-// and closes it. With ErrNotCarried it is still open and untouched.
-func (c *Forwarder) Carry(ctx context.Context, address string, conn net.Conn) error {
-	stream, err := c.open(ctx, address)
+// Carry forwards a caller's connection to the gateway at an address until it has ended, and
+// closes it. If it returns ErrNotForwarded, the connection is still open and untouched.
+func (f *Forwarder) Carry(ctx context.Context, address string, conn net.Conn) error {
+	stream, err := f.openStream(ctx, address)
 	if err != nil {
 		return errors.CombineErrors(ErrNotForwarded, err)
 	}
-	e := exchange{caller: conn, stream: stream}
-	e.run()
+	t := tunnel{caller: conn, stream: stream}
+	t.run()
 	return nil
 }
 
-// open opens a stream to a gateway.
-func (c *Forwarder) open(ctx context.Context, address string) (*yamux.Stream, error) {
-	c.mutex.Lock()
-	l := c.links[address]
+// openStream opens a stream to a gateway.
+func (f *Forwarder) openStream(ctx context.Context, address string) (*yamux.Stream, error) {
+	f.mutex.Lock()
+	l := f.links[address]
 	if l == nil {
 		l = &link{}
-		c.links[address] = l
+		f.links[address] = l
 	}
-	closed := c.closed
-	c.mutex.Unlock()
+	closed := f.closed
+	f.mutex.Unlock()
 	if closed {
-		return nil, errors.New("handoff: closed")
+		return nil, errors.New("handoff: forwarder is closed")
 	}
-	session, err := l.ready(ctx, address)
+	session, err := l.openSession(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	return session.OpenStream()
 }
 
-// ready returns the link's session, which may have to be opened.
-func (l *link) ready(ctx context.Context, address string) (*yamux.Session, error) {
+// openSession returns the session of the link, opening it if necessary.
+func (l *link) openSession(ctx context.Context, address string) (*yamux.Session, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.session != nil && !l.session.IsClosed() {
 		return l.session, nil
 	}
-	if time.Since(l.failed) < linkRest {
-		return nil, errors.Newf("handoff: link to %s failed a moment ago", address)
+	if time.Since(l.failedAt) < linkRetryDelay {
+		return nil, errors.Newf("handoff: recent attempt to open a link to %s failed", address)
 	}
 	session, err := dial(ctx, address)
 	if err != nil {
-		l.failed = time.Now()
+		l.failedAt = time.Now()
 		return nil, err
 	}
 	l.session = session
@@ -168,9 +169,9 @@
 
 // dial opens a link.
 func dial(ctx context.Context, address string) (*yamux.Session, error) {
-	ctx, cancel := context.WithTimeout(ctx, linkTimeout)
+	ctx, cancel := context.WithTimeout(ctx, linkDialTimeout)
 	defer cancel()
-	d := linkSilence.Dialer()
+	d := linkKeepAlive.Dialer()
 	conn, err := d.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "handoff: connect to %s", address)
@@ -191,7 +192,7 @@
 	}
 	request := "GET " + Path + " HTTP/1.1\r\nHost: " + address + "\r\nConnection: Upgrade\r\nUpgrade: " + Protocol + "\r\n\r\n"
 	if _, err := io.WriteString(conn, request); err != nil {
-		return nil, errors.Wrapf(err, "handoff: ask %s for a link", address)
+		return nil, errors.Wrapf(err, "handoff: request a link from %s", address)
 	}
 	reader := bufio.NewReader(conn)
 	response, err := http.ReadResponse(reader, nil)
@@ -199,102 +200,102 @@
 		return nil, errors.Wrapf(err, "handoff: link to %s", address)
 	}
 	if response.StatusCode != http.StatusSwitchingProtocols {
-		return nil, errors.Newf("handoff: %s opens no link: status %d", address, response.StatusCode)
+		return nil, errors.Newf("handoff: %s refused to open a link: status %d", address, response.StatusCode)
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return nil, errors.Wrap(err, "handoff: open link")
 	}
-	session, err := yamux.Client(&gathered{Conn: conn}, linkConfig())
+	session, err := yamux.Client(&coalescingConn{Conn: conn}, linkConfig())
 	return session, errors.Wrap(err, "handoff: open link")
 }
 
 // CloseChecker is a connection that can tell, without reading, whether its caller has closed it.
-// It is looked at before each piece of a request goes on, so that a request whose caller
-// left while it lay here is never passed on whole.
+// It is checked before each chunk of a request is forwarded, so that a request whose caller
+// disconnected while it was queued here is never forwarded in full.
 type CloseChecker interface{ Left() bool }
 
-// exchange passes bytes between a caller and a stream.
-type exchange struct {
-	caller net.Conn
-	stream *yamux.Stream
-	asked  bool // bytes of a request were passed on
+// tunnel copies bytes between a caller and a stream.
+type tunnel struct {
+	caller      net.Conn
+	stream      *yamux.Stream
+	requestSent bool // bytes of a request were forwarded
 }
 
 var (
-	answerPieces  = sync.Pool{New: func() any { return new([answerPiece]byte) }}
-	requestPieces = sync.Pool{New: func() any { return new([requestPiece]byte) }}
+	responseBuffers = sync.Pool{New: func() any { return new([responseBufferSize]byte) }}
+	requestBuffers  = sync.Pool{New: func() any { return new([requestBufferSize]byte) }}
 )
 
-// run passes bytes on until both ways have ended.
-func (e *exchange) run() {
-	up := make(chan struct{})
+// run copies bytes until both directions have ended.
+func (t *tunnel) run() {
+	requestDone := make(chan struct{})
 	go func() {
-		e.up()
-		close(up)
+		t.copyRequest()
+		close(requestDone)
 	}()
-	answered := e.down()
-	// Whoever reads the caller is woken, and says whether there was a request.
-	_ = e.caller.SetReadDeadline(time.Unix(1, 0))
-	<-up
-	if e.asked && !answered && !e.left() {
-		// A caller that has gone has nobody to be told.
-		_, _ = io.WriteString(e.caller, brokenAnswer)
+	responded := t.copyResponse()
+	// Unblocks the goroutine that reads from the caller, so that requestSent is final.
+	_ = t.caller.SetReadDeadline(time.Unix(1, 0))
+	<-requestDone
+	if t.requestSent && !responded && !t.callerClosed() {
+		// A caller that has gone cannot be told.
+		_, _ = io.WriteString(t.caller, badGatewayResponse)
 	}
-	e.caller.Close()
-	e.stream.Close()
+	t.caller.Close()
+	t.stream.Close()
 }
 
-// brokenAnswer is for a request that was passed on, of which nothing was heard.
-const brokenAnswer = "HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+// badGatewayResponse is sent when a request was forwarded and no response came back.
+const badGatewayResponse = "HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// left tells whether the caller has closed its side.
-func (e *exchange) left() bool {
+// callerClosed reports whether the caller has closed its side.
+func (t *tunnel) callerClosed() bool {
 	var one [1]byte
-	if err := e.caller.SetReadDeadline(time.Now().Add(time.Millisecond)); err != nil {
+	if err := t.caller.SetReadDeadline(time.Now().Add(time.Millisecond)); err != nil {
 		return true
 	}
-	_, err := e.caller.Read(one[:])
+	_, err := t.caller.Read(one[:])
 	var timeout net.Error
 	return err != nil && !(errors.As(err, &timeout) && timeout.Timeout())
 }
 
-// up passes on what the caller sends; its close closes the stream.
-func (e *exchange) up() {
-	piece := requestPieces.Get().(*[requestPiece]byte)
-	defer requestPieces.Put(piece)
+// copyRequest forwards what the caller sends, and closes the stream when the caller closes.
+func (t *tunnel) copyRequest() {
+	chunk := requestBuffers.Get().(*[requestBufferSize]byte)
+	defer requestBuffers.Put(chunk)
 	for {
-		n, err := e.caller.Read(piece[:])
-		if l, ok := e.caller.(CloseChecker); ok && n > 0 && l.Left() {
-			e.stream.Close()
+		n, err := t.caller.Read(chunk[:])
+		if l, ok := t.caller.(CloseChecker); ok && n > 0 && l.Left() {
+			t.stream.Close()
 			return
 		}
 		if n > 0 {
-			e.asked = true
-			if _, err := e.stream.Write(piece[:n]); err != nil {
+			t.requestSent = true
+			if _, err := t.stream.Write(chunk[:n]); err != nil {
 				return
 			}
 		}
 		if err != nil {
-			e.stream.Close()
+			t.stream.Close()
 			return
 		}
 	}
 }
 
-// down passes on what the other gateway answers. It returns whether there was anything.
-func (e *exchange) down() (answered bool) {
-	piece := answerPieces.Get().(*[answerPiece]byte)
-	defer answerPieces.Put(piece)
+// copyResponse forwards the other gateway's response. It reports whether there was any.
+func (t *tunnel) copyResponse() (responded bool) {
+	chunk := responseBuffers.Get().(*[responseBufferSize]byte)
+	defer responseBuffers.Put(chunk)
 	for {
-		n, err := e.stream.Read(piece[:])
+		n, err := t.stream.Read(chunk[:])
 		if n > 0 {
-			answered = true
-			if _, err := e.caller.Write(piece[:n]); err != nil {
-				return answered
+			responded = true
+			if _, err := t.caller.Write(chunk[:n]); err != nil {
+				return responded
 			}
 		}
 		if err != nil {
-			return answered
+			return responded
 		}
 	}
 }
--- a/gateway/handoff/handoff_test.go
+++ b/gateway/handoff/handoff_test.go
@@ -16,25 +16,25 @@
 	"opalbridge.dev/gateway/handoff"
 )
 
-// fleet is a gateway that callers connect to, and one that serves them.
+// fleet is a gateway that callers connect to, and another one that serves them.
 type fleet struct {
-	t       *testing.T
-	carrier *handoff.Forwarder
-	peer    string // address of the serving gateway
-	front   net.Listener
-	ended   chan error // of each connection that was carried
-	cut     context.CancelFunc
+	t          *testing.T
+	forwarder  *handoff.Forwarder
+	peer       string // address of the serving gateway
+	front      net.Listener
+	results    chan error // result of each forwarded connection
+	breakLinks context.CancelFunc
 }
 
-// start starts a fleet whose second gateway serves with a handler.
+// start starts a fleet whose second gateway serves with the given handler.
 func start(t *testing.T, serve http.HandlerFunc) *fleet {
 	t.Helper()
 	peers, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	front, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	ctx, cut := context.WithCancel(context.Background())
-	taken := handoff.NewListener(peers.Addr())
+	ctx, breakLinks := context.WithCancel(context.Background())
+	accepted := handoff.NewListener(peers.Addr())
 	links := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -43,22 +43,22 @@
 		if _, err := io.WriteString(conn, "HTTP/1.1 101 Switching Protocols\r\n\r\n"); err != nil {
 			return
 		}
-		_ = taken.Link(ctx, conn) // it ends with the test
+		_ = accepted.Link(ctx, conn) // ends with the test
 	})}
 	server := &http.Server{Handler: serve}
-	ends := make(chan error, 2)
-	go func() { ends <- links.Serve(peers) }()
-	go func() { ends <- server.Serve(taken) }()
-	f := &fleet{t: t, carrier: handoff.NewForwarder(), peer: peers.Addr().String(), front: front, ended: make(chan error, 100), cut: cut}
+	errs := make(chan error, 2)
+	go func() { errs <- links.Serve(peers) }()
+	go func() { errs <- server.Serve(accepted) }()
+	f := &fleet{t: t, forwarder: handoff.NewForwarder(), peer: peers.Addr().String(), front: front, results: make(chan error, 100), breakLinks: breakLinks}
 	go f.accept()
 	t.Cleanup(func() {
 		front.Close()
-		f.carrier.Close()
-		cut()
+		f.forwarder.Close()
+		breakLinks()
 		links.Close()
 		server.Close()
-		<-ends
-		<-ends
+		<-errs
+		<-errs
 	})
 	return f
 }
@@ -69,7 +69,7 @@
 		if err != nil {
 			return
 		}
-		go func() { f.ended <- f.carrier.Carry(context.Background(), f.peer, c) }()
+		go func() { f.results <- f.forwarder.Carry(context.Background(), f.peer, c) }()
 	}
 }
 
@@ -83,9 +83,9 @@
 	return c
 }
 
-// TestCarry: requests and answers pass whole, several on one connection and many
-// connections at once.
-func TestCarry(t *testing.T) {
+// TestForward checks that requests and responses pass complete, several on one connection and
+// over many connections at once.
+func TestForward(t *testing.T) {
 	f := start(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -94,7 +94,7 @@
 		fmt.Fprintf(w, "%s %d %s", r.URL.Path, len(body), body[max(len(body)-1, 0):])
 	})
 	const callers, requests = 20, 3
-	ends := make(chan error, callers)
+	errs := make(chan error, callers)
 	for n := range callers {
 		c := f.dial()
 		go func() {
@@ -104,25 +104,26 @@
 				fmt.Fprintf(c, "POST /%d/%d HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%sx", n, i, size, strings.Repeat("y", size-1))
 				answer, err := http.ReadResponse(reader, nil)
 				if err != nil {
-					ends <- err
+					errs <- err
 					return
 				}
 				body, err := io.ReadAll(answer.Body)
 				if want := fmt.Sprintf("/%d/%d %d x", n, i, size); err != nil || string(body) != want {
-					ends <- fmt.Errorf("got %q, %v, want %q", body, err, want)
+					errs <- fmt.Errorf("got %q, %v, want %q", body, err, want)
 					return
 				}
 			}
-			ends <- nil
+			errs <- nil
 		}()
 	}
 	for range callers {
-		require.NoError(t, <-ends)
+		require.NoError(t, <-errs)
 	}
 }
 
-// TestEventsPassAsTheyCome and not when their stream ends.
-func TestEventsPassAsTheyCome(t *testing.T) {
+// TestEventsPassImmediately checks that events are forwarded as they come, not when their stream
+// ends.
+func TestEventsPassImmediately(t *testing.T) {
 	next := make(chan struct{})
 	f := start(t, func(w http.ResponseWriter, r *http.Request) {
 		for n := range 3 {
@@ -146,33 +147,33 @@
 	}
 }
 
-// TestCallerLeaves: the serving gateway hears of it.
-func TestCallerLeaves(t *testing.T) {
-	began, left := make(chan struct{}), make(chan struct{})
+// TestCallerCloses checks that the serving gateway notices when a caller closes its connection.
+func TestCallerCloses(t *testing.T) {
+	began, closed := make(chan struct{}), make(chan struct{})
 	f := start(t, func(w http.ResponseWriter, r *http.Request) {
 		close(began)
 		<-r.Context().Done()
-		close(left)
+		close(closed)
 	})
 	c := f.dial()
 	fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	<-began
 	c.Close()
 	select {
-	case <-left:
+	case <-closed:
 	case <-time.After(2 * time.Second):
-		require.Fail(t, "the serving gateway has not heard that its caller left")
+		require.Fail(t, "the serving gateway has not noticed that its caller closed the connection")
 	}
-	require.NoError(t, <-f.ended)
+	require.NoError(t, <-f.results)
 }
 
-// TestBrokenLinks: a caller without a byte of its answer is told that nobody knows; an
-// answer that has begun looks cut.
+// TestBrokenLinks checks that a caller without any byte of its response gets a 502, and that a
+// response that has begun appears truncated.
 func TestBrokenLinks(t *testing.T) {
 	tests := []struct {
 		name   string
 		begins bool
-	}{{"before the answer", false}, {"within the answer", true}}
+	}{{"before the response", false}, {"within the response", true}}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			began := make(chan struct{})
@@ -188,9 +189,9 @@
 			fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 			<-began
 			if test.begins {
-				time.Sleep(50 * time.Millisecond) // until the event is on its way
+				time.Sleep(50 * time.Millisecond) // until the event has been sent
 			}
-			f.cut()
+			f.breakLinks()
 			answer, err := http.ReadResponse(bufio.NewReader(c), nil)
 			require.NoError(t, err)
 			if !test.begins {
@@ -205,18 +206,19 @@
 	}
 }
 
-// TestNoLink: the connection is left as it is, and the gateway is not asked again at once.
+// TestNoLink checks that the connection is left untouched, and that the gateway is not contacted
+// again at once.
 func TestNoLink(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
 	l.Close()
-	carrier := handoff.NewForwarder()
-	defer carrier.Close()
+	forwarder := handoff.NewForwarder()
+	defer forwarder.Close()
 	caller, conn := net.Pipe()
 	defer caller.Close()
 	for range 3 {
-		require.ErrorIs(t, carrier.Carry(t.Context(), address, conn), handoff.ErrNotForwarded)
+		require.ErrorIs(t, forwarder.Carry(t.Context(), address, conn), handoff.ErrNotForwarded)
 	}
 	go func() { _, _ = conn.Write([]byte("still open")) }()
 	got := make([]byte, 10)
--- a/gateway/handoff/listener.go
+++ b/gateway/handoff/listener.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/yamux"
 )
 
-// Listener hands out the connections that other gateways pass on.
+// Listener accepts the connections that other gateways forward.
 type Listener struct {
 	address net.Addr
 	conns   chan net.Conn
@@ -18,67 +18,67 @@
 	once    sync.Once
 }
 
-// NewListener returns a listener without links; address is what its Addr tells.
+// NewListener returns a listener without links; its Addr method returns address.
 func NewListener(address net.Addr) *Listener {
 	return &Listener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// Conn is a caller's connection that another gateway passes on. Its answers are gathered:
-// the gateway that passes them on is short of processor, and each piece costs it a write.
+// Conn is a caller's connection forwarded by another gateway. Its writes are batched: the
+// forwarding gateway is short of processor time, and each chunk costs it a write.
 type Conn struct {
 	*yamux.Stream
-	mutex   sync.Mutex
-	pending []byte
-	timer   *time.Timer // runs while something is pending
-	flushed time.Time
-	failed  error
-	closed  bool
+	mutex     sync.Mutex
+	pending   []byte
+	timer     *time.Timer // runs while data is pending
+	lastFlush time.Time
+	writeErr  error
+	closed    bool
 }
 
-// What is written within this time after a piece waits until it is over, so that the
-// events of a stream go out ten times a second at most. The first ones go out at once.
-// It is well below the 200 ms for which an event may be on its way.
-const gather = 100 * time.Millisecond
+// Data written within this time after a flush is held until the time is over, so that the events
+// of a stream are flushed at most ten times a second. The first event is flushed at once. The
+// interval is well below the 200 ms that the delivery of an event may take.
+const flushInterval = 100 * time.Millisecond
 
-// A write that is longer than this goes out at once.
-const longestGathered = 2 << 10
+// Pending data beyond this size is flushed at once.
+const maxBuffered = 2 << 10
 
 // Write implements net.Conn.
 func (c *Conn) Write(b []byte) (int, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.failed != nil {
-		return 0, c.failed
+	if c.writeErr != nil {
+		return 0, c.writeErr
 	}
 	c.pending = append(c.pending, b...)
-	left := gather - time.Since(c.flushed)
-	if left <= 0 || len(c.pending) > longestGathered {
+	wait := flushInterval - time.Since(c.lastFlush)
+	if wait <= 0 || len(c.pending) > maxBuffered {
 		return len(b), c.flush()
 	}
 	if len(c.pending) > len(b) {
-		return len(b), nil // the timer runs
+		return len(b), nil // the timer is running
 	}
 	if c.timer == nil {
-		c.timer = time.AfterFunc(left, c.flushLate)
+		c.timer = time.AfterFunc(wait, c.flushOnTimer)
 	} else {
-		c.timer.Reset(left)
+		c.timer.Reset(wait)
 	}
 	return len(b), nil
 }
 
-// flush writes what is pending.
+// flush writes the pending data.
 func (c *Conn) flush() error {
 	if len(c.pending) == 0 {
-		return c.failed
+		return c.writeErr
 	}
-	_, c.failed = c.Stream.Write(c.pending)
+	_, c.writeErr = c.Stream.Write(c.pending)
 	c.pending = c.pending[:0]
-	c.flushed = time.Now()
-	return c.failed
+	c.lastFlush = time.Now()
+	return c.writeErr
 }
 
-// flushLate is the timer's; an error shows at the next write.
-func (c *Conn) flushLate() {
+// flushOnTimer is called by the timer; an error is reported by the next write.
+func (c *Conn) flushOnTimer() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.closed {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Close implements net.Listener. Connections that were accepted live on.
+// Close implements net.Listener. Accepted connections stay open.
 func (l *Listener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
@@ -119,13 +119,13 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.address }
 
-// Link takes connections from another gateway until the link or ctx ends; then it closes
+// Link accepts connections from another gateway until the link or ctx ends, and then closes
 // the link.
 func (l *Listener) Link(ctx context.Context, conn net.Conn) error {
-	session, err := yamux.Server(&gathered{Conn: conn}, linkConfig())
+	session, err := yamux.Server(&coalescingConn{Conn: conn}, linkConfig())
 	if err != nil {
 		conn.Close()
-		return errors.Wrap(err, "handoff: take link")
+		return errors.Wrap(err, "handoff: accept link")
 	}
 	defer session.Close()
 	for {
@@ -136,7 +136,7 @@
 		select {
 		case l.conns <- &Conn{Stream: stream}:
 		case <-l.closed:
-			stream.Close() // a gateway that stops takes no more
+			stream.Close() // a stopping gateway accepts no more connections
 		case <-ctx.Done():
 			stream.Close()
 		}
