--- a/gateway/peer/export_test.go
+++ b/gateway/peer/export_test.go
@@ -1,4 +1,4 @@
 package peer
 
-// Silence ends the node as a loss of power does: it neither says nor hears anything more.
-func (n *Node) Silence() { n.conn.Close() }
+// CloseConn stops the node as a power failure does: it neither sends nor receives any more.
+func (n *Node) CloseConn() { n.conn.Close() }
--- /dev/null
+++ b/gateway/peer/messages.go
@@ -0,0 +1,152 @@
+package peer
+
+import (
+	"time"
+
+	"opalbridge.dev/gateway/catalog"
+	"opalbridge.dev/gateway/peer/peerpb"
+)
+
+// This file declares the messages that gateways exchange, and the methods that publish them.
+
+// Load is the load that a request puts on a server.
+type Load struct {
+	Server uint64 // hash of the lifetime ID
+	Work   time.Duration
+	Parts  []uint64
+	Tokens int // space that it takes in the server's cache
+}
+
+// Backlog is the prefill work that a server still had when a request's first event showed it.
+type Backlog struct {
+	Server    uint64 // hash of the lifetime ID
+	Remaining time.Duration
+}
+
+// Refusal is a request that was turned away and whose caller may retry.
+type Refusal struct {
+	Key          uint64    // of the request's content
+	Deadline     time.Time // when its caller gives up
+	FirstAttempt time.Time // when its caller tried first
+}
+
+// Key identifies a request by its content and its client account.
+type Key [16]byte
+
+// Crash is the crash of a server that was running requests of a gateway.
+type Crash struct {
+	Server   string // lifetime ID
+	Suspects []Key  // those requests; of more than 64, the first ones are sent
+}
+
+// Cleared is a request that was present at crashes and has been answered since, so it was not
+// their cause.
+type Cleared struct {
+	Key     Key
+	Servers []string // lifetime IDs
+}
+
+// Speed is the estimated speed of a service's engines.
+type Speed struct {
+	Service         uint64        // hash of its name
+	PrefillSlowdown float64       // ratio of the prefill time to the one given by the policy
+	FirstEventDelay time.Duration // from the end of the prefill to the first event
+}
+
+// State is what a gateway reports about itself.
+type State struct {
+	Running              map[uint64]int // own requests by hash of the server's lifetime ID
+	Demands              []*peerpb.Demand
+	Speeds               []Speed
+	ConfigurationVersion uint64
+	StoreRevision        catalog.Revision
+	ConfirmedAt          time.Time // when StoreRevision was last confirmed as the store's latest
+	StoreUnreachable     bool      // own calls to the store fail
+	Weight               int       // thousandths of a core that it may use; 0 while it is short of processor time
+	Rollouts             []*peerpb.Rollout
+}
+
+// Update is news from another gateway.
+type Update struct {
+	From  string // IP address
+	Hall  string // empty: not known yet
+	Alive bool
+	// The following fields are set only if Alive.
+	Loads          []Load // not reported before
+	Backlogs       []Backlog
+	Refusals       []Refusal
+	Crashes        []Crash
+	Cleared        []Cleared
+	LeavingServers []string       // lifetime IDs of servers that have announced in responses that they are leaving
+	Running        map[uint64]int // if Full, of all servers; otherwise of those where it has changed
+	Full           bool
+	Speeds         []Speed           // only if Full
+	Weight         int               // thousandths of a core that it may use; 0 while it is short of processor time; only if Full
+	Rollouts       []*peerpb.Rollout // only if Full, and only those that have changed
+	// Demands is set only if HasDemands.
+	Demands              []*peerpb.Demand
+	HasDemands           bool
+	ConfigurationVersion uint64
+	StoreRevision        catalog.Revision
+	ConfirmedAt          time.Time // when StoreRevision was last confirmed as the store's latest
+	StoreUnreachable     bool      // own calls to the store fail
+}
+
+// PublishLoad sends a load to the other gateways soon. It never blocks.
+func (n *Node) PublishLoad(l Load) {
+	select {
+	case n.loads <- l:
+	default: // only costs accuracy
+	}
+}
+
+// PublishBacklog sends a server's backlog with the next beacon. It never blocks.
+func (n *Node) PublishBacklog(b Backlog) {
+	select {
+	case n.backlogs <- b:
+	default: // only costs accuracy
+	}
+}
+
+// PublishRefusal sends with the next beacons that a request was turned away. It never blocks.
+func (n *Node) PublishRefusal(r Refusal) {
+	select {
+	case n.refusals <- r:
+	default: // only costs accuracy
+	}
+}
+
+// PublishCrash sends with the next beacons that a server has crashed. It never blocks.
+func (n *Node) PublishCrash(c Crash) {
+	select {
+	case n.crashes <- c:
+		n.SendSoon()
+	default: // its requests are counted at the next crash
+	}
+}
+
+// PublishCleared sends with the next beacons that a request caused no crash. It never blocks.
+func (n *Node) PublishCleared(c Cleared) {
+	select {
+	case n.cleared <- c:
+	default: // the next gateway that answers it publishes it again
+	}
+}
+
+// PublishLeaving sends with the next beacons that a server has announced that it is leaving. It
+// never blocks.
+func (n *Node) PublishLeaving(server string) {
+	select {
+	case n.leavingServers <- server:
+		n.SendSoon()
+	default: // the others learn it from the server or from its entry
+	}
+}
+
+// SendSoon makes the next beacon go out soon. It never blocks.
+func (n *Node) SendSoon() {
+	select {
+	case n.sendSoon <- struct{}{}:
+	default: // one is already due
+	}
+}
--- a/gateway/peer/peer.go
+++ b/gateway/peer/peer.go
@@ -1,21 +1,21 @@
-// Package peer lets the gateways of a fleet know each other: who is alive, what each
-// has sent to the backend servers, what it was asked by accounts, and how new its
-// configuration is. They tell it in small datagrams. There is no leader, nothing is
-// agreed, and any number of gateways may go.
+// Package peer exchanges state between the gateways of a fleet: which ones are alive, the load
+// that each has put on the backend servers, the demand of accounts on each, and how recent their
+// configuration is. They send it in small datagrams. There is no leader and no consensus, and
+// any number of gateways may fail.
 //
-// A gateway sends its beacons to a relay of its hall, which bundles them for the hall and
-// for one relay of each other hall (relay.go). So a datagram a bundle is what a gateway
-// handles, whatever the number of gateways, and each beacon crosses to another hall once.
+// A gateway sends its beacons to a relay of its hall, which bundles them for its own hall and
+// for one relay of each other hall (relay.go). A gateway thus handles one datagram per bundle,
+// whatever the number of gateways, and each beacon crosses to another hall once.
 //
 // # Usage
 //
 //	n, err := peer.Listen(peer.Options{Address: "10.1.0.33:7400", Seeds: seeds, State: state})
 //	go n.Run(ctx)
-//	n.Tell(load)           // a request was sent
+//	n.PublishLoad(load)    // a request was sent
 //	for u := range n.Updates() { … }
 //
-// A gateway finds the others by its seeds and by the addresses that they pass on. All
-// use one port, so an IP address names a gateway.
+// A gateway finds the others through its seeds and the addresses that they pass on. All use the
+// same port, so an IP address identifies a gateway.
 package peer
 
 import (
@@ -32,123 +32,123 @@
 	"opalbridge.dev/gateway/peer/peerpb"
 )
 
-// Times and sizes.
+// Intervals and sizes.
 const (
-	// Loads are told this soon after the first one. Two gateways that do not know of
-	// each other's loads choose the same server; in 20 ms a server reads 1,000 tokens.
-	loadDelay = 2 * time.Millisecond
-	// And later by this for each live peer, up to longestDelay, since all of them handle
-	// each beacon.
-	peerDelay    = 80 * time.Microsecond
-	longestDelay = 10 * time.Millisecond
-	// A beacon goes out at least this often; it carries gauges and demands.
-	heartbeat = 250 * time.Millisecond
-	// Addresses are passed on, and silent gateways tried, once in so many heartbeats.
-	rareEvery = 4
-	// A gateway that has just started tries silent ones more often, for so long: gateways that
-	// start together must not fill servers' queues without knowing of each other.
-	searchEvery = 100 * time.Millisecond
-	searchFor   = 3 * time.Second
-	// A gateway that was not heard for this long counts as gone: four heartbeats.
-	aliveFor = time.Second
-	// An address that was silent for this long is forgotten, unless it is a seed.
+	// Delay between the first pending load and its beacon. Two gateways that do not know of each
+	// other's loads choose the same server; in 20 ms a server prefills 1,000 tokens.
+	baseLoadDelay = 2 * time.Millisecond
+	// Additional delay for each live peer, up to maxLoadDelay, since every peer handles each
+	// beacon.
+	loadDelayPerPeer = 80 * time.Microsecond
+	maxLoadDelay     = 10 * time.Millisecond
+	// Maximum interval between beacons; those sent at this interval carry gauges and demands.
+	heartbeatInterval = 250 * time.Millisecond
+	// Addresses are passed on, and silent gateways contacted, once in this many heartbeats.
+	heartbeatsPerDiscovery = 4
+	// A gateway that has just started contacts silent ones more often, for this long: gateways
+	// that start together must not fill servers' queues without knowing of each other.
+	startupSearchInterval = 100 * time.Millisecond
+	startupSearchDuration = 3 * time.Second
+	// A gateway that has not been heard from for this long is considered dead: four heartbeats.
+	peerTimeout = time.Second
+	// An address that has been silent for this long is forgotten, unless it is a seed.
 	forgetAfter = 30 * time.Second
-	// A load is told in so many beacons, in case one is lost; they take different relays.
-	repeatLoads = 2
-	// Loads in one beacon at most; with more, the oldest are left out.
-	mostLoads = 64
-	// Refusals in one beacon at most; with more, the oldest are left out.
-	mostRefusals = 64
-	// Ends of servers in one beacon at most, with so many requests each; more wait for the
-	// next beacon. A beacon then has 4 KB of them.
-	endsABeacon = 4
-	mostOfEnd   = 64
-	mostEnds    = 64 // that wait; with more, the oldest are left out
-	// Servers that leave in one beacon at most; more wait for the next one. A whole hall of
-	// 2,000 that leaves together is told in 32 beacons.
-	leavesABeacon  = 64
-	mostLeaves     = 4096
-	answeredBeacon = 16
-	mostAnswered   = 64
-	// Addresses in one beacon at most.
-	mostAddresses = 128
-	// Queues between duties. Loads and updates that find them full are dropped: they
-	// cost accuracy only.
-	queue         = 256
-	longestPacket = 16 << 10
-	// Ages are told up to this one.
-	longestAge = time.Hour
-	// A process that has ended is heard no more after this time, whatever its clock
-	// said: a later one at its address may have started with an earlier time of day.
-	lateDatagrams = 500 * time.Millisecond
+	// Each item is sent in this many beacons, in case one is lost; they take different relays.
+	transmissionsPerItem = 2
+	// Loads in one beacon; beyond it, the oldest are dropped.
+	maxLoads = 64
+	// Refusals in one beacon; beyond it, the oldest are dropped.
+	maxRefusals = 64
+	// Crashes in one beacon, and requests in each; further ones wait for the next beacon. A
+	// beacon then holds 4 KB of them.
+	maxCrashesPerBeacon = 4
+	maxSuspectsPerCrash = 64
+	maxPendingCrashes   = 64 // beyond it, the oldest are dropped
+	// Leaving servers in one beacon; further ones wait for the next. A whole hall of 2,000
+	// servers that leaves at once takes 32 beacons.
+	maxLeavingPerBeacon = 64
+	maxPendingLeaving   = 4096
+	maxClearedPerBeacon = 16
+	maxPendingCleared   = 64
+	// Addresses in one beacon.
+	maxAddresses = 128
+	// Size of the queues between goroutines. Loads and updates that find a queue full are
+	// dropped, which only costs accuracy.
+	queueSize       = 256
+	maxDatagramSize = 16 << 10
+	// Ages are reported up to this value.
+	maxAge = time.Hour
+	// Beacons of an earlier incarnation are ignored only for this long after the last beacon: a
+	// process started later at the same address may have begun with an earlier time of day.
+	staleIncarnationWindow = 500 * time.Millisecond
 )
 
-// Options set up a Node.
+// Options configure a Node.
 type Options struct {
 	Address string   // own IP and port
 	Hall    string   // of this gateway
 	Seeds   []string // IP addresses (a port is ignored) where other gateways may be
 	State   func() State
-	OnError func(error) // hears of datagrams that could not be sent or read; must not block
+	OnError func(error) // called for datagrams that could not be sent or read; must not block
 }
 
-// Node is one gateway among its peers.
+// Node is a gateway among its peers.
 type Node struct {
-	options     Options
-	self        netip.Addr
-	port        uint16
-	conn        *net.UDPConn
-	incarnation uint64
-	loads       chan Load
-	backlogs    chan Backlog
-	refusals    chan Refusal
-	ends        chan Crash
-	answered    chan Cleared
-	leaves      chan string
-	hurry       chan struct{}
-	packets     chan packet
-	updates     chan []Update
-	datagrams   atomic.Int64
-	bytes       atomic.Int64
+	options        Options
+	self           netip.Addr
+	port           uint16
+	conn           *net.UDPConn
+	incarnation    uint64
+	loads          chan Load
+	backlogs       chan Backlog
+	refusals       chan Refusal
+	crashes        chan Crash
+	cleared        chan Cleared
+	leavingServers chan string
+	sendSoon       chan struct{}
+	packets        chan packet
+	updates        chan []Update
+	sentDatagrams  atomic.Int64
+	sentBytes      atomic.Int64
 
 	// Owned by Run.
-	peers    map[netip.Addr]*remote
-	pending  []numbered               // loads that are still being told
-	seen     map[uint64]time.Duration // backlogs not told yet, by server
-	refused  retold[Refusal]
-	ended    retold[Crash]
-	cleared  retold[Cleared]
-	gone     retold[string]
-	newest   uint64
-	told     map[uint64]int // running requests as the last beacon told them
-	beats    int
-	sequence uint64 // of the latest beacon
-	leaving  bool
-	relays   relays
+	peers           map[netip.Addr]*remote
+	pendingLoads    []pendingLoad            // loads still to be sent
+	pendingBacklogs map[uint64]time.Duration // backlogs not sent yet, by server
+	pendingRefusals resendQueue[Refusal]
+	pendingCrashes  resendQueue[Crash]
+	pendingCleared  resendQueue[Cleared]
+	pendingLeaving  resendQueue[string]
+	newestLoad      uint64
+	lastRunning     map[uint64]int // running requests as of the last beacon
+	heartbeats      int
+	sequence        uint64 // of the latest beacon
+	leaving         bool
+	relays          relayState
 }
 
-// numbered is a load with how often it was told.
-type numbered struct {
+// pendingLoad is a load and the number of beacons that contained it.
+type pendingLoad struct {
 	load *peerpb.Load
-	told int
+	sent int
 }
 
-// remote is what is known of another gateway.
+// remote is the state of another gateway.
 type remote struct {
-	seed        bool
-	incarnation uint64
-	heard       time.Time // zero: never
-	known       time.Time // since when its address is known
-	newest      uint64    // newest load taken over
-	hall        string
-	weight      uint32
-	alive       bool
-	sequence    uint64    // of its newest beacon
-	direct      time.Time // when a datagram of its own was heard
-	chosen      time.Time // since when it is relied on as a relay, without a break
-	round       uint64    // in which it was relied on last
-	shunned     time.Time // not relied on as a relay before
-	introduce   bool      // its latest beacon was the first one, or came after a silence
+	seed               bool
+	incarnation        uint64
+	lastHeard          time.Time // zero: never
+	knownSince         time.Time // when its address was learned
+	newestLoad         uint64    // sequence number of the newest load taken over
+	hall               string
+	weight             uint32
+	alive              bool
+	sequence           uint64    // of its newest beacon
+	lastDirect         time.Time // when its last own datagram arrived
+	relaySince         time.Time // since when it has been used as a relay without interruption
+	relayRound         uint64    // last ranking round that selected it
+	relayExcludedUntil time.Time // not used as a relay before this time
+	needsReply         bool      // its latest beacon was its first one, or the first after it was considered dead
 }
 
 type packet struct {
@@ -170,9 +170,9 @@
 	n := &Node{
 		options: o, self: at.Addr(), port: at.Port(), conn: conn,
 		incarnation: uint64(now.UnixNano()),
-		loads:       make(chan Load, queue), backlogs: make(chan Backlog, queue), refusals: make(chan Refusal, queue), ends: make(chan Crash, queue), answered: make(chan Cleared, queue), leaves: make(chan string, queue),
-		seen: map[uint64]time.Duration{}, hurry: make(chan struct{}, 1), packets: make(chan packet, queue), updates: make(chan []Update, queue),
-		peers: map[netip.Addr]*remote{}, relays: newRelays(),
+		loads:       make(chan Load, queueSize), backlogs: make(chan Backlog, queueSize), refusals: make(chan Refusal, queueSize), crashes: make(chan Crash, queueSize), cleared: make(chan Cleared, queueSize), leavingServers: make(chan string, queueSize),
+		pendingBacklogs: map[uint64]time.Duration{}, sendSoon: make(chan struct{}, 1), packets: make(chan packet, queueSize), updates: make(chan []Update, queueSize),
+		peers: map[netip.Addr]*remote{}, relays: newRelayState(),
 	}
 	for _, s := range o.Seeds {
 		a, err := seedAddr(s)
@@ -181,7 +181,7 @@
 			return nil, errors.Wrapf(err, "peer: seed %q", s)
 		}
 		if a != n.self {
-			n.peers[a] = &remote{seed: true, known: now}
+			n.peers[a] = &remote{seed: true, knownSince: now}
 		}
 	}
 	return n, nil
@@ -194,33 +194,33 @@
 	return netip.ParseAddr(s)
 }
 
-// Updates returns the channel on which news of other gateways arrive, as many at once as
-// came together. It is closed when Run has ended.
+// Updates returns the channel of updates from other gateways, batched as they arrive. It is
+// closed when Run returns.
 func (n *Node) Updates() <-chan []Update { return n.updates }
 
-// Traffic is what a node has sent so far.
+// Traffic counts what a node has sent so far.
 type Traffic struct {
 	Datagrams int64
-	Bytes     int64 // without the heads of datagrams
+	Bytes     int64 // without datagram headers
 }
 
 // Sent returns what the node has sent so far.
-func (n *Node) Sent() Traffic { return Traffic{n.datagrams.Load(), n.bytes.Load()} }
+func (n *Node) Sent() Traffic { return Traffic{n.sentDatagrams.Load(), n.sentBytes.Load()} }
 
-// Run tells and hears until ctx ends, then says that the node leaves.
+// Run exchanges beacons until ctx ends, and then announces that the node is leaving.
 func (n *Node) Run(ctx context.Context) {
 	defer close(n.updates)
 	received := make(chan struct{})
 	go n.receive(received)
-	n.exchange(ctx)
+	n.loop(ctx)
 	n.conn.Close()
 	<-received
 }
 
 // receive reads datagrams until the socket is closed.
-func (n *Node) receive(ended chan<- struct{}) {
-	defer close(ended)
-	buffer := make([]byte, longestPacket)
+func (n *Node) receive(done chan<- struct{}) {
+	defer close(done)
+	buffer := make([]byte, maxDatagramSize)
 	for {
 		size, from, err := n.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -228,7 +228,7 @@
 		}
 		if err != nil {
 			n.options.OnError(errors.Wrap(err, "peer: receive"))
-			time.Sleep(loadDelay) // an error that lasts must not spin
+			time.Sleep(baseLoadDelay) // avoids spinning on a persistent error
 			continue
 		}
 		d := &peerpb.Datagram{}
@@ -238,141 +238,141 @@
 		}
 		select {
 		case n.packets <- packet{from: from.Addr().Unmap(), datagram: d}:
-		default: // accuracy only
+		default: // only costs accuracy
 		}
 	}
 }
 
-// exchange owns the peers: it sends beacons and takes over those that arrive.
-func (n *Node) exchange(ctx context.Context) {
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
-	soon := time.NewTimer(time.Hour)
-	defer soon.Stop()
-	search := time.NewTicker(searchEvery)
+// loop owns the peers: it sends beacons and processes those that arrive.
+func (n *Node) loop(ctx context.Context) {
+	heartbeatTicker := time.NewTicker(heartbeatInterval)
+	defer heartbeatTicker.Stop()
+	sendTimer := time.NewTimer(time.Hour)
+	defer sendTimer.Stop()
+	search := time.NewTicker(startupSearchInterval)
 	defer search.Stop()
 	defer n.relays.timer.Stop()
-	judge := time.NewTicker(judgeEvery)
-	defer judge.Stop()
-	searched := time.Now().Add(searchFor)
-	waiting := false
+	relayCheck := time.NewTicker(relayCheckInterval)
+	defer relayCheck.Stop()
+	searchUntil := time.Now().Add(startupSearchDuration)
+	scheduled := false
 	n.send(time.Now(), true)
 	for {
 		select {
 		case <-ctx.Done():
 			n.leaving = true
 			n.send(time.Now(), true)
-			n.passOn(time.Now())
+			n.forwardBundles(time.Now())
 			return
 		case l := <-n.loads:
-			n.add(l)
-			if !waiting {
-				soon.Reset(n.delay())
-				waiting = true
+			n.addLoad(l)
+			if !scheduled {
+				sendTimer.Reset(n.loadDelay())
+				scheduled = true
 			}
 		case l := <-n.backlogs:
-			n.seen[l.Server] = l.Remaining
+			n.pendingBacklogs[l.Server] = l.Remaining
 		case r := <-n.refusals:
-			n.refused.add(r, mostRefusals)
-		case e := <-n.ends:
-			e.Suspects = e.Suspects[:min(len(e.Suspects), mostOfEnd)]
-			n.ended.add(e, mostEnds)
-		case a := <-n.answered:
-			n.cleared.add(a, mostAnswered)
-		case s := <-n.leaves:
-			n.gone.add(s, mostLeaves)
-		case <-n.hurry:
-			if !waiting {
-				soon.Reset(loadDelay)
-				waiting = true
+			n.pendingRefusals.add(r, maxRefusals)
+		case e := <-n.crashes:
+			e.Suspects = e.Suspects[:min(len(e.Suspects), maxSuspectsPerCrash)]
+			n.pendingCrashes.add(e, maxPendingCrashes)
+		case a := <-n.cleared:
+			n.pendingCleared.add(a, maxPendingCleared)
+		case s := <-n.leavingServers:
+			n.pendingLeaving.add(s, maxPendingLeaving)
+		case <-n.sendSoon:
+			if !scheduled {
+				sendTimer.Reset(baseLoadDelay)
+				scheduled = true
 			}
-		case <-soon.C:
-			waiting = false
+		case <-sendTimer.C:
+			scheduled = false
 			n.send(time.Now(), false)
 		case <-n.relays.timer.C:
-			n.passOn(time.Now())
-		case <-beat.C:
-			n.beat(time.Now())
+			n.forwardBundles(time.Now())
+		case <-heartbeatTicker.C:
+			n.sendHeartbeat(time.Now())
 		case now := <-search.C:
-			if now.After(searched) {
+			if now.After(searchUntil) {
 				search.Stop()
 			}
-			n.search()
-		case now := <-judge.C:
-			n.judge(now)
+			n.contactSilentPeers()
+		case now := <-relayCheck.C:
+			n.checkRelays(now)
 		case p := <-n.packets:
-			n.take(time.Now(), p)
+			n.handlePacket(time.Now(), p)
 		}
 	}
 }
 
-// search lets silent gateways know of this one.
-func (n *Node) search() {
+// contactSilentPeers announces this node to the peers that are not alive.
+func (n *Node) contactSilentPeers() {
 	for a, r := range n.peers {
 		if !r.alive {
-			n.answer(a)
+			n.sendIntroduction(a)
 		}
 	}
 }
 
-func (n *Node) add(l Load) {
-	n.newest++
+func (n *Node) addLoad(l Load) {
+	n.newestLoad++
 	load := &peerpb.Load{Server: l.Server, WorkUs: microseconds(l.Work), Parts: l.Parts, Tokens: uint32(max(l.Tokens, 0))}
-	n.pending = append(n.pending, numbered{load: load})
-	if len(n.pending) > mostLoads {
-		n.pending = slices.Delete(n.pending, 0, len(n.pending)-mostLoads)
+	n.pendingLoads = append(n.pendingLoads, pendingLoad{load: load})
+	if len(n.pendingLoads) > maxLoads {
+		n.pendingLoads = slices.Delete(n.pendingLoads, 0, len(n.pendingLoads)-maxLoads)
 	}
 }
 
-// delay is how soon loads are told.
-func (n *Node) delay() time.Duration {
-	return min(loadDelay+time.Duration(n.relays.alive)*peerDelay, longestDelay)
+// loadDelay returns the delay before pending loads are sent.
+func (n *Node) loadDelay() time.Duration {
+	return min(baseLoadDelay+time.Duration(n.relays.livePeers)*loadDelayPerPeer, maxLoadDelay)
 }
 
-// beat sends a whole beacon and gives up peers that were silent too long.
-func (n *Node) beat(now time.Time) {
+// sendHeartbeat sends a full beacon and drops peers that have been silent for too long.
+func (n *Node) sendHeartbeat(now time.Time) {
 	n.send(now, true)
 	for a, r := range n.peers {
-		if r.alive && now.Sub(r.heard) > aliveFor {
+		if r.alive && now.Sub(r.lastHeard) > peerTimeout {
 			r.alive = false
-			n.relays.routed = time.Time{} // it is relied on no more
-			n.update([]Update{{From: a.String()}})
+			n.relays.rankedAt = time.Time{} // it must not be used as a relay any more
+			n.deliver([]Update{{From: a.String()}})
 		}
-		if !r.seed && now.Sub(latest(r.heard, r.known)) > forgetAfter {
+		if !r.seed && now.Sub(later(r.lastHeard, r.knownSince)) > forgetAfter {
 			delete(n.peers, a)
 		}
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// send tells the loads that are pending; a whole beacon carries demands as well, and
-// now and then goes to silent peers too and names the live ones.
-func (n *Node) send(now time.Time, whole bool) {
-	rare := whole && n.beats%rareEvery == 0
-	if whole {
-		n.beats++
+// send sends the pending items. A full beacon also carries demands; once in
+// heartbeatsPerDiscovery it goes to silent peers too and lists the live ones.
+func (n *Node) send(now time.Time, full bool) {
+	discovery := full && n.heartbeats%heartbeatsPerDiscovery == 0
+	if full {
+		n.heartbeats++
 	}
-	b, state := n.beacon(whole, rare)
+	b, state := n.newBeacon(full, discovery)
 	n.addLoads(b)
 	n.addRefusals(now, b)
-	n.addEnds(b)
-	n.told = state.Running
-	n.route(now)
-	if rare || n.leaving {
-		n.sendSilent(b)
+	n.addCrashes(b)
+	n.lastRunning = state.Running
+	n.rankRelays(now)
+	if discovery || n.leaving {
+		n.sendToSilentPeers(b)
 	}
-	n.spread(now, b)
+	n.disseminate(now, b)
 }
 
-// sendSilent sends a beacon to the peers that are not alive.
-func (n *Node) sendSilent(b *peerpb.Beacon) {
-	packed := pack(&peerpb.Datagram{Beacon: b})
+// sendToSilentPeers sends a beacon to the peers that are not alive.
+func (n *Node) sendToSilentPeers(b *peerpb.Beacon) {
+	packed := marshal(&peerpb.Datagram{Beacon: b})
 	for a, r := range n.peers {
 		if !r.alive {
 			n.write(a, packed)
@@ -380,15 +380,15 @@
 	}
 }
 
-// write sends a datagram. A peer that is gone makes it fail now and then; its silence
-// tells enough.
+// write sends a datagram. Errors are ignored: a peer that is gone causes them now and then, and
+// is detected by its silence.
 func (n *Node) write(to netip.Addr, packed []byte) {
-	n.datagrams.Add(1)
-	n.bytes.Add(int64(len(packed)))
+	n.sentDatagrams.Add(1)
+	n.sentBytes.Add(int64(len(packed)))
 	_, _ = n.conn.WriteToUDPAddrPort(packed, netip.AddrPortFrom(to, n.port))
 }
 
-func pack(m proto.Message) []byte {
+func marshal(m proto.Message) []byte {
 	packed, err := proto.Marshal(m)
 	if err != nil {
 		panic(errors.NewAssertionErrorWithWrappedErrf(err, "peer: encode %T", m))
--- a/gateway/peer/relay.go
+++ b/gateway/peer/relay.go
@@ -11,68 +11,67 @@
 	"opalbridge.dev/gateway/peer/peerpb"
 )
 
-// This file sends beacons through relays. Told by every gateway to every other one, they
-// took half of the processor time of a fleet of 103 gateways, and 1.17 GB between halls in
-// a minute, the largest price of that minute; told more rarely, they were too old to
-// place by.
+// This file sends beacons through relays. Sent from every gateway to every other one, beacons
+// took half of the processor time of a fleet of 103 gateways, and their 1.17 GB of traffic
+// between halls in a minute was the largest cost of that minute; sent less often, they were too
+// old for placement decisions.
 //
-// Two gateways of each hall are its relays: the ones with most processor, as every
-// gateway ranks them for itself from the beacons that it hears. Lists may differ: a
-// gateway passes on what it is asked to pass on, whether or not it counts itself a relay.
-// A relay that is not heard is passed over after a moment, and a load that was lost with
-// it is told again through the other one.
+// Two gateways of each hall are its relays: those with the most processor time, as every gateway
+// ranks them for itself from the beacons that it receives. Their rankings may differ: a gateway
+// forwards what it is asked to forward, whether or not it considers itself a relay. A relay that
+// is not heard from is excluded after a moment, and a load that was lost with it is sent again
+// through the other one.
 
 const (
 	relaysPerHall = 2
-	// Of a hall of which nobody was heard lately, so many are told.
-	unprovenPerHall = 4
-	// A relay passes on what it has this soon after the first beacon: so much for each
-	// live gateway, up to longestBundleDelay. At 100 gateways it then sends 70 bundles a
-	// second to each of its hall, and news of another hall are 20 ms old.
-	bundleDelay        = 150 * time.Microsecond
-	longestBundleDelay = 15 * time.Millisecond
-	// Beacons in one datagram, in bytes; more go into a further one.
-	longestBundle = 8 << 10
-	// A relay that is relied on is passed over when nothing was heard of it for so long: a
-	// heartbeat, since its bundles hold its own beacons, and 100 ms. With the heartbeat
-	// before, and the time between two looks, it is 0.3 s below the time after which
-	// gateways that are not heard count as gone, so none does when the relays of all halls
-	// end at once.
-	relayPatience = 350 * time.Millisecond
-	// It is looked for this often.
-	judgeEvery = 100 * time.Millisecond
-	// It is tried again after this time.
-	shunFor = 2 * time.Second
-	// Relays are ranked anew at most this often: with 100 gateways it takes 20 µs.
-	routeEvery = 50 * time.Millisecond
+	// Gateways contacted in a hall none of whose gateways was heard from recently.
+	fallbackRelaysPerHall = 4
+	// A relay forwards pending beacons with this delay per live gateway after the first one, up
+	// to maxBundleDelay. With 100 gateways it then sends 70 bundles a second to each gateway of
+	// its hall, and news from another hall is 20 ms old.
+	bundleDelayPerPeer = 150 * time.Microsecond
+	maxBundleDelay     = 15 * time.Millisecond
+	// Size of the beacons in one datagram, in bytes; further ones go into another datagram.
+	maxBundleSize = 8 << 10
+	// A relay in use is excluded when nothing was heard from it for this long: a heartbeat,
+	// since its bundles contain its own beacons, plus 100 ms. Together with the preceding
+	// heartbeat and the check interval, this is 0.3 s below peerTimeout, so that no gateway is
+	// considered dead when the relays of all halls fail at the same time.
+	relayTimeout = 350 * time.Millisecond
+	// Interval at which the relays in use are checked.
+	relayCheckInterval = 100 * time.Millisecond
+	// An excluded relay is tried again after this time.
+	relayExclusionTime = 2 * time.Second
+	// Minimum interval between rankings: with 100 gateways a ranking takes 20 µs.
+	rankInterval = 50 * time.Millisecond
 )
 
-// relays is what a node knows of its way to the others.
-type relays struct {
-	timer  *time.Timer // runs while beacons wait to be passed on
-	own    []*peerpb.Passed
-	others []*peerpb.Passed // of other halls, for the own hall
-	kept   map[*peerpb.Passed]time.Time
-	turn   int
-	alive  int // live peers
-	routed time.Time
-	round  uint64 // times that relays were ranked
+// relayState is what a node knows about its routes to the other gateways.
+type relayState struct {
+	timer            *time.Timer // runs while beacons wait to be forwarded
+	ownHallBeacons   []*peerpb.Passed
+	otherHallBeacons []*peerpb.Passed // from other halls, for the own hall
+	heldSince        map[*peerpb.Passed]time.Time
+	roundRobin       int
+	livePeers        int // number of live peers
+	rankedAt         time.Time
+	rankRound        uint64 // number of rankings so far
 
-	hall  []netip.Addr // live peers of the own hall
-	up    []netip.Addr // relays of the own hall; empty: this node is one
-	halls []hallRelays // of each other hall
+	hallPeers       []netip.Addr // live peers of the own hall
+	ownHallRelays   []netip.Addr // relays of the own hall; empty: this node is one
+	otherHallRelays []hallRelays // of each other hall
 }
 
-// hallRelays are the gateways through which another hall is told.
+// hallRelays are the gateways that receive bundles for another hall.
 type hallRelays struct {
-	list []netip.Addr
-	all  bool // each is told, since none is known to pass it on; else they take turns
+	addresses []netip.Addr
+	sendToAll bool // send to each, since none is known to forward; otherwise they take turns
 }
 
-func newRelays() relays {
+func newRelayState() relayState {
 	t := time.NewTimer(time.Hour)
 	t.Stop()
-	return relays{timer: t, kept: map[*peerpb.Passed]time.Time{}}
+	return relayState{timer: t, heldSince: map[*peerpb.Passed]time.Time{}}
 }
 
 // candidate is a gateway that may be a relay.
@@ -82,88 +81,89 @@
 	weight  uint32
 }
 
-// route ranks the gateways of each hall, if that was not done a moment ago.
-func (n *Node) route(now time.Time) {
-	if now.Sub(n.relays.routed) < routeEvery {
+// rankRelays ranks the gateways of each hall, unless that was done within rankInterval.
+func (n *Node) rankRelays(now time.Time) {
+	if now.Sub(n.relays.rankedAt) < rankInterval {
 		return
 	}
-	n.relays.routed = now
-	n.relays.round++
+	n.relays.rankedAt = now
+	n.relays.rankRound++
 	halls := map[string][]candidate{
 		n.options.Hall: {{address: n.self, weight: uint32(max(n.options.State().Weight, 0))}},
 	}
-	n.relays.hall, n.relays.alive = n.relays.hall[:0], 0
+	n.relays.hallPeers, n.relays.livePeers = n.relays.hallPeers[:0], 0
 	for a, r := range n.peers {
 		if !r.alive {
 			continue
 		}
-		n.relays.alive++
+		n.relays.livePeers++
 		if r.hall == n.options.Hall {
-			n.relays.hall = append(n.relays.hall, a)
+			n.relays.hallPeers = append(n.relays.hallPeers, a)
 		}
-		if now.Before(r.shunned) {
+		if now.Before(r.relayExcludedUntil) {
 			continue
 		}
 		halls[r.hall] = append(halls[r.hall], candidate{address: a, remote: r, weight: r.weight})
 	}
-	own := ranked(halls[n.options.Hall], relaysPerHall)
-	n.relays.up = nil
+	own := topRanked(halls[n.options.Hall], relaysPerHall)
+	n.relays.ownHallRelays = nil
 	if !slices.ContainsFunc(own, func(c candidate) bool { return c.remote == nil }) {
-		n.relays.up = rely(now, n.relays.round, own)
+		n.relays.ownHallRelays = responsiveRelays(now, n.relays.rankRound, own)
 	}
 	delete(halls, n.options.Hall)
-	n.relays.halls = n.relays.halls[:0]
+	n.relays.otherHallRelays = n.relays.otherHallRelays[:0]
 	for _, list := range halls {
-		n.relays.halls = append(n.relays.halls, n.relaysOf(now, list))
+		n.relays.otherHallRelays = append(n.relays.otherHallRelays, n.selectHallRelays(now, list))
 	}
 }
 
-// relaysOf returns the relays of another hall: those first in rank that were heard lately,
-// through whomever, since they tell this hall's relays by turns. If none was, its relays
-// have ended, and the next ones in rank may have to be told that this hall's have ended too.
-func (n *Node) relaysOf(now time.Time, list []candidate) hallRelays {
-	if len(n.relays.up) > 0 {
-		return hallRelays{} // this node tells its own relays only
+// selectHallRelays returns the relays of another hall: the highest-ranked gateways that were
+// heard from recently, through any route, since they send to this hall's relays in turn. If none
+// was, that hall's relays have failed, and its next gateways in rank may have to be told that
+// this hall's relays have failed too.
+func (n *Node) selectHallRelays(now time.Time, list []candidate) hallRelays {
+	if len(n.relays.ownHallRelays) > 0 {
+		return hallRelays{} // this node only sends to its own relays
 	}
 	var heard, first []netip.Addr
-	for i, c := range ranked(list, len(list)) {
-		if i < unprovenPerHall {
+	for i, c := range topRanked(list, len(list)) {
+		if i < fallbackRelaysPerHall {
 			first = append(first, c.address)
 		}
-		if len(heard) < relaysPerHall && now.Sub(c.remote.heard) <= relayPatience {
+		if len(heard) < relaysPerHall && now.Sub(c.remote.lastHeard) <= relayTimeout {
 			heard = append(heard, c.address)
 		}
 	}
 	if len(heard) == 0 {
-		return hallRelays{list: first, all: true}
+		return hallRelays{addresses: first, sendToAll: true}
 	}
-	return hallRelays{list: heard}
+	return hallRelays{addresses: heard}
 }
 
-// ranked returns those of a hall's gateways that come first as its relays: most processor
-// first, and among equals in an order that all find alike.
-func ranked(list []candidate, most int) []candidate {
+// topRanked returns the first gateways of a hall by rank: most processor time first, and among
+// equals in an order that is the same at every gateway.
+func topRanked(list []candidate, limit int) []candidate {
 	slices.SortFunc(list, func(x, y candidate) int {
-		return cmp.Or(cmp.Compare(y.weight, x.weight), cmp.Compare(mixed(x.address), mixed(y.address)))
+		return cmp.Or(cmp.Compare(y.weight, x.weight), cmp.Compare(hashAddr(x.address), hashAddr(y.address)))
 	})
-	return list[:min(len(list), most)]
+	return list[:min(len(list), limit)]
 }
 
-// mixed scatters addresses, so that a hall's relays are not its first hosts.
-func mixed(a netip.Addr) uint32 { return packAddr(a) * 0x9e3779b1 }
+// hashAddr scrambles addresses, so that a hall's relays are not just its first hosts.
+func hashAddr(a netip.Addr) uint32 { return packAddr(a) * 0x9e3779b1 }
 
-// rely notes since when relays of the own hall are relied on, and passes over those that
-// are not heard: what they pass on goes to each gateway of their hall.
-func rely(now time.Time, round uint64, chosen []candidate) []netip.Addr {
+// responsiveRelays records since when the relays of the own hall have been in use, and excludes
+// those that are not heard from: a relay's bundles go to each gateway of its hall.
+func responsiveRelays(now time.Time, round uint64, chosen []candidate) []netip.Addr {
 	var list []netip.Addr
 	for _, c := range chosen {
 		r := c.remote
-		if r.round+1 != round {
-			r.chosen = now
+		if r.relayRound+1 != round {
+			r.relaySince = now
 		}
-		r.round = round
-		if now.Sub(latest(r.direct, r.chosen)) > relayPatience {
-			r.shunned = now.Add(shunFor)
+		r.relayRound = round
+		if now.Sub(later(r.lastDirect, r.relaySince)) > relayTimeout {
+			r.relayExcludedUntil = now.Add(relayExclusionTime)
 			continue
 		}
 		list = append(list, c.address)
@@ -171,102 +171,101 @@
 	return list
 }
 
-// judge looks for relays that have gone silent, and tells the fleet of this node through
-// others.
-func (n *Node) judge(now time.Time) {
-	silent := func(a netip.Addr) bool {
+// checkRelays looks for relays that have gone silent, and if there are any sends a beacon
+// through others.
+func (n *Node) checkRelays(now time.Time) {
+	unresponsive := func(a netip.Addr) bool {
 		r := n.peers[a]
-		return r == nil || now.Sub(latest(r.direct, r.chosen)) > relayPatience
+		return r == nil || now.Sub(later(r.lastDirect, r.relaySince)) > relayTimeout
 	}
-	if !slices.ContainsFunc(n.relays.up, silent) {
+	if !slices.ContainsFunc(n.relays.ownHallRelays, unresponsive) {
 		return
 	}
-	n.relays.routed = time.Time{}
+	n.relays.rankedAt = time.Time{}
 	n.send(now, true)
 }
 
-// spread lets the fleet know the own beacon: a relay bundles it with others, who is none
-// sends it to one.
-func (n *Node) spread(now time.Time, b *peerpb.Beacon) {
-	if len(n.relays.up) == 0 {
-		n.collect(now, n.self, b)
+// disseminate distributes the node's own beacon: a relay bundles it with others, any other
+// gateway sends it to a relay.
+func (n *Node) disseminate(now time.Time, b *peerpb.Beacon) {
+	if len(n.relays.ownHallRelays) == 0 {
+		n.holdOwnHallBeacon(now, n.self, b)
 		return
 	}
 	b.Relay = true
-	n.relays.turn++
-	n.write(n.relays.up[n.relays.turn%len(n.relays.up)], pack(&peerpb.Datagram{Beacon: b}))
+	n.relays.roundRobin++
+	n.write(n.relays.ownHallRelays[n.relays.roundRobin%len(n.relays.ownHallRelays)], marshal(&peerpb.Datagram{Beacon: b}))
 }
 
-// collect keeps a beacon of the own hall until it is passed on.
-func (n *Node) collect(now time.Time, from netip.Addr, b *peerpb.Beacon) {
-	p := &peerpb.Passed{From: packAddr(from), Beacon: pack(b)}
-	n.relays.own = append(n.relays.own, p)
-	n.keep(now, p)
+// holdOwnHallBeacon holds a beacon of the own hall until it is forwarded.
+func (n *Node) holdOwnHallBeacon(now time.Time, from netip.Addr, b *peerpb.Beacon) {
+	p := &peerpb.Passed{From: packAddr(from), Beacon: marshal(b)}
+	n.relays.ownHallBeacons = append(n.relays.ownHallBeacons, p)
+	n.hold(now, p)
 }
 
-// keep notes since when a beacon waits to be passed on.
-func (n *Node) keep(now time.Time, p *peerpb.Passed) {
-	if len(n.relays.kept) == 0 {
-		n.relays.timer.Reset(min(time.Duration(n.relays.alive)*bundleDelay, longestBundleDelay))
+// hold records since when a beacon has been waiting to be forwarded.
+func (n *Node) hold(now time.Time, p *peerpb.Passed) {
+	if len(n.relays.heldSince) == 0 {
+		n.relays.timer.Reset(min(time.Duration(n.relays.livePeers)*bundleDelayPerPeer, maxBundleDelay))
 	}
-	n.relays.kept[p] = now.Add(-time.Duration(p.HeldMs) * time.Millisecond)
+	n.relays.heldSince[p] = now.Add(-time.Duration(p.HeldMs) * time.Millisecond)
 }
 
-// passOn sends what waits to the own hall, and the own hall's to one relay of each other
-// hall.
-func (n *Node) passOn(now time.Time) {
-	n.route(now)
-	for p, since := range n.relays.kept {
+// forwardBundles sends all held beacons to the own hall, and those of the own hall to one relay
+// of each other hall.
+func (n *Node) forwardBundles(now time.Time) {
+	n.rankRelays(now)
+	for p, since := range n.relays.heldSince {
 		p.HeldMs = uint32(now.Sub(since).Milliseconds())
 	}
-	n.relays.turn++
-	for _, packed := range bundles(n.relays.own, true) {
-		for _, hall := range n.relays.halls {
-			n.tellHall(hall, packed)
+	n.relays.roundRobin++
+	for _, packed := range packBundles(n.relays.ownHallBeacons, true) {
+		for _, hall := range n.relays.otherHallRelays {
+			n.sendToHall(hall, packed)
 		}
 	}
-	for _, packed := range bundles(append(n.relays.own, n.relays.others...), false) {
-		for _, a := range n.relays.hall {
+	for _, packed := range packBundles(append(n.relays.ownHallBeacons, n.relays.otherHallBeacons...), false) {
+		for _, a := range n.relays.hallPeers {
 			n.write(a, packed)
 		}
 	}
-	clear(n.relays.kept)
-	clear(n.relays.own)
-	clear(n.relays.others)
-	n.relays.own, n.relays.others = n.relays.own[:0], n.relays.others[:0]
+	clear(n.relays.heldSince)
+	clear(n.relays.ownHallBeacons)
+	clear(n.relays.otherHallBeacons)
+	n.relays.ownHallBeacons, n.relays.otherHallBeacons = n.relays.ownHallBeacons[:0], n.relays.otherHallBeacons[:0]
 }
 
-// tellHall sends a bundle to another hall.
-func (n *Node) tellHall(h hallRelays, packed []byte) {
-	if h.all {
-		for _, a := range h.list {
+// sendToHall sends a bundle to another hall.
+func (n *Node) sendToHall(h hallRelays, packed []byte) {
+	if h.sendToAll {
+		for _, a := range h.addresses {
 			n.write(a, packed)
 		}
 		return
 	}
-	if len(h.list) > 0 {
-		n.write(h.list[n.relays.turn%len(h.list)], packed)
+	if len(h.addresses) > 0 {
+		n.write(h.addresses[n.relays.roundRobin%len(h.addresses)], packed)
 	}
 }
 
-// bundles packs beacons into as few datagrams as hold them.
-func bundles(list []*peerpb.Passed, spread bool) [][]byte {
+// packBundles packs beacons into as few datagrams as possible.
+func packBundles(list []*peerpb.Passed, spread bool) [][]byte {
 	var packed [][]byte
 	for len(list) > 0 {
 		count, size := 0, 0
-		for count < len(list) && (count == 0 || size+proto.Size(list[count]) <= longestBundle) {
+		for count < len(list) && (count == 0 || size+proto.Size(list[count]) <= maxBundleSize) {
 			size += proto.Size(list[count])
 			count++
 		}
-		packed = append(packed, pack(&peerpb.Datagram{Bundle: &peerpb.Bundle{Beacons: list[:count], Spread: spread}}))
+		packed = append(packed, marshal(&peerpb.Datagram{Bundle: &peerpb.Bundle{Beacons: list[:count], Spread: spread}}))
 		list = list[count:]
 	}
 	return packed
 }
 
-// takeBundle takes over the beacons of a bundle, and keeps them for the own hall if that
-// is asked.
-func (n *Node) takeBundle(now time.Time, bundle *peerpb.Bundle) {
+// handleBundle applies the beacons of a bundle, and holds them for the own hall if asked to.
+func (n *Node) handleBundle(now time.Time, bundle *peerpb.Bundle) {
 	var updates []Update
 	for _, p := range bundle.Beacons {
 		from := unpackAddr(p.From)
@@ -276,15 +275,15 @@
 			continue
 		}
 		if bundle.Spread {
-			n.relays.others = append(n.relays.others, p)
-			n.keep(now, p)
+			n.relays.otherHallBeacons = append(n.relays.otherHallBeacons, p)
+			n.hold(now, p)
 		}
 		if from == n.self {
 			continue
 		}
-		if u, ok := n.hear(now, from, b, time.Duration(p.HeldMs)*time.Millisecond); ok {
+		if u, ok := n.applyBeacon(now, from, b, time.Duration(p.HeldMs)*time.Millisecond); ok {
 			updates = append(updates, u)
 		}
 	}
-	n.update(updates)
+	n.deliver(updates)
 }
--- a/gateway/peer/relay_test.go
+++ b/gateway/peer/relay_test.go
@@ -14,8 +14,9 @@
 	"opalbridge.dev/gateway/peer/peerpb"
 )
 
-// halls starts so many halls with so many nodes each, and waits until all know all.
-func halls(t *testing.T, count, each int) []*member {
+// joinHalls starts count halls with the given number of nodes each, and waits until all nodes
+// know each other.
+func joinHalls(t *testing.T, count, each int) []*member {
 	t.Helper()
 	port := freePort(t)
 	var members []*member
@@ -24,16 +25,16 @@
 		members = append(members, joinHall(t, port, n+1, hall, peer.State{Weight: 100 + n/count, StoreRevision: catalog.Revision(n + 1)}, "127.0.0.1"))
 	}
 	for i, m := range members {
-		eventually(t, fmt.Sprintf("node %d knows all", i+1), func() bool { return m.living() == len(members)-1 })
+		eventually(t, fmt.Sprintf("node %d knows all others", i+1), func() bool { return m.livePeers() == len(members)-1 })
 	}
-	time.Sleep(300 * time.Millisecond) // a heartbeat: all know all halls
+	time.Sleep(300 * time.Millisecond) // one heartbeat, so that all know all halls
 	return members
 }
 
-// TestLoadsReachAllHalls once each, although no node sends to all others, soon, and with
-// what only whole beacons tell.
+// TestLoadsReachAllHalls checks that loads reach every node once and soon, although no node
+// sends to all others, together with the fields that only full beacons carry.
 func TestLoadsReachAllHalls(t *testing.T) {
-	members := halls(t, 3, 5)
+	members := joinHalls(t, 3, 5)
 	began := time.Now()
 	for n, m := range members {
 		m.node.PublishLoad(peer.Load{Server: uint64(n + 1), Work: time.Millisecond})
@@ -44,31 +45,31 @@
 				continue
 			}
 			from := fmt.Sprintf("127.0.0.%d", n+1)
-			eventually(t, fmt.Sprintf("node %d hears of node %d's load", i+1, n+1), func() bool { return len(m.heard(from)) == 1 })
+			eventually(t, fmt.Sprintf("node %d receives the load of node %d", i+1, n+1), func() bool { return len(m.loadsFrom(from)) == 1 })
 		}
 	}
 	require.Less(t, time.Since(began), 500*time.Millisecond)
-	time.Sleep(600 * time.Millisecond) // they are told again meanwhile
+	time.Sleep(600 * time.Millisecond) // they are sent again meanwhile
 	for i, m := range members {
 		for n := range members {
 			if i == n {
 				continue
 			}
 			from := fmt.Sprintf("127.0.0.%d", n+1)
-			require.Equal(t, []peer.Load{{Server: uint64(n + 1), Work: time.Millisecond}}, m.heard(from))
+			require.Equal(t, []peer.Load{{Server: uint64(n + 1), Work: time.Millisecond}}, m.loadsFrom(from))
 			m.mutex.Lock()
-			require.Equal(t, catalog.Revision(n+1), m.last[from].StoreRevision)
+			require.Equal(t, catalog.Revision(n+1), m.lastUpdate[from].StoreRevision)
 			m.mutex.Unlock()
 		}
 	}
 }
 
-// TestLostRelay: a relay that says nothing any more loses no load, since each is told
-// through two, and is passed over.
+// TestLostRelay checks that a relay that goes silent loses no load, since each load is sent
+// through two relays, and that it is excluded.
 func TestLostRelay(t *testing.T) {
 	port := freePort(t)
-	// It says once that it has most processor of its hall, and again and again that it
-	// lives, but passes nothing on.
+	// It announces the highest weight of its hall and keeps sending beacons, but forwards
+	// nothing.
 	silent, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 9), Port: port})
 	require.NoError(t, err)
 	defer silent.Close()
@@ -101,80 +102,82 @@
 		}
 	}()
 	for _, m := range members {
-		eventually(t, "the silent one counts as alive", func() bool { return m.living() == 4 })
+		eventually(t, "the silent relay counts as alive", func() bool { return m.livePeers() == 4 })
 	}
-	const many = 50
-	for i := range many {
+	const count = 50
+	for i := range count {
 		members[3].node.PublishLoad(peer.Load{Server: uint64(i), Work: time.Millisecond})
 		time.Sleep(20 * time.Millisecond)
 	}
-	eventually(t, "all loads", func() bool { return len(members[1].heard("127.0.0.4")) == many })
+	eventually(t, "all loads arrive", func() bool { return len(members[1].loadsFrom("127.0.0.4")) == count })
 }
 
-// TestRelaysLeave: when the relays of a hall go, the others go on to hear each other.
+// TestRelaysLeave checks that the remaining nodes still hear from each other when the relays of
+// a hall leave.
 func TestRelaysLeave(t *testing.T) {
-	members := halls(t, 2, 4)
-	// Those with most weight are the last of each hall.
+	members := joinHalls(t, 2, 4)
+	// The nodes with the highest weight are the last of each hall.
 	for _, m := range members[4:] {
 		m.stop()
-		<-m.ended
+		<-m.done
 	}
-	left := members[:4]
-	for i, m := range left {
-		eventually(t, fmt.Sprintf("node %d knows who is left", i+1), func() bool { return m.living() == 3 })
+	remaining := members[:4]
+	for i, m := range remaining {
+		eventually(t, fmt.Sprintf("node %d knows the remaining nodes", i+1), func() bool { return m.livePeers() == 3 })
 	}
-	left[0].node.PublishLoad(peer.Load{Server: 5, Work: time.Millisecond})
-	for i, m := range left[1:] {
-		eventually(t, fmt.Sprintf("node %d hears", i+2), func() bool { return len(m.heard("127.0.0.1")) == 1 })
+	remaining[0].node.PublishLoad(peer.Load{Server: 5, Work: time.Millisecond})
+	for i, m := range remaining[1:] {
+		eventually(t, fmt.Sprintf("node %d receives the load", i+2), func() bool { return len(m.loadsFrom("127.0.0.1")) == 1 })
 	}
 }
 
-// TestDatagramsGrowWithHalls: what a node sends while nothing happens does not grow with
-// the gateways of its hall, unless it is a relay.
+// TestDatagramsGrowWithHalls checks that the number of datagrams that an idle node sends does
+// not grow with the gateways of its hall, unless it is a relay.
 func TestDatagramsGrowWithHalls(t *testing.T) {
 	for _, each := range []int{2, 8} {
-		members := halls(t, 2, each)
+		members := joinHalls(t, 2, each)
 		before := members[0].node.Sent()
 		time.Sleep(time.Second)
 		after := members[0].node.Sent()
 		fmt.Printf("figure beacon-datagrams-of-%d %d 1/s\n", 2*each, after.Datagrams-before.Datagrams)
 		fmt.Printf("figure beacon-bytes-of-%d %d B/s\n", 2*each, after.Bytes-before.Bytes)
 		if each > 2 {
-			require.Less(t, after.Datagrams-before.Datagrams, int64(10), "it sends to one relay")
+			require.Less(t, after.Datagrams-before.Datagrams, int64(10), "it sends to only one relay")
 		}
 	}
 }
 
-// TestBothRelaysEnd at once, without a word: no other gateway counts as gone for it.
-func TestBothRelaysEnd(t *testing.T) {
-	members := halls(t, 2, 4)
-	for _, m := range members[4:] { // those with most weight
-		m.node.Silence()
+// TestBothRelaysFail checks that no other gateway is considered dead when both relays of a hall
+// fail silently at the same time.
+func TestBothRelaysFail(t *testing.T) {
+	members := joinHalls(t, 2, 4)
+	for _, m := range members[4:] { // those with the highest weight
+		m.node.CloseConn()
 	}
-	lost := time.After(3 * time.Second)
-	began, latest, worst := time.Now(), time.Now(), time.Duration(0)
+	deadline := time.After(3 * time.Second)
+	began, latest, maxDelay := time.Now(), time.Now(), time.Duration(0)
 	for {
-		worst = max(worst, time.Since(latest)-20*time.Millisecond)
+		maxDelay = max(maxDelay, time.Since(latest)-20*time.Millisecond)
 		latest = time.Now()
 		select {
-		case <-lost:
+		case <-deadline:
 			for i, m := range members[:4] {
-				require.Equal(t, 3, m.living(), "node %d hears the other three", i+1)
+				require.Equal(t, 3, m.livePeers(), "node %d still considers the other three alive", i+1)
 			}
 			return
 		case <-time.After(20 * time.Millisecond):
 			for i, m := range members[:4] {
 				for n := range members[:4] {
 					from := fmt.Sprintf("127.0.0.%d", n+1)
-					require.True(t, i == n || m.counts(from), "node %d has lost node %d after %s; this test was late by %s", i+1, n+1, time.Since(began), worst)
+					require.True(t, i == n || m.isAlive(from), "node %d has lost node %d after %s; this test was late by %s", i+1, n+1, time.Since(began), maxDelay)
 				}
 			}
 		}
 	}
 }
 
-// counts tells whether a node counts as alive.
-func (m *member) counts(from string) bool {
+// isAlive reports whether a node considers another one alive.
+func (m *member) isAlive(from string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.alive[from]
--- a/gateway/peer/size_test.go
+++ b/gateway/peer/size_test.go
@@ -11,7 +11,7 @@
 	"opalbridge.dev/gateway/peer/peerpb"
 )
 
-// TestBeaconBytes measures what beacons weigh, for docs/CAPACITY.md.
+// TestBeaconBytes measures the encoded size of beacons, for docs/CAPACITY.md.
 func TestBeaconBytes(t *testing.T) {
 	size := func(loads, servers, accounts, backlogs, refusals int, whole bool) int {
 		s := State{Running: map[uint64]int{}, StoreRevision: 1000, ConfigurationVersion: 500, ConfirmedAt: time.Now()}
@@ -21,18 +21,18 @@
 		for i := range accounts {
 			s.Demands = append(s.Demands, &peerpb.Demand{Account: fmt.Sprintf("account-%02d", i), Asked: 100000, Admitted: 90000})
 		}
-		n := &Node{options: Options{Hall: "hall-1", State: func() State { return s }}, incarnation: 1 << 60, seen: map[uint64]time.Duration{}}
+		n := &Node{options: Options{Hall: "hall-1", State: func() State { return s }}, incarnation: 1 << 60, pendingBacklogs: map[uint64]time.Duration{}}
 		for i := range loads {
-			n.add(Load{Server: uint64(i) << 40, Work: 80 * time.Millisecond, Parts: []uint64{1 << 60, 1 << 61}, Tokens: 17000})
+			n.addLoad(Load{Server: uint64(i) << 40, Work: 80 * time.Millisecond, Parts: []uint64{1 << 60, 1 << 61}, Tokens: 17000})
 		}
 		for i := range backlogs {
-			n.seen[uint64(i)<<40] = 80 * time.Millisecond
+			n.pendingBacklogs[uint64(i)<<40] = 80 * time.Millisecond
 		}
 		now := time.Now()
 		for range refusals {
-			n.refused.add(Refusal{Key: 1 << 60, Deadline: now.Add(10 * time.Second), FirstAttempt: now.Add(-time.Second)}, mostRefusals)
+			n.pendingRefusals.add(Refusal{Key: 1 << 60, Deadline: now.Add(10 * time.Second), FirstAttempt: now.Add(-time.Second)}, maxRefusals)
 		}
-		b, _ := n.beacon(whole, false)
+		b, _ := n.newBeacon(whole, false)
 		n.addLoads(b)
 		n.addRefusals(now, b)
 		packed, err := proto.Marshal(&peerpb.Datagram{Beacon: b})
@@ -46,5 +46,5 @@
 	fmt.Printf("figure beacon-backlog %d B\n", (size(0, 0, 0, 20, 0, false)-bare)/20)
 	fmt.Printf("figure beacon-refusal %d B\n", (size(0, 0, 0, 0, 20, false)-bare)/20)
 	fmt.Printf("figure beacon-account %d B\n", (size(0, 0, 20, 0, 0, true)-size(0, 0, 0, 0, 0, true))/20)
-	require.Less(t, size(mostLoads, 100, 48, 100, mostRefusals, true), longestPacket, "a beacon must fit into one datagram")
+	require.Less(t, size(maxLoads, 100, 48, 100, maxRefusals, true), maxDatagramSize, "a beacon must fit into one datagram")
 }
