--- a/gateway/upstream/upstream_test.go
+++ b/gateway/upstream/upstream_test.go
@@ -295,7 +295,7 @@
 	}
 }
 
-func TestRemoveHopHeaders(t *testing.T) {
+func TestRemoveHopByHopHeaders(t *testing.T) {
 	h := http.Header{"Connection": {"close, X-Mine"}, "X-Mine": {"1"}, "Keep-Alive": {"timeout=5"}, "Te": {"trailers"}, "Kept": {"1"}}
 	upstream.RemoveHopByHopHeaders(h)
 	require.Equal(t, http.Header{"Kept": {"1"}}, h)
