--- a/gateway/caches.go
+++ b/gateway/caches.go
@@ -33,7 +33,7 @@
 }
 
 // of tells whether the answer may be of that lifetime of a server.
-func (c CacheContent) of(s catalog.Server) bool {
+func (c CacheContent) isFrom(s catalog.Server) bool {
 	return c.Born == 0 || s.Born == 0 || c.Born == s.Born
 }
 
@@ -47,7 +47,7 @@
 	// Servers asked in all. A part that none of them holds goes to one of the two servers
 	// that read it, which mostly hold it. Asking thousands would keep a gateway that starts
 	// from serving for seconds.
-	mostAsked = 64
+	maxCacheQueries = 64
 )
 
 // queryCaches asks the servers that are there when the gateway starts what they hold: a
@@ -57,7 +57,7 @@
 	if g.options.Caches == nil {
 		return
 	}
-	servers := asked(g.firstEngines(ctx), g.options.Dispatcher.Hall, g.options.Peer.Address)
+	servers := cacheQueryTargets(g.firstEngines(ctx), g.options.Dispatcher.Hall, g.options.Peer.Address)
 	places := make(chan struct{}, cachesAtOnce)
 	for _, s := range servers {
 		places <- struct{}{}
@@ -73,8 +73,8 @@
 
 // asked returns the servers that a gateway asks: those of its hall first, then others in
 // an order of its own, so that gateways that start together ask different ones.
-func asked(servers []catalog.Server, hall, gateway string) []catalog.Server {
-	if len(servers) <= mostAsked {
+func cacheQueryTargets(servers []catalog.Server, hall, gateway string) []catalog.Server {
+	if len(servers) <= maxCacheQueries {
 		return servers
 	}
 	other := func(s catalog.Server) int {
@@ -86,7 +86,7 @@
 	slices.SortFunc(servers, func(x, y catalog.Server) int {
 		return cmp.Or(cmp.Compare(other(x), other(y)), cmp.Compare(hashString(gateway+x.ID), hashString(gateway+y.ID)))
 	})
-	return servers[:mostAsked]
+	return servers[:maxCacheQueries]
 }
 
 // firstEngines waits for the first view with servers and returns its model servers.
@@ -124,7 +124,7 @@
 		g.log.Info().Str("event", "cache.unknown").Str("server", s.ID).Err(err).Msg("its cache counts as empty")
 		return
 	}
-	if !held.of(s) {
+	if !held.isFrom(s) {
 		g.log.Info().Str("event", "cache.unknown").Str("server", s.ID).Int64("born", held.Born).Msg("the server has started again")
 		return
 	}
--- a/gateway/caches_test.go
+++ b/gateway/caches_test.go
@@ -19,9 +19,9 @@
 		}
 		return servers
 	}
-	require.Equal(t, list(mostAsked), asked(list(mostAsked), "hall-3", "g1"), "a small fleet's all")
-	first, second := asked(list(300), "hall-3", "g1"), asked(list(300), "hall-3", "g2")
-	require.Len(t, first, mostAsked)
+	require.Equal(t, list(maxCacheQueries), cacheQueryTargets(list(maxCacheQueries), "hall-3", "g1"), "a small fleet's all")
+	first, second := cacheQueryTargets(list(300), "hall-3", "g1"), cacheQueryTargets(list(300), "hall-3", "g2")
+	require.Len(t, first, maxCacheQueries)
 	for _, s := range first[:30] {
 		require.Equal(t, "hall-3", s.Hall)
 	}
--- a/gateway/changelog.go
+++ b/gateway/changelog.go
@@ -17,11 +17,11 @@
 }
 
 // Entries kept at most. A release of a third of 3,000 servers makes some thousand.
-const mostLogged = 8192
+const maxLogEntries = 8192
 
 // add notes a change. Revisions do not fall.
 func (l *changeLog) add(revision catalog.Revision, server string) {
-	if len(l.entries) >= mostLogged {
+	if len(l.entries) >= maxLogEntries {
 		half := len(l.entries) / 2
 		l.from = l.entries[half-1].revision
 		l.entries = append([]logEntry(nil), l.entries[half:]...)
@@ -31,7 +31,7 @@
 
 // restart empties the log: what was before a revision is not known. Each era begins with it, so
 // that nobody who knows an earlier one is told a part.
-func (l *changeLog) restart(revision catalog.Revision) { *l = changeLog{from: revision} }
+func (l *changeLog) reset(revision catalog.Revision) { *l = changeLog{from: revision} }
 
 // since returns the servers that have changed after a revision; ok is false if the log does
 // not tell.
--- a/gateway/changelog_test.go
+++ b/gateway/changelog_test.go
@@ -73,9 +73,9 @@
 	}
 	g := w.gateways[0]
 	known := g.view.Load().Revision
-	g.storeWatcher.takeChanges(w.now, list, known+servers)
+	g.storeWatcher.applyChanges(w.now, list, known+servers)
 	asking := url.Values{sinceKey: {fmt.Sprint(uint64(known + servers))}, versionKey: {"1"}}
-	g.storeWatcher.takeChanges(w.now, list[:1], known+servers+1)
+	g.storeWatcher.applyChanges(w.now, list[:1], known+servers+1)
 	whole, err := g.encodedView(w.now, url.Values{})
 	require.NoError(t, err)
 	part, err := g.encodedView(w.now, asking)
@@ -87,7 +87,7 @@
 // TestChangeLog: which revisions the log tells of.
 func TestChangeLog(t *testing.T) {
 	l := changeLog{}
-	l.restart(10)
+	l.reset(10)
 	l.add(11, "a")
 	l.add(12, "b")
 	l.add(12, "a")
@@ -102,12 +102,12 @@
 		require.Equal(t, test.want, slices.Sorted(maps.Keys(servers)), test.since)
 	}
 	kept := l // a view's copy
-	for n := range catalog.Revision(2 * mostLogged) {
+	for n := range catalog.Revision(2 * maxLogEntries) {
 		l.add(13+n, "c")
 	}
 	_, ok := l.since(12)
 	require.False(t, ok, "what was dropped is not told of")
-	_, ok = l.since(12 + 2*mostLogged - 1)
+	_, ok = l.since(12 + 2*maxLogEntries - 1)
 	require.True(t, ok)
 	servers, _ := kept.since(10)
 	require.Len(t, servers, 2, "a copy stays as it was")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -189,7 +189,7 @@
 	group.Go(duties, "caches", g.queryCaches)
 	group.Go(duties, "claims", g.writeClaims)
 	group.Go(duties, "statements", g.writeRolloutStatuses)
-	group.Go(duties, "suspects", g.suspects.write)
+	group.Go(duties, "suspects", g.suspects.runWriter)
 	group.Go(duties, "barred", g.cancelQuarantinedCalls)
 	for range probeWorkers {
 		group.Go(duties, "probes", g.crashes.runProbes)
--- a/gateway/handed_view.go
+++ b/gateway/handed_view.go
@@ -29,7 +29,7 @@
 
 // applyPeerView takes over the view of another gateway if it is newer than the own one.
 func (f *storeWatcher) applyPeerView(now time.Time, h peerView) {
-	f.now = now
+	f.applyTime = now
 	f.gateway.applyPeerLeaving(now, h.from, h.leaving)
 	v := f.gateway.view.Load()
 	if h.snapshot.Revision <= v.Revision {
@@ -39,7 +39,7 @@
 	f.gateway.log.Info().Str("event", "view.handed_over").Str("peer", h.from).
 		EmbedObject(revisionFields(h.snapshot.Revision)).Stringer("before", v.Revision).Bool("partial", h.partial).Msg("a gateway knows more than the store tells")
 	if h.snapshot.Revision.Era() > v.Revision.Era() {
-		f.enter(h.snapshot.Revision, h.reconcileUntil)
+		f.enterEra(h.snapshot.Revision, h.reconcileUntil)
 	}
 	f.changeRevision = h.snapshot.Revision
 	f.applyPeerCold(now, h)
@@ -65,46 +65,46 @@
 
 // takeWhole takes over the whole view of another gateway.
 func (f *storeWatcher) takeWhole(h peerView) {
-	f.serverChanges.restart(h.snapshot.Revision)
-	f.suspectLog.restart(h.snapshot.Revision)
+	f.serverChanges.reset(h.snapshot.Revision)
+	f.suspectChanges.reset(h.snapshot.Revision)
 	if !h.hasSuspects {
 		h.snapshot.Suspects = f.suspects
 	}
-	if !f.reconciling(f.now) {
-		clear(f.missing)
+	if !f.reconciling(f.applyTime) {
+		clear(f.missingUntil)
 	}
 	for id, until := range h.snapshot.MissingUntil {
-		f.missing[id] = until
+		f.missingUntil[id] = until
 	}
 	for _, s := range h.unverified {
-		if f.reconciling(f.now) {
-			f.hold(s)
+		if f.reconciling(f.applyTime) {
+			f.withhold(s)
 		}
 	}
-	f.takeSnapshot(h.snapshot, f.drop)
+	f.applySnapshot(h.snapshot, f.dropServer)
 }
 
 // takePart takes over what has changed at another gateway. Servers that are missing here
 // only stay so: the other one may have dropped them before.
 func (f *storeWatcher) takePart(h peerView) {
 	for _, server := range h.snapshot.Servers {
-		delete(f.revived, server.Name())
-		f.set(server)
+		delete(f.unverified, server.Name())
+		f.upsertServer(server)
 	}
 	for _, id := range h.removedServers {
-		delete(f.revived, catalog.ServerName(id))
-		f.drop(id)
+		delete(f.unverified, catalog.ServerName(id))
+		f.dropServer(id)
 	}
 	for id, until := range h.snapshot.MissingUntil {
 		if _, known := f.servers[id]; known {
-			f.missing[id] = until
+			f.missingUntil[id] = until
 		}
 	}
 	for key, kept := range h.snapshot.Suspects {
 		f.setSuspect(key, kept)
 	}
 	for _, key := range h.removedSuspects {
-		f.dropSuspect(key)
+		f.removeSuspect(key)
 	}
 	f.publish(h.snapshot.Configuration, h.snapshot.RawConfiguration, h.snapshot.Revision)
 }
--- a/gateway/lifetime_test.go
+++ b/gateway/lifetime_test.go
@@ -17,7 +17,7 @@
 }
 
 // ids returns the lifetimes that a gateway believes in.
-func (g *Gateway) ids() []string {
+func (g *Gateway) serverIDs() []string {
 	var list []string
 	for _, s := range g.view.Load().Servers {
 		list = append(list, s.ID)
@@ -50,7 +50,7 @@
 			f.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{ServerRemoved{"i-1"}, ServerChanged{Server: lifetime("i-1", 6000)}}})
 		}, []string{"i-1@6000", "i-2@1"}},
 		{"and is kept for a moment, since the store was away", func(f *storeWatcher) {
-			f.failed = now
+			f.lastFailure = now
 			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
 			f.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
 			f.expireMissing(now.Add(time.Minute))
@@ -66,11 +66,11 @@
 			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 0)}}})
 		}, []string{"i-1", "i-2@1"}},
 		{"its entry becomes unreadable", func(f *storeWatcher) {
-			f.failed = now // what is unreadable is not kept
+			f.lastFailure = now // what is unreadable is not kept
 			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerUnreadable{"i-1"}}})
 		}, []string{"i-2@1"}},
 		{"by a list in which it is unreadable", func(f *storeWatcher) {
-			f.failed = now
+			f.lastFailure = now
 			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-2", 1)}, Unreadable: []string{"i-1"}, Revision: 9}})
 		}, []string{"i-2@1"}},
 		{"and sound again", func(f *storeWatcher) {
@@ -82,7 +82,7 @@
 			g := newIdleGateway(t)
 			g.storeWatcher.applyResult(now, first)
 			test.hear(g.storeWatcher)
-			require.Equal(t, test.want, g.ids())
+			require.Equal(t, test.want, g.serverIDs())
 		})
 	}
 }
@@ -107,11 +107,11 @@
 	}
 	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 400), Cold: time.Second}}})
 	hand(from, to)
-	require.Equal(t, []string{"i-1@400"}, to.ids())
+	require.Equal(t, []string{"i-1@400"}, to.serverIDs())
 	require.True(t, to.view.Load().Cold["i-1@400"].Witnessed)
 	to.storeWatcher.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
 	hand(from, to)
-	require.Equal(t, []string{"i-1@6000"}, to.ids(), "what is older is passed over")
+	require.Equal(t, []string{"i-1@6000"}, to.serverIDs(), "what is older is passed over")
 }
 
 // TestLifetimesAreApart: what was learned of the lifetime before, and what comes late of it,
@@ -174,7 +174,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			require.Equal(t, test.of, CacheContent{Born: test.answer}.of(lifetime("i-1", test.self)))
+			require.Equal(t, test.of, CacheContent{Born: test.answer}.isFrom(lifetime("i-1", test.self)))
 		})
 	}
 }
--- a/gateway/lifetimes.go
+++ b/gateway/lifetimes.go
@@ -8,22 +8,22 @@
 
 // This file keeps which servers there are, each from one start to its end.
 
-func (f *storeWatcher) set(s catalog.Server) {
-	delete(f.missing, s.ID)
+func (f *storeWatcher) upsertServer(s catalog.Server) {
+	delete(f.missingUntil, s.ID)
 	s.Evacuated = false // publish fills it in
 	f.endBefore(s)
-	delete(f.memory.gone, s.Name())
+	delete(f.tombstones.servers, s.Name())
 	f.serverChanges.add(f.changeRevision, s.ID)
 	if old, known := f.servers[s.ID]; !known || old != s {
 		f.gateway.log.Info().Str("event", "server.changed").Str("server", s.ID).Str("service", s.Service).
 			Str("address", s.Address).Str("hall", s.Hall).Bool("leaving", s.Leaving).Bool("new", !known).Msg("server entry")
 	}
-	f.put(s)
+	f.putServer(s)
 }
 
-func (f *storeWatcher) put(s catalog.Server) {
+func (f *storeWatcher) putServer(s catalog.Server) {
 	if _, known := f.servers[s.ID]; !known {
-		f.order = nil
+		f.sortedIDs = nil
 	}
 	f.servers[s.ID] = s
 	f.currentIDs[s.Name()] = s.ID
@@ -40,63 +40,63 @@
 	f.gateway.log.Info().Str("event", "server.started_again").Str("server", s.Name()).
 		Int64("born", s.Born).Int64("before", f.servers[before].Born).EmbedObject(revisionFields(f.changeRevision)).
 		Msg("nothing that was learned of it holds")
-	f.drop(before)
+	f.dropServer(before)
 }
 
 // dropNamed drops the server of that name at once.
-func (f *storeWatcher) dropNamed(name string) {
+func (f *storeWatcher) dropServerByName(name string) {
 	if id, known := f.currentIDs[name]; known {
-		f.drop(id)
+		f.dropServer(id)
 	}
 }
 
-func (f *storeWatcher) remove(now time.Time, id string) {
+func (f *storeWatcher) removeServer(now time.Time, id string) {
 	s, known := f.servers[id]
 	if !known {
 		return
 	}
 	if f.grace(now) && !s.Leaving {
-		if _, already := f.missing[id]; !already {
-			f.missing[id] = f.failed.Add(returnGrace)
+		if _, already := f.missingUntil[id]; !already {
+			f.missingUntil[id] = f.lastFailure.Add(reregistrationGrace)
 			f.gateway.log.Info().Str("event", "server.missing").Str("server", id).Msg("kept for a moment: the store was away")
 		}
 		return
 	}
-	f.drop(id)
+	f.dropServer(id)
 }
 
 // drop forgets a server.
-func (f *storeWatcher) drop(id string) {
+func (f *storeWatcher) dropServer(id string) {
 	if s, known := f.servers[id]; known {
-		f.memory.dropped(f.now, s)
+		f.tombstones.addServer(f.applyTime, s)
 	}
 	f.serverChanges.add(f.changeRevision, id)
 	delete(f.servers, id)
 	if name := catalog.ServerName(id); f.currentIDs[name] == id {
 		delete(f.currentIDs, name)
 	}
-	f.order = nil
-	delete(f.missing, id)
+	f.sortedIDs = nil
+	delete(f.missingUntil, id)
 	delete(f.cold, id)
 	f.gateway.log.Info().Str("event", "server.gone").Str("server", id).Msg("no new work")
 }
 
 // expireMissing removes servers whose entry has not come back.
 func (f *storeWatcher) expireMissing(now time.Time) {
-	f.now = now
+	f.applyTime = now
 	dropped := false
 	f.changeRevision = f.gateway.view.Load().Revision + 1 // no change of the store says so
-	for id, until := range f.missing {
+	for id, until := range f.missingUntil {
 		if now.After(until) {
-			f.drop(id)
+			f.dropServer(id)
 			dropped = true
 		}
 	}
-	settled, takenBack := f.settle(now), f.takeBackLost(now)
+	settled, takenBack := f.finishReconciliation(now), f.revertLostOrders(now)
 	if dropped || settled || takenBack {
 		f.republish()
 	}
 	if now.Sub(f.gateway.confirmedAt()) < confirmationTimeout {
-		f.memory.forget(now) // while the store is away, it may come back from a copy of before
+		f.tombstones.expire(now) // while the store is away, it may come back from a copy of before
 	}
 }
--- a/gateway/rollout_test.go
+++ b/gateway/rollout_test.go
@@ -24,10 +24,10 @@
 func TestRolloutsAreKnown(t *testing.T) {
 	now := time.Now()
 	old, later := catalog.NewRevision(1, 9), catalog.NewRevision(2, 4)
-	first := listOf(old, 1, readyServer("i-1"))
+	first := listResult(old, 1, readyServer("i-1"))
 	first.snapshot.RolloutOrders = map[string]rollout.Order{"s": orderOf(old)}
 	within := func(revision catalog.Revision) sourceResult {
-		a := listOf(revision, 1, readyServer("i-1"))
+		a := listResult(revision, 1, readyServer("i-1"))
 		a.snapshot.RolloutOrders = map[string]rollout.Order{"s": orderOf(revision)}
 		return a
 	}
@@ -48,18 +48,18 @@
 			g.storeWatcher.applyResult(now, sourceResult{since: old, revision: old + 1, changes: []Change{RolloutWithdrawn{"s"}}})
 		}, rollout.Order{}, time.Time{}},
 		{"the list does not have it any more", func(g *Gateway) {
-			g.storeWatcher.applyResult(now.Add(reconcilePeriod+time.Second), listOf(old+5, 1, readyServer("i-1")))
+			g.storeWatcher.applyResult(now.Add(reconcilePeriod+time.Second), listResult(old+5, 1, readyServer("i-1")))
 		}, rollout.Order{}, time.Time{}},
 		{"the store has come back from a copy that has it", func(g *Gateway) {
 			g.storeWatcher.applyResult(now.Add(time.Second), within(later))
 		}, orderOf(later), now},
 		{"from one that lacks it, and operators have not written it again", func(g *Gateway) {
-			g.storeWatcher.applyResult(now, listOf(later, 1, readyServer("i-1")))
+			g.storeWatcher.applyResult(now, listResult(later, 1, readyServer("i-1")))
 			require.Equal(t, orderOf(old), g.view.Load().Rollouts["s"].Order, "kept for a moment")
 			g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Second))
 		}, rollout.Order{}, time.Time{}},
 		{"from one that lacks it, and operators have", func(g *Gateway) {
-			g.storeWatcher.applyResult(now, listOf(later, 1, readyServer("i-1")))
+			g.storeWatcher.applyResult(now, listResult(later, 1, readyServer("i-1")))
 			g.storeWatcher.applyResult(now.Add(time.Second), sourceResult{since: later, revision: later + 1, changes: []Change{RolloutOrdered{orderOf(later + 1)}}})
 			g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Second))
 		}, orderOf(later + 1), now.Add(time.Second)},
@@ -82,7 +82,7 @@
 func TestRolloutsAreHandedOver(t *testing.T) {
 	now := time.Now()
 	from, to := newIdleGateway(t), newIdleGateway(t)
-	a := listOf(9, 1, readyServer("i-1"))
+	a := listResult(9, 1, readyServer("i-1"))
 	a.snapshot.RolloutOrders = map[string]rollout.Order{"s": orderOf(7)}
 	a.snapshot.RolloutStatuses = map[string]rollout.Status{"s": {State: rollout.InProgress, Target: "v2", Revision: 8}}
 	from.storeWatcher.applyResult(now, a)
--- a/gateway/settle.go
+++ b/gateway/settle.go
@@ -29,7 +29,7 @@
 const (
 	// Operators and servers have written again by then what a copy lacks: they take about two
 	// seconds.
-	reconcilePeriod = returnGrace
+	reconcilePeriod = reregistrationGrace
 	// Servers and suspects that are gone are remembered for so long: copies are some seconds
 	// old, and an outage lasts some more.
 	goneKept = time.Minute
@@ -38,9 +38,9 @@
 )
 
 // memory is what a gateway remembers of the store's past, in case it comes back from a copy.
-type memory struct {
-	gone   map[string]ended             // servers whose entry has gone, by name
-	lifted map[quarantine.Key]time.Time // suspects that are kept no more, and since when
+type tombstones struct {
+	servers  map[string]ended             // servers whose entry has gone, by name
+	suspects map[quarantine.Key]time.Time // suspects that are kept no more, and since when
 }
 
 // ended is the last that was known of a server.
@@ -50,51 +50,51 @@
 	leaving  bool
 }
 
-func newMemory() memory {
-	return memory{gone: map[string]ended{}, lifted: map[quarantine.Key]time.Time{}}
+func newTombstones() tombstones {
+	return tombstones{servers: map[string]ended{}, suspects: map[quarantine.Key]time.Time{}}
 }
 
 // dropped notes that a server is gone.
-func (m *memory) dropped(now time.Time, s catalog.Server) {
-	if len(m.gone) < mostGone {
-		m.gone[s.Name()] = ended{at: now, lifetime: s.ID, leaving: s.Leaving}
+func (m *tombstones) addServer(now time.Time, s catalog.Server) {
+	if len(m.servers) < mostGone {
+		m.servers[s.Name()] = ended{at: now, lifetime: s.ID, leaving: s.Leaving}
 	}
 }
 
 // lift notes that a suspect is kept no more.
-func (m *memory) lift(now time.Time, k quarantine.Key) {
-	if len(m.lifted) < mostGone {
-		m.lifted[k] = now
+func (m *tombstones) addSuspect(now time.Time, k quarantine.Key) {
+	if len(m.suspects) < mostGone {
+		m.suspects[k] = now
 	}
 }
 
 // forget drops what is too old to matter.
-func (m *memory) forget(now time.Time) {
-	for name, e := range m.gone {
+func (m *tombstones) expire(now time.Time) {
+	for name, e := range m.servers {
 		if now.Sub(e.at) > goneKept {
-			delete(m.gone, name)
+			delete(m.servers, name)
 		}
 	}
-	for k, at := range m.lifted {
+	for k, at := range m.suspects {
 		if now.Sub(at) > goneKept {
-			delete(m.lifted, k)
+			delete(m.suspects, k)
 		}
 	}
 }
 
 // reconciling tells whether the store may lack what it had: it has come back from a copy.
-func (f *storeWatcher) reconciling(now time.Time) bool { return now.Before(f.settled) }
+func (f *storeWatcher) reconciling(now time.Time) bool { return now.Before(f.reconcileUntil) }
 
 // enter takes over that the store is in a later era than the one that was known, whose views
 // may lack what they had until a moment.
-func (f *storeWatcher) enter(revision catalog.Revision, settled time.Time) {
+func (f *storeWatcher) enterEra(revision catalog.Revision, settled time.Time) {
 	before := f.gateway.view.Load()
-	f.settled = settled
+	f.reconcileUntil = settled
 	if before.Configuration == nil {
 		return // nothing is known of before
 	}
 	f.gateway.log.Warn().Str("event", "store.returned").EmbedObject(revisionFields(revision)).Stringer("before", before.Revision).
-		Int("servers", len(f.servers)).Int("gone", len(f.memory.gone)).
+		Int("servers", len(f.servers)).Int("gone", len(f.tombstones.servers)).
 		Int("halls", len(f.evacuations)).Int("suspects", len(f.suspects)).
 		Msg("it has come back from a copy: what it lacks is kept for a moment")
 }
@@ -103,26 +103,26 @@
 // lifetime than is known of it. Which of two is the later one nobody knows until the
 // server writes again, so neither gets anything: the copy may lack a start that the other
 // gateways know of, or this one may have missed it.
-func (f *storeWatcher) revives(s catalog.Server) bool {
-	before, gone := f.memory.gone[s.Name()]
+func (f *storeWatcher) withholdUnverified(s catalog.Server) bool {
+	before, gone := f.tombstones.servers[s.Name()]
 	current, known := f.currentIDs[s.Name()]
-	_, held := f.revived[s.Name()]
-	if !f.reconciling(f.now) || !gone && !held && (!known || current == s.ID) {
+	_, held := f.unverified[s.Name()]
+	if !f.reconciling(f.applyTime) || !gone && !held && (!known || current == s.ID) {
 		return false
 	}
 	s.Leaving = s.Leaving || before.leaving && before.lifetime == s.ID
-	f.hold(s)
+	f.withhold(s)
 	return true
 }
 
 // hold keeps back a server that a copy has revived, and the lifetime that is known of it.
-func (f *storeWatcher) hold(s catalog.Server) {
+func (f *storeWatcher) withhold(s catalog.Server) {
 	current, known := f.currentIDs[s.Name()]
 	f.gateway.log.Info().Str("event", "server.revived").Str("server", s.ID).Str("known", current).Msg("more is known of it than the copy says: nothing until it writes again")
-	f.revived[s.Name()] = s
+	f.unverified[s.Name()] = s
 	c, cold := f.cold[s.ID]
 	if known {
-		f.drop(current)
+		f.dropServer(current)
 	}
 	if cold {
 		f.cold[s.ID] = c // it may still be when it is believed
@@ -131,36 +131,36 @@
 
 // leaves tells whether a server that a whole view names leaves: one that had said so does, also if
 // a copy does not have that.
-func (f *storeWatcher) leaves(s catalog.Server) bool {
-	return s.Leaving || f.reconciling(f.now) && f.servers[s.ID].Leaving
+func (f *storeWatcher) isLeaving(s catalog.Server) bool {
+	return s.Leaving || f.reconciling(f.applyTime) && f.servers[s.ID].Leaving
 }
 
 // lack takes over that a whole view does not name a server. One that a copy lacks is kept until
 // the view has settled.
-func (f *storeWatcher) lack(id string, drop func(id string)) {
-	if !f.reconciling(f.now) {
+func (f *storeWatcher) handleAbsent(id string, drop func(id string)) {
+	if !f.reconciling(f.applyTime) {
 		drop(id)
 		return
 	}
-	until, already := f.missing[id]
-	f.missing[id] = latest(until, f.settled)
+	until, already := f.missingUntil[id]
+	f.missingUntil[id] = latest(until, f.reconcileUntil)
 	if !already {
 		f.gateway.log.Info().Str("event", "server.missing").Str("server", id).Msg("kept for a moment: the copy may lack it")
 	}
 }
 
 // settle ends what was kept for a moment only. It returns whether that may have changed the view.
-func (f *storeWatcher) settle(now time.Time) bool {
-	if f.settled.IsZero() || f.reconciling(now) {
+func (f *storeWatcher) finishReconciliation(now time.Time) bool {
+	if f.reconcileUntil.IsZero() || f.reconciling(now) {
 		return false
 	}
-	f.settled = time.Time{}
-	for _, s := range f.revived {
+	f.reconcileUntil = time.Time{}
+	for _, s := range f.unverified {
 		if _, another := f.currentIDs[s.Name()]; !another {
-			f.set(s)
+			f.upsertServer(s)
 		}
 	}
-	clear(f.revived)
+	clear(f.unverified)
 	for id := range f.cold {
 		if _, known := f.servers[id]; !known {
 			delete(f.cold, id)
@@ -173,7 +173,7 @@
 // takeBackLost takes evacuations and orders of roll-outs back of which the store has told nothing since it came back from
 // a copy, also one that a gateway for which the view had not settled has told later. It returns
 // whether there was one.
-func (f *storeWatcher) takeBackLost(now time.Time) (found bool) {
+func (f *storeWatcher) revertLostOrders(now time.Time) (found bool) {
 	if f.reconciling(now) {
 		return false
 	}
@@ -199,7 +199,7 @@
 	merged := make(map[quarantine.Key]quarantine.StoredRecord, len(told))
 	var differ []quarantine.Key
 	for k, is := range told {
-		if _, lifted := f.memory.lifted[k]; lifted {
+		if _, lifted := f.tombstones.suspects[k]; lifted {
 			differ = append(differ, k)
 			continue
 		}
@@ -214,6 +214,6 @@
 			differ = append(differ, k)
 		}
 	}
-	f.gateway.suspects.rewrite(f.now, differ, f.gateway.watchesStore.Load())
+	f.gateway.suspects.scheduleRewrites(f.applyTime, differ, f.gateway.watchesStore.Load())
 	return merged
 }
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -56,33 +56,33 @@
 		then               []sourceResult
 		atOnce, later, end []string // that take work: after the copy, after what was written then, and when settled
 	}{
-		{"it says that a leaving server is ready", []sourceResult{listOf(before, 1, parting(), other)}, listOf(after, 1, staying(), other),
+		{"it says that a leaving server is ready", []sourceResult{listResult(before, 1, parting(), other)}, listResult(after, 1, staying(), other),
 			nil, []string{"i-2@6"}, nil, []string{"i-2@6"}},
-		{"and another list does", []sourceResult{listOf(before, 1, parting(), other)}, listOf(after, 1, staying(), other),
-			[]sourceResult{listOf(after+1, 1, staying(), other)}, []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
-		{"it lacks a leaving server", []sourceResult{listOf(before, 1, parting(), other)}, listOf(after, 1, other),
+		{"and another list does", []sourceResult{listResult(before, 1, parting(), other)}, listResult(after, 1, staying(), other),
+			[]sourceResult{listResult(after+1, 1, staying(), other)}, []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
+		{"it lacks a leaving server", []sourceResult{listResult(before, 1, parting(), other)}, listResult(after, 1, other),
 			again(ServerChanged{Server: parting()}), []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
-		{"which has changed its mind", []sourceResult{listOf(before, 1, parting(), other)}, listOf(after, 1, staying(), other),
+		{"which has changed its mind", []sourceResult{listResult(before, 1, parting(), other)}, listResult(after, 1, staying(), other),
 			again(ServerChanged{Server: staying()}), []string{"i-2@6"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
-		{"it has a leaving server that had gone as ready", []sourceResult{listOf(before-1, 1, parting(), other), gone}, listOf(after, 1, staying(), other),
+		{"it has a leaving server that had gone as ready", []sourceResult{listResult(before-1, 1, parting(), other), gone}, listResult(after, 1, staying(), other),
 			nil, []string{"i-2@6"}, nil, []string{"i-2@6"}},
-		{"it lacks a server", []sourceResult{listOf(before, 1, staying(), other)}, listOf(after, 1, other),
+		{"it lacks a server", []sourceResult{listResult(before, 1, staying(), other)}, listResult(after, 1, other),
 			nil, []string{"i-1@5", "i-2@6"}, nil, []string{"i-2@6"}},
-		{"that writes again", []sourceResult{listOf(before, 1, staying(), other)}, listOf(after, 1, other),
+		{"that writes again", []sourceResult{listResult(before, 1, staying(), other)}, listResult(after, 1, other),
 			again(ServerChanged{Server: staying()}), []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
-		{"it has a server that had gone", []sourceResult{listOf(before-1, 1, staying(), other), gone}, listOf(after, 1, staying(), other),
+		{"it has a server that had gone", []sourceResult{listResult(before-1, 1, staying(), other), gone}, listResult(after, 1, staying(), other),
 			nil, []string{"i-2@6"}, nil, []string{"i-1@5", "i-2@6"}},
-		{"whose entry goes again", []sourceResult{listOf(before-1, 1, staying(), other), gone}, listOf(after, 1, staying(), other),
+		{"whose entry goes again", []sourceResult{listResult(before-1, 1, staying(), other), gone}, listResult(after, 1, staying(), other),
 			again(ServerRemoved{"i-1"}), []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
-		{"or which writes again", []sourceResult{listOf(before-1, 1, staying(), other), gone}, listOf(after, 1, staying(), other),
+		{"or which writes again", []sourceResult{listResult(before-1, 1, staying(), other), gone}, listResult(after, 1, staying(), other),
 			again(ServerChanged{Server: staying()}), []string{"i-2@6"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
-		{"it has the lifetime before", []sourceResult{listOf(before-1, 1, staying()), {since: before - 1, revision: before, changes: []Change{ServerChanged{Server: lifetime("i-1", 3)}}}},
-			listOf(after, 1, staying()), again(ServerChanged{Server: lifetime("i-1", 3)}), []string{}, []string{"i-1@3"}, []string{"i-1@3"}},
-		{"it has one before the first that is known", []sourceResult{listOf(before, 1, lifetime("i-1", 3))}, listOf(after, 1, staying()),
+		{"it has the lifetime before", []sourceResult{listResult(before-1, 1, staying()), {since: before - 1, revision: before, changes: []Change{ServerChanged{Server: lifetime("i-1", 3)}}}},
+			listResult(after, 1, staying()), again(ServerChanged{Server: lifetime("i-1", 3)}), []string{}, []string{"i-1@3"}, []string{"i-1@3"}},
+		{"it has one before the first that is known", []sourceResult{listResult(before, 1, lifetime("i-1", 3))}, listResult(after, 1, staying()),
 			again(ServerChanged{Server: lifetime("i-1", 3)}), []string{}, []string{"i-1@3"}, []string{"i-1@3"}},
-		{"it has a later one", []sourceResult{listOf(before, 1, staying())}, listOf(after, 1, lifetime("i-1", 9)),
+		{"it has a later one", []sourceResult{listResult(before, 1, staying())}, listResult(after, 1, lifetime("i-1", 9)),
 			nil, []string{}, nil, []string{"i-1@9"}},
-		{"a server starts meanwhile", []sourceResult{listOf(before, 1, staying())}, listOf(after, 1, staying()),
+		{"a server starts meanwhile", []sourceResult{listResult(before, 1, staying())}, listResult(after, 1, staying()),
 			again(ServerChanged{Server: other}), []string{"i-1@5"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
 	}
 	for _, test := range tests {
@@ -118,12 +118,12 @@
 	now := time.Now()
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	lived, started := newIdleGateway(t), newIdleGateway(t)
-	lived.storeWatcher.applyResult(now, listOf(before, 7, staying()))
-	started.storeWatcher.applyResult(now, listOf(after+1, 5, staying()))
+	lived.storeWatcher.applyResult(now, listResult(before, 7, staying()))
+	started.storeWatcher.applyResult(now, listResult(after+1, 5, staying()))
 	require.Equal(t, uint64(5), started.view.Load().Configuration.Version)
-	lived.storeWatcher.applyResult(now, listOf(after, 5, staying()))
+	lived.storeWatcher.applyResult(now, listResult(after, 5, staying()))
 	require.Equal(t, uint64(7), lived.view.Load().Configuration.Version)
-	handOver(t, now, started, lived, asItIs)
+	transferView(t, now, started, lived, unchanged)
 	require.Equal(t, uint64(7), lived.view.Load().Configuration.Version)
 
 	h := updateReceiver{gateway: started, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
@@ -133,7 +133,7 @@
 	}
 	require.True(t, h.fetching, "it knows a later configuration")
 	<-h.fetched
-	handOver(t, now, lived, started, func(d *viewDocument) { require.True(t, d.Partial, "no more than that is told") })
+	transferView(t, now, lived, started, func(d *viewDocument) { require.True(t, d.Partial, "no more than that is told") })
 	require.Equal(t, uint64(7), started.view.Load().Configuration.Version)
 	require.Equal(t, after+1, started.view.Load().Revision)
 }
@@ -145,12 +145,12 @@
 	for _, known := range []catalog.Revision{before, after} { // of the one that it is handed to
 		now := time.Now()
 		lived, started := newIdleGateway(t), newIdleGateway(t)
-		lived.storeWatcher.applyResult(now, listOf(before, 7, parting(), other))
+		lived.storeWatcher.applyResult(now, listResult(before, 7, parting(), other))
 		if known == after {
-			lived.storeWatcher.applyResult(now, listOf(after, 5, staying()))
+			lived.storeWatcher.applyResult(now, listResult(after, 5, staying()))
 		}
-		started.storeWatcher.applyResult(now, listOf(after+1, 5, staying()))
-		handOver(t, now, started, lived, asItIs)
+		started.storeWatcher.applyResult(now, listResult(after+1, 5, staying()))
+		transferView(t, now, started, lived, unchanged)
 		require.Equal(t, after+1, lived.view.Load().Revision)
 		require.Equal(t, []string{"i-2@6"}, lived.takesWork(), "one leaves, the other one the copy lacks")
 		lived.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
@@ -164,12 +164,12 @@
 	now := time.Now()
 	cut, lived := newIdleGateway(t), newIdleGateway(t)
 	for _, g := range []*Gateway{cut, lived} {
-		g.storeWatcher.applyResult(now, listOf(catalog.NewRevision(1, 90), 1, staying(), lifetime("i-2", 6)))
+		g.storeWatcher.applyResult(now, listResult(catalog.NewRevision(1, 90), 1, staying(), lifetime("i-2", 6)))
 	}
-	lived.storeWatcher.applyResult(now, listOf(catalog.NewRevision(3, 9), 1, staying()))
+	lived.storeWatcher.applyResult(now, listResult(catalog.NewRevision(3, 9), 1, staying()))
 	now = now.Add(reconcilePeriod + time.Millisecond)
 	lived.storeWatcher.expireMissing(now)
-	handOver(t, now, lived, cut, asItIs)
+	transferView(t, now, lived, cut, unchanged)
 	require.Equal(t, []string{"i-1@5"}, cut.takesWork())
 }
 
@@ -180,10 +180,10 @@
 	for _, written := range []bool{true, false} {
 		now := time.Now()
 		g := newIdleGateway(t)
-		first := listOf(before, 1, staying())
+		first := listResult(before, 1, staying())
 		first.snapshot.Evacuated = map[string]catalog.Revision{"": before - 4}
 		g.storeWatcher.applyResult(now, first)
-		g.storeWatcher.applyResult(now, listOf(after, 1, staying()))
+		g.storeWatcher.applyResult(now, listResult(after, 1, staying()))
 		require.True(t, g.view.Load().Servers[0].Evacuated)
 		if written {
 			g.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{HallEvacuated{Revision: after + 1}}})
@@ -199,16 +199,16 @@
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	now := time.Now()
 	early, late := newIdleGateway(t), newIdleGateway(t)
-	early.storeWatcher.applyResult(now, listOf(before, 1, staying()))
-	early.storeWatcher.applyResult(now, listOf(after, 1, staying()))
-	first := listOf(before, 1, staying())
+	early.storeWatcher.applyResult(now, listResult(before, 1, staying()))
+	early.storeWatcher.applyResult(now, listResult(after, 1, staying()))
+	first := listResult(before, 1, staying())
 	first.snapshot.Evacuated = map[string]catalog.Revision{"": before - 4}
 	late.storeWatcher.applyResult(now, first)
 	now = now.Add(reconcilePeriod + time.Millisecond)
 	early.storeWatcher.expireMissing(now)
-	late.storeWatcher.applyResult(now, listOf(after, 1, staying()))
+	late.storeWatcher.applyResult(now, listResult(after, 1, staying()))
 	late.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{ServerChanged{Server: staying()}}})
-	handOver(t, now, late, early, asItIs)
+	transferView(t, now, late, early, unchanged)
 	early.storeWatcher.expireMissing(now)
 	require.False(t, early.view.Load().Servers[0].Evacuated)
 }
@@ -218,8 +218,8 @@
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	now := time.Now()
 	g := newIdleGateway(t)
-	g.storeWatcher.applyResult(now, listOf(before, 1))
-	g.storeWatcher.applyResult(now, listOf(after, 1))
+	g.storeWatcher.applyResult(now, listResult(before, 1))
+	g.storeWatcher.applyResult(now, listResult(after, 1))
 	appears := func(id string, at catalog.Revision) coldState {
 		g.storeWatcher.applyResult(now, sourceResult{since: at - 1, revision: at, changes: []Change{ServerChanged{Server: lifetime(id, 1), Cold: time.Second}}})
 		return g.view.Load().Cold[id+"@1"]
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -50,8 +50,8 @@
 	leastSuspects = 4
 	// A doubtful request is tried after this time without another end or try, in which all
 	// gateways have heard of the last one. The bound of three more sends has room for two.
-	tryTurn   = 3 * time.Second
-	mostTries = 2
+	trialInterval = 3 * time.Second
+	maxTrials     = 2
 	// Gateways come to it one after the other, so that mostly one of them asks the store; the
 	// later ones together.
 	tryStagger  = 300 * time.Millisecond
@@ -59,10 +59,10 @@
 	// The store answers within milliseconds; a caller waits for it.
 	tryTimeout = 500 * time.Millisecond
 	// A write to the store is given up after this time.
-	keepTimeout = time.Second
+	storeWriteTimeout = time.Second
 	// And tried again after this, twice as late each time up to the longest.
-	keepRetry        = 250 * time.Millisecond
-	longestKeepRetry = 2 * time.Second
+	minStoreWriteBackoff = 250 * time.Millisecond
+	maxStoreWriteBackoff = 2 * time.Second
 )
 
 // suspectTracker is what this gateway believes of requests that were at ends of servers. It is safe
@@ -77,28 +77,28 @@
 	newlyBarred  chan struct{} // a request has been barred
 	suspectCount atomic.Int64  // requests in the registry; with none there is nothing to look for
 
-	mutex    sync.Mutex
-	registry *quarantine.Registry
-	lately   quarantine.RecentAnswers     // of this gateway
-	own      map[quarantine.Key]bool      // kept in the store by this gateway
-	tried    map[quarantine.Key]tries     // although they are barred
-	others   map[string]bool              // live gateways, by address
-	asks     map[quarantine.Key]string    // what those ask that were at two ends or more, as far as this gateway has seen them
-	dirty    map[quarantine.Key]bool      // to be written
-	rewrites map[quarantine.Key]time.Time // to be written again from then on, unless another gateway has
-	second   time.Time                    // in which told counts
-	told     int
+	mutex         sync.Mutex
+	registry      *quarantine.Registry
+	recentAnswers quarantine.RecentAnswers      // of this gateway
+	ownWrites     map[quarantine.Key]bool       // kept in the store by this gateway
+	trials        map[quarantine.Key]trialState // although they are barred
+	others        map[string]bool               // live gateways, by address
+	summaries     map[quarantine.Key]string     // what those ask that were at two ends or more, as far as this gateway has seen them
+	pendingWrites map[quarantine.Key]bool       // to be written
+	rewriteAt     map[quarantine.Key]time.Time  // to be written again from then on, unless another gateway has
+	second        time.Time                     // in which told counts
+	told          int
 }
 
 func newSuspectTracker(log zerolog.Logger, address string, fleet func() int) *suspectTracker {
 	return &suspectTracker{
 		log: log, address: address, fleet: fleet, wake: make(chan struct{}, 1), newlyBarred: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
-		own: map[quarantine.Key]bool{}, tried: map[quarantine.Key]tries{}, others: map[string]bool{}, asks: map[quarantine.Key]string{}, dirty: map[quarantine.Key]bool{}, rewrites: map[quarantine.Key]time.Time{},
+		ownWrites: map[quarantine.Key]bool{}, trials: map[quarantine.Key]trialState{}, others: map[string]bool{}, summaries: map[quarantine.Key]string{}, pendingWrites: map[quarantine.Key]bool{}, rewriteAt: map[quarantine.Key]time.Time{},
 	}
 }
 
 // tries is how often a request was sent although it is barred, over the fleet.
-type tries struct {
+type trialState struct {
 	counted int
 	at      time.Time // when this gateway heard of the latest one, or asked the store in vain
 	asking  bool      // the store is being asked for another one
@@ -129,19 +129,19 @@
 	defer s.mutex.Unlock()
 	keys := make([]quarantine.Key, 0, len(there))
 	for _, t := range there {
-		if !s.lately.Contains(now, t.key) {
+		if !s.recentAnswers.Contains(now, t.key) {
 			keys = append(keys, t.key)
 		}
 	}
 	changed := s.registry.AddCrash(now, server, keys)
 	for _, t := range there {
 		if slices.Contains(changed, t.key) {
-			s.asks[t.key] = t.summary
+			s.summaries[t.key] = t.summary
 		}
 	}
-	s.note(changed, server)
+	s.reportChanged(changed, server)
 	for _, k := range changed {
-		s.dirty[k] = true
+		s.pendingWrites[k] = true
 	}
 	s.wakeWriter()
 	s.tell(now, server, keys, changed)
@@ -169,10 +169,10 @@
 }
 
 // note writes to the log what is now believed of requests. The mutex is held.
-func (s *suspectTracker) note(changed []quarantine.Key, server string) {
+func (s *suspectTracker) reportChanged(changed []quarantine.Key, server string) {
 	for _, k := range changed {
 		r, _ := s.registry.Record(k)
-		event := s.log.Warn().Str("key", k.String()).Str("asks", s.asks[k]).Strs("servers", r.Servers).Str("latest", server)
+		event := s.log.Warn().Str("key", k.String()).Str("asks", s.summaries[k]).Strs("servers", r.Servers).Str("latest", server)
 		if r.QuarantinedAt.IsZero() {
 			event.Str("event", "request.suspected").Msg("servers have ended under it; one more and it is barred")
 			continue
@@ -196,19 +196,19 @@
 	for _, e := range ends {
 		keys := make([]quarantine.Key, 0, len(e.Suspects))
 		for _, k := range e.Suspects {
-			if s.lately.Contains(now, quarantine.Key(k)) {
+			if s.recentAnswers.Contains(now, quarantine.Key(k)) {
 				s.peers.PublishCleared(peer.Cleared{Key: k, Servers: []string{e.Server}})
 				continue
 			}
 			keys = append(keys, quarantine.Key(k))
 		}
-		s.note(s.registry.AddCrash(now, e.Server, keys), e.Server)
+		s.reportChanged(s.registry.AddCrash(now, e.Server, keys), e.Server)
 	}
 	for _, a := range answered {
 		k := quarantine.Key(a.Key)
 		s.registry.Clear(k, a.Servers)
-		if _, repeated := s.registry.Record(k); !repeated && s.own[k] {
-			s.drop(k) // it may have been written after who answered it has dropped it
+		if _, repeated := s.registry.Record(k); !repeated && s.ownWrites[k] {
+			s.removeStored(k) // it may have been written after who answered it has dropped it
 		}
 	}
 }
@@ -224,12 +224,12 @@
 func (s *suspectTracker) requestAnswered(now time.Time, key quarantine.Key) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.lately.Add(now, key)
-	s.clear(key)
+	s.recentAnswers.Add(now, key)
+	s.clearCrashes(key)
 }
 
 // clear lets nothing count any more that a request has seen, here and at the other gateways.
-func (s *suspectTracker) clear(key quarantine.Key) {
+func (s *suspectTracker) clearCrashes(key quarantine.Key) {
 	_, repeated := s.registry.Record(key)
 	cleared := s.registry.MarkAnswered(key)
 	if len(cleared) == 0 {
@@ -237,15 +237,15 @@
 	}
 	s.peers.PublishCleared(peer.Cleared{Key: peer.Key(key), Servers: cleared})
 	if repeated {
-		s.drop(key)
+		s.removeStored(key)
 	}
 }
 
 // drop lets the store keep a request no more.
-func (s *suspectTracker) drop(k quarantine.Key) {
+func (s *suspectTracker) removeStored(k quarantine.Key) {
 	s.log.Info().Str("event", "request.cleared").Str("key", k.String()).Msg("it was answered")
-	delete(s.asks, k)
-	s.dirty[k] = true
+	delete(s.summaries, k)
+	s.pendingWrites[k] = true
 	s.wakeWriter()
 }
 
@@ -273,8 +273,8 @@
 // due is mayTry with the mutex held.
 func (s *suspectTracker) due(now time.Time, key quarantine.Key) bool {
 	quiet, doubtful := s.registry.Ambiguous(now, key)
-	known := s.tried[key]
-	if !doubtful || s.store == nil || known.asking || known.counted >= mostTries {
+	known := s.trials[key]
+	if !doubtful || s.store == nil || known.asking || known.counted >= maxTrials {
 		return false
 	}
 	before := 0
@@ -284,36 +284,36 @@
 			before++
 		}
 	}
-	return min(quiet, now.Sub(known.at)) >= tryTurn+time.Duration(min(before, mostStagger))*tryStagger
+	return min(quiet, now.Sub(known.at)) >= trialInterval+time.Duration(min(before, mostStagger))*tryStagger
 }
 
 // claimTrial uses a claimTrial of a request that is barred. The store counts them, so that there are no more
 // over the fleet, whichever gateways have started since.
 func (s *suspectTracker) claimTrial(ctx context.Context, key quarantine.Key) bool {
 	s.mutex.Lock()
-	known := s.tried[key]
+	known := s.trials[key]
 	if !s.due(time.Now(), key) {
 		s.mutex.Unlock()
 		return false
 	}
-	s.tried[key] = tries{counted: known.counted, at: known.at, asking: true}
+	s.trials[key] = trialState{counted: known.counted, at: known.at, asking: true}
 	s.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
 	counted, err := s.store.Try(ctx, key, known.counted)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	now := s.tried[key]
+	now := s.trials[key]
 	now.asking, now.at = false, time.Now()
 	if counted {
 		now.counted = max(now.counted, known.counted+1)
 	}
-	s.tried[key] = now
+	s.trials[key] = now
 	if err != nil || !counted {
 		s.log.Info().Str("event", "request.not_tried").Str("key", key.String()).Err(err).Msg("another gateway may have tried it")
 		return false
 	}
-	s.log.Warn().Str("event", "request.tried").Str("key", key.String()).Str("asks", s.asks[key]).Int("tries", known.counted+1).Msg("all ends under it came at once, so it may not be their cause")
+	s.log.Warn().Str("event", "request.tried").Str("key", key.String()).Str("asks", s.summaries[key]).Int("tries", known.counted+1).Msg("all ends under it came at once, so it may not be their cause")
 	return true
 }
 
--- a/gateway/suspects_return_test.go
+++ b/gateway/suspects_return_test.go
@@ -24,20 +24,20 @@
 		g := newIdleGateway(t)
 		g.watchesStore.Store(watches)
 		g.suspects.store = &faultyStore{}
-		first := listOf(before-1, 1)
+		first := listResult(before-1, 1)
 		first.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{barred: kept(1), lifted: kept(0), tried: kept(2)}
 		g.storeWatcher.applyResult(now, first)
 		g.storeWatcher.applyResult(now, sourceResult{since: before - 1, revision: before, changes: []Change{SuspectRemoved{Key: lifted}}})
-		older := listOf(after, 1)
+		older := listResult(after, 1)
 		older.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{lifted: kept(0), tried: kept(1)}
 		g.storeWatcher.applyResult(now, older)
 		require.True(t, g.suspects.isBarred(barred))
 		require.False(t, g.suspects.isBarred(lifted))
-		require.Equal(t, 2, g.suspects.tried[tried].counted)
+		require.Equal(t, 2, g.suspects.trials[tried].counted)
 		writes := func() []quarantine.Key {
-			g.suspects.writeDue(now.Add(rewriteSpread))
-			list := make([]quarantine.Key, 0, len(g.suspects.dirty))
-			for k := range g.suspects.dirty {
+			g.suspects.queueDueRewrites(now.Add(rewriteJitter))
+			list := make([]quarantine.Key, 0, len(g.suspects.pendingWrites))
+			for k := range g.suspects.pendingWrites {
 				list = append(list, k)
 			}
 			slices.SortFunc(list, func(a, b quarantine.Key) int { return slices.Compare(a[:], b[:]) })
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -17,7 +17,7 @@
 )
 
 // handOver takes over at one gateway what another one tells of its view.
-func handOver(t *testing.T, now time.Time, from, to *Gateway, change func(d *viewDocument)) {
+func transferView(t *testing.T, now time.Time, from, to *Gateway, change func(d *viewDocument)) {
 	t.Helper()
 	raw, err := from.encodedView(now, to.viewQuery())
 	require.NoError(t, err)
@@ -30,7 +30,7 @@
 	to.storeWatcher.applyPeerView(now, h)
 }
 
-func asItIs(*viewDocument) {}
+func unchanged(*viewDocument) {}
 
 // TestSuspectsAreHandedOver: a gateway learns of barred requests from another one's view,
 // whole or in part, and loses none to a gateway of a version that knows of none.
@@ -39,20 +39,20 @@
 	first := sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Revision: 3, Suspects: map[quarantine.Key]quarantine.StoredRecord{{1}: {Servers: []string{"a", "b", "c"}}}}}
 	from, to := newIdleGateway(t), newIdleGateway(t)
 	from.storeWatcher.applyResult(now, first)
-	handOver(t, now, from, to, asItIs)
+	transferView(t, now, from, to, unchanged)
 	require.True(t, to.suspects.isBarred(quarantine.Key{1}), "the whole view")
 	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
 		SuspectChanged{Key: quarantine.Key{2}, Kept: quarantine.StoredRecord{Servers: []string{"a", "b", "d"}, Simultaneous: true, Probes: 1}}, SuspectRemoved{Key: quarantine.Key{1}},
 	}})
-	handOver(t, now, from, to, func(d *viewDocument) { require.True(t, d.Partial) })
+	transferView(t, now, from, to, func(d *viewDocument) { require.True(t, d.Partial) })
 	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
 	require.Equal(t, from.view.Load().Suspects, to.view.Load().Suspects, "with what is doubtful")
 	require.False(t, to.suspects.isBarred(quarantine.Key{1}), "it was lifted")
 	from.storeWatcher.applyResult(now, sourceResult{since: 5, revision: 7, changes: []Change{ServerChanged{Server: readyServer("i-1")}}})
-	handOver(t, now, from, to, func(d *viewDocument) {
+	transferView(t, now, from, to, func(d *viewDocument) {
 		*d = viewDocument{Servers: d.Servers, Revision: d.Revision}
 	})
-	require.Equal(t, []string{"i-1"}, to.ids())
+	require.Equal(t, []string{"i-1"}, to.serverIDs())
 	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
 }
 
@@ -103,7 +103,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
-		s.write(ctx)
+		s.runWriter(ctx)
 		close(ended)
 	}()
 	defer func() {
@@ -178,7 +178,7 @@
 			for _, other := range addresses {
 				s.setPeerLive(other, other != own)
 			}
-			s.kept(time.Now(), nil, map[quarantine.Key]quarantine.StoredRecord{key: kept()}, false)
+			s.applyStored(time.Now(), nil, map[quarantine.Key]quarantine.StoredRecord{key: kept()}, false)
 			return s
 		}
 		var fleet []*suspectTracker
@@ -202,9 +202,9 @@
 				}
 			}
 		}
-		require.Len(t, sent, mostTries)
+		require.Len(t, sent, maxTrials)
 		require.Greater(t, sent[0], 10*time.Second, "the store was away")
-		require.GreaterOrEqual(t, sent[1]-sent[0], tryTurn)
+		require.GreaterOrEqual(t, sent[1]-sent[0], trialInterval)
 	})
 }
 
@@ -221,11 +221,11 @@
 			return map[quarantine.Key]quarantine.StoredRecord{key: {Servers: servers, Simultaneous: true, Probes: tries}}
 		}
 		before, after := kept(2, "i-1", "i-2", "i-3"), kept(0, "i-4", "i-5", "i-6")
-		s.kept(time.Now(), nil, before, false)
+		s.applyStored(time.Now(), nil, before, false)
 		time.Sleep(time.Minute)
 		require.False(t, s.claimTrial(t.Context(), key), "both are used")
 		store.sent[key] = 0
-		s.kept(time.Now(), before, after, false)
+		s.applyStored(time.Now(), before, after, false)
 		time.Sleep(time.Minute)
 		require.True(t, s.claimTrial(t.Context(), key))
 	})
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -44,7 +44,7 @@
 	// A server whose entry has gone while the store was away is kept for this long
 	// after its return: servers that live write their entry again within about two
 	// seconds (source: the users' second letter).
-	returnGrace = 2500 * time.Millisecond
+	reregistrationGrace = 2500 * time.Millisecond
 )
 
 // View is what a gateway believes of the configuration and the servers. It is not
@@ -71,7 +71,7 @@
 	gateway       *Gateway
 	servers       map[string]catalog.Server
 	currentIDs    map[string]string     // the lifetime that is in servers, by the server's name
-	missing       map[string]time.Time  // servers kept until then although their entry has gone
+	missingUntil  map[string]time.Time  // servers kept until then although their entry has gone
 	evacuations   map[string]evacuation // that are evacuated
 	cold          map[string]coldState  // by server
 	serverChanges changeLog
@@ -80,14 +80,14 @@
 	// What the store keeps of suspects; replaced, not changed, since views share it.
 	suspects        map[quarantine.Key]quarantine.StoredRecord
 	suspectsChanged bool // since the latest view
-	suspectLog      changeLog
-	memory          memory
-	settled         time.Time                 // until then the store may lack what it had; zero: it has all
-	revived         map[string]catalog.Server // that a copy names and that are kept back, by name
-	now             time.Time                 // of what is being taken over
+	suspectChanges  changeLog
+	tombstones      tombstones
+	reconcileUntil  time.Time                 // until then the store may lack what it had; zero: it has all
+	unverified      map[string]catalog.Server // that a copy names and that are kept back, by name
+	applyTime       time.Time                 // of what is being taken over
 	changeRevision  catalog.Revision          // under which changes are logged
-	order           []string                  // ids of the servers, sorted; nil: to be made anew
-	failed          time.Time                 // last failure of the source
+	sortedIDs       []string                  // ids of the servers, sorted; nil: to be made anew
+	lastFailure     time.Time                 // last failure of the source
 	lastQuery       time.Time                 // when the latest call began
 	unreachable     bool
 	peerViews       chan peerView
@@ -104,7 +104,7 @@
 }
 
 func newStoreWatcher(g *Gateway) *storeWatcher {
-	return &storeWatcher{gateway: g, servers: map[string]catalog.Server{}, currentIDs: map[string]string{}, missing: map[string]time.Time{}, evacuations: map[string]evacuation{}, cold: map[string]coldState{}, memory: newMemory(), revived: map[string]catalog.Server{}, peerViews: make(chan peerView, 1), leavingSignal: make(chan struct{}, 1)}
+	return &storeWatcher{gateway: g, servers: map[string]catalog.Server{}, currentIDs: map[string]string{}, missingUntil: map[string]time.Time{}, evacuations: map[string]evacuation{}, cold: map[string]coldState{}, tombstones: newTombstones(), unverified: map[string]catalog.Server{}, peerViews: make(chan peerView, 1), leavingSignal: make(chan struct{}, 1)}
 }
 
 // sourceResult is the end of one call to the source.
@@ -166,7 +166,7 @@
 			proceed(now)
 		case now := <-sweep.C:
 			f.expireMissing(now)
-			f.gateway.suspects.writeDue(now)
+			f.gateway.suspects.queueDueRewrites(now)
 			proceed(now)
 		}
 	}
@@ -211,7 +211,7 @@
 // applyResult takes an answer over. It returns whether to list next, and whether to wait
 // before.
 func (f *storeWatcher) applyResult(now time.Time, a sourceResult) (list, wait bool) {
-	f.now = now
+	f.applyTime = now
 	known := f.gateway.view.Load().Revision
 	switch {
 	case errors.Is(a.err, ErrHistoryGone):
@@ -232,7 +232,7 @@
 	if a.since != known {
 		return false, false // its changes are older than what is known: watch on from there
 	}
-	f.takeChanges(now, a.changes, a.revision)
+	f.applyChanges(now, a.changes, a.revision)
 	return false, false
 }
 
@@ -246,25 +246,25 @@
 		return true, true
 	}
 	if s.Revision.Era() > known.Era() {
-		f.enter(s.Revision, now.Add(reconcilePeriod))
+		f.enterEra(s.Revision, now.Add(reconcilePeriod))
 		f.gateway.confirm(now)
 	}
 	f.changeRevision = s.Revision
 	f.applyListedCold(now, s)
 	f.applyListedRollouts(now, s)
-	f.serverChanges.restart(s.Revision) // what was between is not known
-	f.suspectLog.restart(s.Revision)
-	f.takeSnapshot(s, func(id string) { f.remove(now, id) })
+	f.serverChanges.reset(s.Revision) // what was between is not known
+	f.suspectChanges.reset(s.Revision)
+	f.applySnapshot(s, func(id string) { f.removeServer(now, id) })
 	return s.Configuration == nil, s.Configuration == nil
 }
 
 func (f *storeWatcher) recordFailure(now time.Time, err error) {
-	f.failed = now
+	f.lastFailure = now
 	if f.reconciling(now) {
-		f.settled = now.Add(reconcilePeriod) // nobody can write again meanwhile
+		f.reconcileUntil = now.Add(reconcilePeriod) // nobody can write again meanwhile
 	}
-	for id := range f.missing {
-		f.missing[id] = now.Add(returnGrace)
+	for id := range f.missingUntil {
+		f.missingUntil[id] = now.Add(reregistrationGrace)
 	}
 	if !f.unreachable {
 		f.unreachable = true
@@ -278,51 +278,51 @@
 	if f.unreachable {
 		f.unreachable = false
 		f.gateway.storeUnreachable.Store(false)
-		f.gateway.log.Info().Str("event", "store.regained").Dur("away", now.Sub(f.failed)).Msg("follow the store again")
+		f.gateway.log.Info().Str("event", "store.regained").Dur("away", now.Sub(f.lastFailure)).Msg("follow the store again")
 	}
 }
 
 // grace tells whether entries that are missing may come back: the store was away a
 // moment ago.
-func (f *storeWatcher) grace(now time.Time) bool { return now.Sub(f.failed) < returnGrace }
+func (f *storeWatcher) grace(now time.Time) bool { return now.Sub(f.lastFailure) < reregistrationGrace }
 
 // takeSnapshot takes over all there is; lacking hears of the servers that are no more.
-func (f *storeWatcher) takeSnapshot(s Snapshot, lacking func(id string)) {
+func (f *storeWatcher) applySnapshot(s Snapshot, lacking func(id string)) {
 	for _, name := range s.Unreadable {
-		f.dropNamed(name)
+		f.dropServerByName(name)
 	}
 	present := map[string]bool{}
 	for _, server := range s.Servers {
 		present[server.ID] = true
-		if f.revives(server) {
+		if f.withholdUnverified(server) {
 			continue
 		}
-		server.Leaving = f.leaves(server)
+		server.Leaving = f.isLeaving(server)
 		if _, missing := s.MissingUntil[server.ID]; missing {
 			server.Evacuated = false
-			f.put(server)
+			f.putServer(server)
 			continue
 		}
-		f.set(server)
+		f.upsertServer(server)
 	}
 	for id := range f.servers {
 		if !present[id] {
-			f.lack(id, lacking)
+			f.handleAbsent(id, lacking)
 		}
 	}
-	if f.reconciling(f.now) {
+	if f.reconciling(f.applyTime) {
 		s.Suspects = f.mergeSuspects(s.Suspects)
 	}
 	for k := range f.suspects {
 		if _, still := s.Suspects[k]; !still {
-			f.memory.lift(f.now, k)
+			f.tombstones.addSuspect(f.applyTime, k)
 		}
 	}
 	f.suspects, f.suspectsChanged = s.Suspects, true
 	f.publish(s.Configuration, s.RawConfiguration, s.Revision)
 }
 
-func (f *storeWatcher) takeChanges(now time.Time, changes []Change, revision catalog.Revision) {
+func (f *storeWatcher) applyChanges(now time.Time, changes []Change, revision catalog.Revision) {
 	v := f.gateway.view.Load()
 	configuration, raw := v.Configuration, v.RawConfiguration
 	f.changeRevision = revision
@@ -331,15 +331,15 @@
 		case ConfigurationChanged:
 			configuration, raw = c.Configuration, c.Raw
 		case ServerChanged:
-			delete(f.revived, c.Server.Name())
+			delete(f.unverified, c.Server.Name())
 			f.updateColdState(now, c)
-			f.set(c.Server)
+			f.upsertServer(c.Server)
 		case ServerRemoved:
-			delete(f.revived, c.Name)
-			f.remove(now, f.currentIDs[c.Name])
+			delete(f.unverified, c.Name)
+			f.removeServer(now, f.currentIDs[c.Name])
 		case ServerUnreadable:
-			delete(f.revived, c.Name)
-			f.dropNamed(c.Name)
+			delete(f.unverified, c.Name)
+			f.dropServerByName(c.Name)
 		case HallEvacuated:
 			f.evacuate(now, c)
 		case HallEvacuationEnded:
@@ -355,7 +355,7 @@
 		case SuspectChanged:
 			f.setSuspect(c.Key, c.Kept)
 		case SuspectRemoved:
-			f.dropSuspect(c.Key)
+			f.removeSuspect(c.Key)
 		}
 	}
 	f.publish(configuration, raw, revision)
@@ -378,16 +378,16 @@
 			EmbedObject(revisionFields(revision)).Int("routes", len(c.Routes)).Int("accounts", len(c.Accounts)).Msg("apply")
 	}
 	v := &View{
-		Configuration: c, RawConfiguration: raw, Revision: max(revision, old.Revision), MissingUntil: maps.Clone(f.missing),
+		Configuration: c, RawConfiguration: raw, Revision: max(revision, old.Revision), MissingUntil: maps.Clone(f.missingUntil),
 		Evacuated: maps.Clone(f.evacuations), Cold: maps.Clone(f.cold), serverChanges: f.serverChanges,
-		Rollouts: f.rollouts, Suspects: f.suspects, suspectChanges: f.suspectLog,
-		ReconcileUntil: f.settled, Unverified: slices.Collect(maps.Values(f.revived)),
+		Rollouts: f.rollouts, Suspects: f.suspects, suspectChanges: f.suspectChanges,
+		ReconcileUntil: f.reconcileUntil, Unverified: slices.Collect(maps.Values(f.unverified)),
 	}
-	if f.order == nil {
-		f.order = slices.Sorted(maps.Keys(f.servers))
+	if f.sortedIDs == nil {
+		f.sortedIDs = slices.Sorted(maps.Keys(f.servers))
 	}
-	v.Servers = make([]catalog.Server, len(f.order))
-	for i, id := range f.order {
+	v.Servers = make([]catalog.Server, len(f.sortedIDs))
+	for i, id := range f.sortedIDs {
 		v.Servers[i] = f.servers[id]
 		_, v.Servers[i].Evacuated = f.evacuations[v.Servers[i].Hall]
 	}
@@ -398,7 +398,7 @@
 	f.gateway.crashes.viewChanged(now, old.Servers, v.Servers)
 	if f.suspectsChanged {
 		f.suspectsChanged = false
-		f.gateway.suspects.kept(now, old.Suspects, v.Suspects, f.gateway.watchesStore.Load())
+		f.gateway.suspects.applyStored(now, old.Suspects, v.Suspects, f.gateway.watchesStore.Load())
 	}
 	if changed {
 		f.gateway.dispatcher.viewChanged(v)
--- a/gateway/view_bench_test.go
+++ b/gateway/view_bench_test.go
@@ -35,12 +35,12 @@
 		}
 		g.dispatcher.peerRunning[fmt.Sprint(i)] = running
 	}
-	g.storeWatcher.takeChanges(now, list, servers)
+	g.storeWatcher.applyChanges(now, list, servers)
 	g.handleMessages(now)
 	for i := range b.N {
 		one := list[1].(ServerChanged)
 		one.Server.Leaving = i%2 == 0
-		g.storeWatcher.takeChanges(now, []Change{one}, catalog.Revision(servers+1+i))
+		g.storeWatcher.applyChanges(now, []Change{one}, catalog.Revision(servers+1+i))
 		g.handleMessages(now)
 	}
 }
--- a/gateway/view_test.go
+++ b/gateway/view_test.go
@@ -87,11 +87,11 @@
 			f := g.storeWatcher
 			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{test.server}, Revision: 3}})
 			if test.failed > 0 {
-				f.failed = now.Add(-test.failed) // and has answered since
+				f.lastFailure = now.Add(-test.failed) // and has answered since
 			}
 			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
 			require.Equal(t, test.kept, len(g.view.Load().Servers) == 1)
-			f.expireMissing(now.Add(returnGrace + time.Millisecond))
+			f.expireMissing(now.Add(reregistrationGrace + time.Millisecond))
 			require.Empty(t, g.view.Load().Servers, "an entry that does not come back is gone")
 		})
 	}
@@ -103,7 +103,7 @@
 	g := newIdleGateway(t)
 	f := g.storeWatcher
 	f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{readyServer("i-1")}, Revision: 3}})
-	f.failed = now
+	f.lastFailure = now
 	f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
 	f.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: readyServer("i-1")}}})
 	f.expireMissing(now.Add(time.Minute))
@@ -123,7 +123,7 @@
 	s.Configuration = configurationVersion(1)
 	to.storeWatcher.applyPeerView(now, peerView{snapshot: s})
 	require.Len(t, to.view.Load().Servers, 2)
-	later := now.Add(returnGrace + time.Millisecond)
+	later := now.Add(reregistrationGrace + time.Millisecond)
 	to.storeWatcher.expireMissing(later)
 	require.Equal(t, []catalog.Server{readyServer("i-2")}, to.view.Load().Servers)
 }
