--- a/gateway/caches_test.go
+++ b/gateway/caches_test.go
@@ -9,9 +9,9 @@
 	"opalbridge.dev/gateway/catalog"
 )
 
-// TestAsked: a gateway that starts asks a bounded number of servers, its hall's first, and
-// gateways ask different ones of the others.
-func TestAsked(t *testing.T) {
+// TestCacheQueryTargets: a starting gateway queries a bounded number of servers, those of its hall
+// first, and gateways query different ones of the others.
+func TestCacheQueryTargets(t *testing.T) {
 	list := func(n int) []catalog.Server {
 		var servers []catalog.Server
 		for i := range n {
@@ -19,19 +19,19 @@
 		}
 		return servers
 	}
-	require.Equal(t, list(maxCacheQueries), cacheQueryTargets(list(maxCacheQueries), "hall-3", "g1"), "a small fleet's all")
+	require.Equal(t, list(maxCacheQueries), cacheQueryTargets(list(maxCacheQueries), "hall-3", "g1"), "all servers of a small fleet")
 	first, second := cacheQueryTargets(list(300), "hall-3", "g1"), cacheQueryTargets(list(300), "hall-3", "g2")
 	require.Len(t, first, maxCacheQueries)
 	for _, s := range first[:30] {
 		require.Equal(t, "hall-3", s.Hall)
 	}
-	alike := 0
+	common := 0
 	for _, s := range first[30:] {
 		for _, other := range second[30:] {
 			if s.ID == other.ID {
-				alike++
+				common++
 			}
 		}
 	}
-	require.Less(t, alike, 15, "of 34 each, out of 270")
+	require.Less(t, common, 15, "each queries 34 out of 270")
 }
--- a/gateway/catalog/catalog.go
+++ b/gateway/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds what the operators and the backend servers have announced:
-// the configuration in force and the servers that take work.
+// Package catalog holds the configuration in force, which the operators publish, and the
+// servers that take work, which register themselves.
 //
 // # Usage
 //
@@ -7,8 +7,8 @@
 //	route, ok := c.Route("example.org", "/chat/completions")
 //	account, ok := c.Account(key)
 //
-// Values are read-only once they are made, so that any goroutine may use them. The
-// package does no input or output and reads no clock.
+// Values are immutable once created and safe for concurrent use. The package does no
+// input or output and does not read the clock.
 package catalog
 
 import (
@@ -20,55 +20,55 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind tells whether a request may run more than once.
+// Kind defines how often a request may run.
 type Kind int
 
-// The kinds of requests.
+// Kinds of requests.
 const (
 	OneShot    Kind = iota // runs at most once
 	Repeatable             // may run more than once
-	Stream                 // an answer in events; runs at most once unless its route is resumable
+	Stream                 // streams its answer as events; runs at most once unless its route is resumable
 )
 
-// Route says where requests of a host and a path prefix go.
+// Route defines where requests with a host and a path prefix go.
 type Route struct {
 	Name          string
 	Host          string
 	Prefix        string // begins and ends with a slash
 	Kind          Kind
 	Targets       []Target
-	Timeout       time.Duration // longest time a request may be held; 0: no limit
-	Objective     time.Duration // an answer (a stream: its first event) within this time is in time
-	CallerTimeout time.Duration // a caller waits this long for a first event before it gives up
-	MaxEventGap   time.Duration // longest pause between events that is still in time; 0: none is told
+	Timeout       time.Duration // maximum time for which a request may be held; 0: unlimited
+	Objective     time.Duration // latency objective of an answer, or of a stream's first event
+	CallerTimeout time.Duration // time after which a caller without a first event gives up
+	MaxEventGap   time.Duration // maximum gap between events within the objective; 0: none
 	Priority      int           // 0 is the most urgent
-	MaxAttempts   int           // most servers that one request may go to
+	MaxAttempts   int           // maximum number of servers that a request may be sent to
 	Public        bool          // needs no key
-	Resumable     bool          // a stream that may go on at another server after an event
-	Regions       Regions       // where its requests may go
+	Resumable     bool          // an interrupted stream may be resumed at another server
+	Regions       Regions       // regions in which its requests may be served
 }
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service with its weight among the targets of a route.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// MayRepeat tells whether a request of the route may run more than once.
+// MayRepeat reports whether a request of the route may run more than once.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// Pick returns the service for a request; draw is uniform in [0, 1).
+// PickService selects the service of a request by weight; draw is uniform in [0, 1).
 func (r *Route) Pick(draw float64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	left := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, t := range r.Targets {
-		left -= float64(t.Weight)
-		if left < 0 {
+		remaining -= float64(t.Weight)
+		if remaining < 0 {
 			return t.Service
 		}
 	}
@@ -78,123 +78,122 @@
 // Service is a group of servers that do the same work.
 type Service struct {
 	Name           string
-	MaxConnections int     // connections one server takes from all callers together; 0: unknown
-	Engine         *Engine // nil: a plain service
-	// A server that has started under load is cold for ColdFor and bears ColdPerSecond
-	// requests a second meanwhile; 0: servers are never cold.
+	MaxConnections int     // that one server accepts from all clients together; 0: unknown
+	Engine         *Engine // nil for a plain service
+	// A server that has started under load is cold for ColdFor and sustains ColdPerSecond
+	// requests a second during that time; 0: servers are never cold.
 	ColdFor       time.Duration
 	ColdPerSecond float64
 }
 
 // Engine describes the model servers of a service.
 type Engine struct {
-	Slots          int // requests that run at once
-	KVTokens       int // memory for the tokens of running requests and cached prompts
+	Slots          int // requests that run concurrently
+	KVTokens       int // capacity in tokens for running requests and cached prompts
 	MaxEventTokens int // tokens in one event of a stream, for estimates; 0: unknown
-	// How servers take cached parts of prompts from one another; 0: they don't.
-	BytesPerToken int     // memory of one token
-	LinkMbps      float64 // of a server, for copies
+	// How servers copy cached parts of prompts from each other; 0: not supported.
+	BytesPerToken int     // cache memory of one token
+	LinkMbps      float64 // bandwidth of a server for copies
 }
 
-// Copies tells whether servers take cached parts of prompts from one another.
+// SupportsCacheCopy reports whether servers copy cached parts of prompts from each other.
 func (e *Engine) Copies() bool { return e != nil && e.BytesPerToken > 0 && e.LinkMbps > 0 }
 
 // Account is a client account.
 type Account struct {
 	Name     string
 	Priority int
-	Regions  Regions // where its requests may go
+	Regions  Regions // regions in which its requests may be served
 }
 
-// Regions are those in which requests may be read and served; nil: all.
+// Regions is the set of regions in which requests may be read and served; nil: all.
 type Regions []string
 
-// Allow tells whether requests may go to a region.
+// Allows reports whether requests may go to a region.
 func (r Regions) Allow(region string) bool { return r == nil || slices.Contains(r, region) }
 
-// And returns the regions that both allow.
+// Intersect returns the regions that both sets allow.
 func (r Regions) And(other Regions) Regions {
 	if r == nil {
 		return other
 	}
-	both := Regions{}
+	result := Regions{}
 	for _, region := range r {
 		if other.Allow(region) {
-			both = append(both, region)
+			result = append(result, region)
 		}
 	}
-	return both
+	return result
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the requests of callers.
 type Limits struct {
 	HeaderBytes     int
 	BodyBytes       int64
 	HeaderTimeout   time.Duration
 	IdleTimeout     time.Duration
-	TokensPerSecond float64 // tokens that the servers make together, a read token once and a made one twice; 0: unknown
+	TokensPerSecond float64 // throughput of all servers together, counting a prompt token once and a generated one twice; 0: unknown
 }
 
-// Document is a configuration as it was announced.
+// Document is a configuration as published.
 type Document struct {
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Accounts []Account
-	Keys     map[string]int // key to index in Accounts
+	Keys     map[string]int // index in Accounts by key
 	Limits   Limits
 }
 
-// Configuration is a document with its look-ups.
+// Configuration is an indexed document.
 type Configuration struct {
 	Document
-	hosts    map[string][]*Route // longest prefix first
-	services map[string]*Service
-	homes    []Regions // of the routes and accounts that are bound to some
+	routesByHost   map[string][]*Route // by lower-case host, longest prefix first
+	servicesByName map[string]*Service
+	restrictions   []Regions // restricted region sets of routes and accounts, without duplicates
 }
 
-// NewConfiguration checks a document and makes its look-ups.
+// NewConfiguration validates and indexes a document.
 func NewConfiguration(d Document) (*Configuration, error) {
-	c := &Configuration{Document: d, hosts: map[string][]*Route{}, services: map[string]*Service{}}
+	c := &Configuration{Document: d, routesByHost: map[string][]*Route{}, servicesByName: map[string]*Service{}}
 	for i := range c.Services {
-		c.services[c.Services[i].Name] = &c.Services[i]
+		c.servicesByName[c.Services[i].Name] = &c.Services[i]
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		if len(r.Targets) == 0 {
-			return nil, errors.Newf("catalog: route %q of version %d goes to no service", r.Name, d.Version)
+			return nil, errors.Newf("catalog: route %q of version %d has no target service", r.Name, d.Version)
 		}
-		c.bind(r.Regions)
+		c.addRestriction(r.Regions)
 		host := strings.ToLower(r.Host)
-		c.hosts[host] = append(c.hosts[host], r)
+		c.routesByHost[host] = append(c.routesByHost[host], r)
 	}
-	for _, list := range c.hosts {
+	for _, list := range c.routesByHost {
 		slices.SortStableFunc(list, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for _, a := range c.Accounts {
-		c.bind(a.Regions)
+		c.addRestriction(a.Regions)
 	}
 	return c, nil
 }
 
-// bind notes regions to which something is bound.
-func (c *Configuration) bind(r Regions) {
-	known := func(x Regions) bool { return slices.Equal(x, r) }
-	if r != nil && !slices.ContainsFunc(c.homes, known) {
-		c.homes = append(c.homes, r)
+// addRestriction adds the region set of a route or account.
+func (c *Configuration) addRestriction(r Regions) {
+	equal := func(x Regions) bool { return slices.Equal(x, r) }
+	if r != nil && !slices.ContainsFunc(c.restrictions, equal) {
+		c.restrictions = append(c.restrictions, r)
 	}
 }
 
-// Free tells whether every request may be read and served in a region.
+// Unrestricted reports whether every request may be read and served in a region.
 func (c *Configuration) Free(region string) bool {
-	return !slices.ContainsFunc(c.homes, func(r Regions) bool { return !r.Allow(region) })
+	return !slices.ContainsFunc(c.restrictions, func(r Regions) bool { return !r.Allow(region) })
 }
 
-// Route returns the route with the longest prefix that begins the path; a port in
-// host is ignored.
+// Route returns the route with the longest prefix of the path; a port in host is ignored.
 func (c *Configuration) Route(host, path string) (*Route, bool) {
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
-	for _, r := range c.hosts[name] {
+	for _, r := range c.routesByHost[name] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -202,7 +201,7 @@
 	return nil, false
 }
 
-// Account returns the account that holds a key.
+// Account returns the account of a key.
 func (c *Configuration) Account(key string) (Account, bool) {
 	i, ok := c.Keys[key]
 	if !ok {
@@ -211,45 +210,44 @@
 	return c.Accounts[i], true
 }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (c *Configuration) Service(name string) (*Service, bool) {
-	s, ok := c.services[name]
+	s, ok := c.servicesByName[name]
 	return s, ok
 }
 
-// Server is one lifetime of a backend server, from a start to its end. One that starts again
-// may keep its name; what was learned of the lifetime before tells nothing of the new one.
+// Server is one lifetime of a backend server: one run of its process, from start to end. After a
+// restart the server may keep its name, but what was learned of an earlier lifetime does not apply.
 type Server struct {
-	ID       string // names the lifetime, see [LifetimeID]
-	Born     int64  // when it started, in milliseconds since 1970 by its host's clock; 0: not told
+	ID       string // identifies the lifetime, see [LifetimeID]
+	Born     int64  // start time in milliseconds since 1970 by its host's clock; 0: unknown
 	Service  string
-	Version  string // of its software; empty: not told
+	Version  string // of its software; empty: unknown
 	Address  string // IP and port
 	Hall     string
-	Capacity int  // requests it works on at once
+	Capacity int  // requests that it runs concurrently
 	Leaving  bool // it takes no new work
-	// Its hall is evacuated: it takes no new work until the operators take that back.
+	// Its hall is evacuated: it takes no new work until the operators end the evacuation.
 	Evacuated bool
 }
 
-// bornMark stands between a server's name and its start in the ID of a lifetime. Names do
-// not hold it.
-const bornMark = "@"
+// idSeparator separates a server's name from its start time in an ID. Names do not contain it.
+const idSeparator = "@"
 
-// LifetimeID returns the ID of a lifetime of the server of that name. If its start was not
-// told, all of them have the same.
+// LifetimeID returns the ID of a lifetime of the named server. All lifetimes without a
+// known start time have the same ID.
 func LifetimeID(name string, born int64) string {
 	if born == 0 {
 		return name
 	}
-	return name + bornMark + strconv.FormatInt(born, 10)
+	return name + idSeparator + strconv.FormatInt(born, 10)
 }
 
-// ServerName returns the name of the server that has a lifetime of that ID.
+// ServerName returns the name of the server with the given lifetime ID.
 func ServerName(id string) string {
-	name, _, _ := strings.Cut(id, bornMark)
+	name, _, _ := strings.Cut(id, idSeparator)
 	return name
 }
 
-// Name is what the server calls itself.
+// Name returns the server's own name.
 func (s Server) Name() string { return ServerName(s.ID) }
--- a/gateway/catalog/catalog_test.go
+++ b/gateway/catalog/catalog_test.go
@@ -16,11 +16,11 @@
 		allowed   []string
 		forbidden []string
 	}{
-		{"neither is bound", nil, nil, []string{"north", ""}, nil},
-		{"the route is", catalog.Regions{"north"}, nil, []string{"north"}, []string{"south", ""}},
-		{"the account is", nil, catalog.Regions{"north"}, []string{"north"}, []string{"south", ""}},
-		{"both bind", catalog.Regions{"north", "south"}, catalog.Regions{"south", "west"}, []string{"south"}, []string{"north", "west"}},
-		{"both bind and nothing is left", catalog.Regions{"north"}, catalog.Regions{"south"}, nil, []string{"north", "south", ""}},
+		{"no restriction", nil, nil, []string{"north", ""}, nil},
+		{"route restricted", catalog.Regions{"north"}, nil, []string{"north"}, []string{"south", ""}},
+		{"account restricted", nil, catalog.Regions{"north"}, []string{"north"}, []string{"south", ""}},
+		{"both restricted", catalog.Regions{"north", "south"}, catalog.Regions{"south", "west"}, []string{"south"}, []string{"north", "west"}},
+		{"both restricted, nothing in common", catalog.Regions{"north"}, catalog.Regions{"south"}, nil, []string{"north", "south", ""}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/gateway/catalog/revision_test.go
+++ b/gateway/catalog/revision_test.go
@@ -6,19 +6,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRevisions: what comes before what, over the returns of a store.
-func TestRevisions(t *testing.T) {
+// TestRevisionOrder tests the order of revisions across restores of the store.
+func TestRevisionOrder(t *testing.T) {
 	tests := []struct {
 		name          string
 		before, after Revision
 	}{
 		{"within an era", NewRevision(1, 20), NewRevision(1, 21)},
-		{"the same number, given out again", NewRevision(1, 20), NewRevision(2, 20)},
-		{"a lower number of a later era", NewRevision(1, 1<<39), NewRevision(2, 1)},
-		{"two returns", NewRevision(1, 50), NewRevision(3, 2)},
-		{"a store that tells no era", NewRevision(0, 7), NewRevision(1, 3)},
-		{"nothing is known", 0, NewRevision(0, 1)},
-		{"the last era", NewRevision(MaxEra-1, 9), NewRevision(MaxEra, 0)},
+		{"same number, assigned again", NewRevision(1, 20), NewRevision(2, 20)},
+		{"lower number of a later era", NewRevision(1, 1<<39), NewRevision(2, 1)},
+		{"two restores", NewRevision(1, 50), NewRevision(3, 2)},
+		{"store without an era", NewRevision(0, 7), NewRevision(1, 3)},
+		{"zero value", 0, NewRevision(0, 1)},
+		{"last era", NewRevision(MaxEra-1, 9), NewRevision(MaxEra, 0)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/gateway/changelog_test.go
+++ b/gateway/changelog_test.go
@@ -15,9 +15,9 @@
 	"opalbridge.dev/gateway/catalog"
 )
 
-// TestPartsTellAll: a gateway that is handed only what has changed knows what the one knows
-// that follows the store.
-func TestPartsTellAll(t *testing.T) {
+// TestPartialViewsAreComplete: a gateway that is handed only changes ends up with the same view as
+// the peer that follows the store.
+func TestPartialViewsAreComplete(t *testing.T) {
 	isOfStore := func(a simAction) bool {
 		return strings.HasPrefix(a.name, "server") || strings.HasPrefix(a.name, "hall")
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestHandoversGrowWithChanges: what a gateway is told of one change among many servers.
-func TestHandoversGrowWithChanges(t *testing.T) {
+// TestPartialViewSize measures what a gateway is sent after one change among many servers.
+func TestPartialViewSize(t *testing.T) {
 	const servers = 3000
 	w := newSimWorld(t, newPeerNode(t))
 	w.watchStore(0)
@@ -84,7 +84,7 @@
 	require.Less(t, len(part), 1000)
 }
 
-// TestChangeLog: which revisions the log tells of.
+// TestChangeLog tests how far back the log reaches.
 func TestChangeLog(t *testing.T) {
 	l := changeLog{}
 	l.reset(10)
@@ -101,14 +101,14 @@
 		require.Equal(t, test.ok, ok, test.since)
 		require.Equal(t, test.want, slices.Sorted(maps.Keys(servers)), test.since)
 	}
-	kept := l // a view's copy
+	kept := l // as a view does
 	for n := range catalog.Revision(2 * maxLogEntries) {
 		l.add(13+n, "c")
 	}
 	_, ok := l.since(12)
-	require.False(t, ok, "what was dropped is not told of")
+	require.False(t, ok, "dropped entries are not reported")
 	_, ok = l.since(12 + 2*maxLogEntries - 1)
 	require.True(t, ok)
 	servers, _ := kept.since(10)
-	require.Len(t, servers, 2, "a copy stays as it was")
+	require.Len(t, servers, 2, "a copy does not change")
 }
--- a/gateway/handed_view.go
+++ b/gateway/handed_view.go
@@ -7,37 +7,38 @@
 	"opalbridge.dev/gateway/quarantine"
 )
 
-// This file takes over what other gateways tell of their views.
+// This file applies the views that peers hand over.
 
-// peerView is a view that another gateway has told.
+// peerView is a view, or a part of one, that a peer has handed over.
 type peerView struct {
 	from            string
 	snapshot        Snapshot
-	evacuations     map[string]evacuation    // that are evacuated
+	evacuations     map[string]evacuation    // by hall
 	cold            map[string]coldState     // by server
-	rollouts        map[string]rolloutRecord // by service; all of them
-	unverified      []catalog.Server         // that a copy names and that are kept back
-	reconcileUntil  time.Time                // until then the store may lack what it had
-	partial         bool                     // only what has changed since a revision that this gateway has passed
-	removedServers  []string                 // servers that are no more; only if partial
-	removedSuspects []quarantine.Key         // requests that are no suspects any more; only if partial
-	leaving         []string                 // servers that have said that they leave
-	// Without it a whole view leaves what is known of suspects.
+	rollouts        map[string]rolloutRecord // by service; complete also if partial
+	unverified      []catalog.Server         // withheld servers that the restored store lists
+	reconcileUntil  time.Time                // until then the restored store may lack earlier writes
+	partial         bool                     // holds only what has changed since a revision that this gateway has reached
+	removedServers  []string                 // only if partial
+	removedSuspects []quarantine.Key         // only if partial
+	leaving         []string                 // servers that have reported that they are leaving
+	// Whether the peer's version knows of suspects; if not, a whole view leaves the known
+	// suspects as they are.
 	hasSuspects bool
-	confirmed   time.Time // when it was the store's latest
+	confirmed   time.Time // when the view was the store's latest
 }
 
-// applyPeerView takes over the view of another gateway if it is newer than the own one.
+// applyPeerView applies a peer's view if it is newer than this gateway's own.
 func (f *storeWatcher) applyPeerView(now time.Time, h peerView) {
 	f.applyTime = now
 	f.gateway.applyPeerLeaving(now, h.from, h.leaving)
 	v := f.gateway.view.Load()
 	if h.snapshot.Revision <= v.Revision {
-		f.takeConfiguration(v, h)
+		f.applyPeerConfiguration(v, h)
 		return
 	}
 	f.gateway.log.Info().Str("event", "view.handed_over").Str("peer", h.from).
-		EmbedObject(revisionFields(h.snapshot.Revision)).Stringer("before", v.Revision).Bool("partial", h.partial).Msg("a gateway knows more than the store tells")
+		EmbedObject(revisionFields(h.snapshot.Revision)).Stringer("before", v.Revision).Bool("partial", h.partial).Msg("applying a peer's newer view")
 	if h.snapshot.Revision.Era() > v.Revision.Era() {
 		f.enterEra(h.snapshot.Revision, h.reconcileUntil)
 	}
@@ -45,26 +46,26 @@
 	f.applyPeerCold(now, h)
 	f.applyPeerRollouts(now, h.rollouts)
 	if h.partial {
-		f.takePart(h)
+		f.applyPartialView(h)
 	} else {
-		f.takeWhole(h)
+		f.applyFullView(h)
 	}
 	f.gateway.confirm(h.confirmed)
 }
 
-// takeConfiguration takes over a later configuration of a gateway that knows no more of the
-// store: a copy may be older than the one that this gateway has started with.
-func (f *storeWatcher) takeConfiguration(v *View, h peerView) {
+// applyPeerConfiguration applies a newer configuration of a peer whose view is not newer. After
+// a restore of the store, this gateway may have started with an older configuration.
+func (f *storeWatcher) applyPeerConfiguration(v *View, h peerView) {
 	c := h.snapshot.Configuration
 	if c == nil || v.Configuration == nil || c.Version <= v.Configuration.Version {
 		return
 	}
-	f.gateway.log.Info().Str("event", "configuration.handed_over").Str("peer", h.from).Uint64("version", c.Version).Msg("later than what the store tells")
+	f.gateway.log.Info().Str("event", "configuration.handed_over").Str("peer", h.from).Uint64("version", c.Version).Msg("applying a peer's newer configuration")
 	f.publish(c, h.snapshot.RawConfiguration, v.Revision)
 }
 
-// takeWhole takes over the whole view of another gateway.
-func (f *storeWatcher) takeWhole(h peerView) {
+// applyFullView replaces the state by a peer's whole view.
+func (f *storeWatcher) applyFullView(h peerView) {
 	f.serverChanges.reset(h.snapshot.Revision)
 	f.suspectChanges.reset(h.snapshot.Revision)
 	if !h.hasSuspects {
@@ -84,9 +85,9 @@
 	f.applySnapshot(h.snapshot, f.dropServer)
 }
 
-// takePart takes over what has changed at another gateway. Servers that are missing here
-// only stay so: the other one may have dropped them before.
-func (f *storeWatcher) takePart(h peerView) {
+// applyPartialView applies what has changed at a peer. Expiry times are taken only for servers
+// known here: the peer may have dropped the others since.
+func (f *storeWatcher) applyPartialView(h peerView) {
 	for _, server := range h.snapshot.Servers {
 		delete(f.unverified, server.Name())
 		f.upsertServer(server)
--- a/gateway/lifetime_test.go
+++ b/gateway/lifetime_test.go
@@ -11,12 +11,12 @@
 	"opalbridge.dev/gateway/placement"
 )
 
-// lifetime is a server's start.
+// lifetime returns a lifetime of a server.
 func lifetime(name string, born int64) catalog.Server {
 	return catalog.Server{ID: catalog.LifetimeID(name, born), Born: born, Service: "s", Address: "10.0.0.1:80", Capacity: 4}
 }
 
-// ids returns the lifetimes that a gateway believes in.
+// serverIDs returns the lifetimes in a gateway's view.
 func (g *Gateway) serverIDs() []string {
 	var list []string
 	for _, s := range g.view.Load().Servers {
@@ -25,55 +25,55 @@
 	return list
 }
 
-// TestStartedAgain: the later entry of a server ends the lifetime before, whichever start has
-// the larger figure, and however the gateway hears of it.
-func TestStartedAgain(t *testing.T) {
+// TestServerRestart: the later entry of a server replaces the earlier lifetime, whichever start
+// time is larger and however the gateway learns of it.
+func TestServerRestart(t *testing.T) {
 	now := time.Now()
 	first := sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-1", 5000), lifetime("i-2", 1)}, Revision: 3}}
 	tests := []struct {
-		name string
-		hear func(f *storeWatcher)
-		want []string
+		name   string
+		update func(f *storeWatcher)
+		want   []string
 	}{
-		{"by the watch", func(f *storeWatcher) {
+		{"watch", func(f *storeWatcher) {
 			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
 		}, []string{"i-1@6000", "i-2@1"}},
-		{"its host's clock was set back", func(f *storeWatcher) {
+		{"host's clock was set back", func(f *storeWatcher) {
 			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 400)}}})
 		}, []string{"i-1@400", "i-2@1"}},
-		{"twice at once", func(f *storeWatcher) {
+		{"two restarts in one watch", func(f *storeWatcher) {
 			f.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
 				ServerChanged{Server: lifetime("i-1", 6000)}, ServerChanged{Server: lifetime("i-1", 7000)},
 			}})
 		}, []string{"i-1@7000", "i-2@1"}},
-		{"its entry had gone meanwhile", func(f *storeWatcher) {
+		{"entry was removed in between", func(f *storeWatcher) {
 			f.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{ServerRemoved{"i-1"}, ServerChanged{Server: lifetime("i-1", 6000)}}})
 		}, []string{"i-1@6000", "i-2@1"}},
-		{"and is kept for a moment, since the store was away", func(f *storeWatcher) {
+		{"entry was removed in between, in the grace period", func(f *storeWatcher) {
 			f.lastFailure = now
 			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
 			f.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
 			f.expireMissing(now.Add(time.Minute))
 		}, []string{"i-1@6000", "i-2@1"}},
-		{"by a list", func(f *storeWatcher) {
+		{"list", func(f *storeWatcher) {
 			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-1", 6000)}, Revision: 9}})
 		}, []string{"i-1@6000"}},
-		{"an older list comes late", func(f *storeWatcher) {
+		{"late list of an earlier revision", func(f *storeWatcher) {
 			f.applyResult(now, sourceResult{since: 3, revision: 8, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
 			f.applyResult(now, first)
 		}, []string{"i-1@6000", "i-2@1"}},
-		{"its start is not told any more", func(f *storeWatcher) {
+		{"start time is no longer reported", func(f *storeWatcher) {
 			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 0)}}})
 		}, []string{"i-1", "i-2@1"}},
-		{"its entry becomes unreadable", func(f *storeWatcher) {
-			f.lastFailure = now // what is unreadable is not kept
+		{"entry becomes unreadable", func(f *storeWatcher) {
+			f.lastFailure = now // no grace period for unreadable entries
 			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerUnreadable{"i-1"}}})
 		}, []string{"i-2@1"}},
-		{"by a list in which it is unreadable", func(f *storeWatcher) {
+		{"list with an unreadable entry", func(f *storeWatcher) {
 			f.lastFailure = now
 			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-2", 1)}, Unreadable: []string{"i-1"}, Revision: 9}})
 		}, []string{"i-2@1"}},
-		{"and sound again", func(f *storeWatcher) {
+		{"entry becomes unreadable and readable again", func(f *storeWatcher) {
 			f.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{ServerUnreadable{"i-1"}, ServerChanged{Server: lifetime("i-1", 5000)}}})
 		}, []string{"i-1@5000", "i-2@1"}},
 	}
@@ -81,22 +81,22 @@
 		t.Run(test.name, func(t *testing.T) {
 			g := newIdleGateway(t)
 			g.storeWatcher.applyResult(now, first)
-			test.hear(g.storeWatcher)
+			test.update(g.storeWatcher)
 			require.Equal(t, test.want, g.serverIDs())
 		})
 	}
 }
 
-// TestStartedAgainIsHandedOver: a gateway that takes over what has changed at another one
-// ends the lifetime before as well, and one that knows more is not turned back.
-func TestStartedAgainIsHandedOver(t *testing.T) {
+// TestServerRestartInPeerView: a gateway that applies a partial view drops the earlier lifetime
+// too, and a gateway that knows a later one keeps it.
+func TestServerRestartInPeerView(t *testing.T) {
 	now := time.Now()
 	first := sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-1", 5000)}, Revision: 3}}
 	from, to := newIdleGateway(t), newIdleGateway(t)
 	for _, g := range []*Gateway{from, to} {
 		g.storeWatcher.applyResult(now, first)
 	}
-	hand := func(from, to *Gateway) {
+	transfer := func(from, to *Gateway) {
 		raw, err := from.encodedView(now, to.viewQuery())
 		require.NoError(t, err)
 		var d viewDocument
@@ -106,17 +106,17 @@
 		to.storeWatcher.applyPeerView(now, h)
 	}
 	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 400), Cold: time.Second}}})
-	hand(from, to)
+	transfer(from, to)
 	require.Equal(t, []string{"i-1@400"}, to.serverIDs())
 	require.True(t, to.view.Load().Cold["i-1@400"].Witnessed)
 	to.storeWatcher.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
-	hand(from, to)
-	require.Equal(t, []string{"i-1@6000"}, to.serverIDs(), "what is older is passed over")
+	transfer(from, to)
+	require.Equal(t, []string{"i-1@6000"}, to.serverIDs(), "an older view is ignored")
 }
 
-// TestLifetimesAreApart: what was learned of the lifetime before, and what comes late of it,
-// does not count for the later one.
-func TestLifetimesAreApart(t *testing.T) {
+// TestLifetimesAreSeparate: what was learned of an earlier lifetime, and what arrives late of
+// it, does not apply to the later one.
+func TestLifetimesAreSeparate(t *testing.T) {
 	now := time.Now()
 	d := newTestDispatcher(t, now, 1)
 	server := func(born int64) catalog.Server {
@@ -124,12 +124,12 @@
 		s.ID, s.Born = catalog.LifetimeID(s.Name(), born), born
 		return s
 	}
-	see := func(born int64) {
+	setLifetime := func(born int64) {
 		v := *d.view
 		v.Servers = []catalog.Server{server(born)}
 		d.setView(now, &v)
 	}
-	see(1)
+	setLifetime(1)
 	place := func() placement.Assign {
 		reply, _ := d.placeRequest(now, "a", func(a *placement.Request) {
 			a.PromptTokens, a.Objective, a.CallerTimeout, a.Exclude = 50000, 10*time.Second, 30*time.Second, nil
@@ -141,36 +141,36 @@
 	}
 	before := place()
 	again := place()
-	require.Less(t, again.Load.Work, before.Load.Work, "the first part is cached by then")
+	require.Less(t, again.Load.Work, before.Load.Work, "the first part is cached")
 	for range 20 {
 		d.recordEnd(now, attemptEnded{server: server(1).ID, end: placement.Failed})
 	}
-	see(2)
+	setLifetime(2)
 	after := place()
 	require.Equal(t, "i", after.Server.Name()[:1])
 	require.Equal(t, server(2).ID, after.Server.ID)
-	require.Equal(t, before.Load.Work, after.Load.Work, "its cache is empty")
-	require.Zero(t, after.QueueTime, "nothing was sent to it")
-	// News of the lifetime before come late.
+	require.Equal(t, before.Load.Work, after.Load.Work, "the new lifetime's cache is empty")
+	require.Zero(t, after.QueueTime, "nothing was sent to the new lifetime")
+	// Late reports of the earlier lifetime.
 	d.recordFirstEvent(now, firstEventReceived{ticket: before.ID, server: before.Server.ID})
 	d.recordEnd(now, attemptEnded{ticket: before.ID, server: before.Server.ID, end: placement.Unreachable})
 	d.handle(now, cacheReported{server: before.Server.ID, parts: []uint64{7, 8}})
 	require.Equal(t, 1, d.running[after.Server.ID])
 	d.recordEnd(now, attemptEnded{ticket: after.ID, server: after.Server.ID, end: placement.Served})
-	require.Equal(t, server(2).ID, place().Server.ID, "it does not rest")
+	require.Equal(t, server(2).ID, place().Server.ID, "the new lifetime is not in backoff")
 }
 
-// TestCacheOfAnotherLifetime is not taken for that of the one that was asked.
-func TestCacheOfAnotherLifetime(t *testing.T) {
+// TestCacheOfOtherLifetime: a cache report is not applied to another lifetime.
+func TestCacheOfOtherLifetime(t *testing.T) {
 	tests := []struct {
 		name         string
 		answer, self int64
 		of           bool
 	}{
-		{"the same", 5, 5, true},
-		{"another", 6, 5, false},
-		{"the answer tells none", 0, 5, true},
-		{"the entry tells none", 5, 0, true},
+		{"same", 5, 5, true},
+		{"different", 6, 5, false},
+		{"unknown in the answer", 0, 5, true},
+		{"unknown in the entry", 5, 0, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/gateway/lifetimes.go
+++ b/gateway/lifetimes.go
@@ -6,17 +6,17 @@
 	"opalbridge.dev/gateway/catalog"
 )
 
-// This file keeps which servers there are, each from one start to its end.
+// This file maintains the set of servers, each as one lifetime from a start to its end.
 
 func (f *storeWatcher) upsertServer(s catalog.Server) {
 	delete(f.missingUntil, s.ID)
-	s.Evacuated = false // publish fills it in
-	f.endBefore(s)
+	s.Evacuated = false // set by publish
+	f.dropPreviousLifetime(s)
 	delete(f.tombstones.servers, s.Name())
 	f.serverChanges.add(f.changeRevision, s.ID)
 	if old, known := f.servers[s.ID]; !known || old != s {
 		f.gateway.log.Info().Str("event", "server.changed").Str("server", s.ID).Str("service", s.Service).
-			Str("address", s.Address).Str("hall", s.Hall).Bool("leaving", s.Leaving).Bool("new", !known).Msg("server entry")
+			Str("address", s.Address).Str("hall", s.Hall).Bool("leaving", s.Leaving).Bool("new", !known).Msg("server entry changed")
 	}
 	f.putServer(s)
 }
@@ -29,21 +29,21 @@
 	f.currentIDs[s.Name()] = s.ID
 }
 
-// endBefore drops the lifetime that a server had before it started again. News come in the
-// order of the store's revisions, so what is told now is the later one, whatever the clock of
-// the server's host said at the two starts.
-func (f *storeWatcher) endBefore(s catalog.Server) {
-	before, known := f.currentIDs[s.Name()]
-	if !known || before == s.ID {
+// dropPreviousLifetime drops the lifetime that a server had before a restart. Updates
+// come in the order of the store's revisions, so s is the later one whatever the host's clock
+// said at the two starts.
+func (f *storeWatcher) dropPreviousLifetime(s catalog.Server) {
+	previous, known := f.currentIDs[s.Name()]
+	if !known || previous == s.ID {
 		return
 	}
 	f.gateway.log.Info().Str("event", "server.started_again").Str("server", s.Name()).
-		Int64("born", s.Born).Int64("before", f.servers[before].Born).EmbedObject(revisionFields(f.changeRevision)).
-		Msg("nothing that was learned of it holds")
-	f.dropServer(before)
+		Int64("born", s.Born).Int64("before", f.servers[previous].Born).EmbedObject(revisionFields(f.changeRevision)).
+		Msg("server has restarted; its former state is discarded")
+	f.dropServer(previous)
 }
 
-// dropNamed drops the server of that name at once.
+// dropServerByName drops a server at once, by its name.
 func (f *storeWatcher) dropServerByName(name string) {
 	if id, known := f.currentIDs[name]; known {
 		f.dropServer(id)
@@ -55,17 +55,17 @@
 	if !known {
 		return
 	}
-	if f.grace(now) && !s.Leaving {
+	if f.withinGrace(now) && !s.Leaving {
 		if _, already := f.missingUntil[id]; !already {
 			f.missingUntil[id] = f.lastFailure.Add(reregistrationGrace)
-			f.gateway.log.Info().Str("event", "server.missing").Str("server", id).Msg("kept for a moment: the store was away")
+			f.gateway.log.Info().Str("event", "server.missing").Str("server", id).Msg("entry expired while the store was unreachable; server is kept for a grace period")
 		}
 		return
 	}
 	f.dropServer(id)
 }
 
-// drop forgets a server.
+// dropServer drops a server at once, without a grace period.
 func (f *storeWatcher) dropServer(id string) {
 	if s, known := f.servers[id]; known {
 		f.tombstones.addServer(f.applyTime, s)
@@ -78,25 +78,26 @@
 	f.sortedIDs = nil
 	delete(f.missingUntil, id)
 	delete(f.cold, id)
-	f.gateway.log.Info().Str("event", "server.gone").Str("server", id).Msg("no new work")
+	f.gateway.log.Info().Str("event", "server.gone").Str("server", id).Msg("server is gone; it gets no new work")
 }
 
-// expireMissing removes servers whose entry has not come back.
+// expireMissing drops servers whose entry has not been written again within the grace period,
+// and ends the reconciliation after a restore of the store when its time is over.
 func (f *storeWatcher) expireMissing(now time.Time) {
 	f.applyTime = now
 	dropped := false
-	f.changeRevision = f.gateway.view.Load().Revision + 1 // no change of the store says so
+	f.changeRevision = f.gateway.view.Load().Revision + 1 // the store has no revision for this change
 	for id, until := range f.missingUntil {
 		if now.After(until) {
 			f.dropServer(id)
 			dropped = true
 		}
 	}
-	settled, takenBack := f.finishReconciliation(now), f.revertLostOrders(now)
-	if dropped || settled || takenBack {
+	settled, reverted := f.finishReconciliation(now), f.revertLostOrders(now)
+	if dropped || settled || reverted {
 		f.republish()
 	}
 	if now.Sub(f.gateway.confirmedAt()) < confirmationTimeout {
-		f.tombstones.expire(now) // while the store is away, it may come back from a copy of before
+		f.tombstones.expire(now) // not while the store is unreachable: it may come back restored from an older copy
 	}
 }
--- a/gateway/retry/retry.go
+++ b/gateway/retry/retry.go
@@ -1,117 +1,118 @@
-// Package retry tells which requests are a caller's next try. Whoever was turned away comes
-// back on another connection, often to another gateway, with a new id; how long ago it
-// tried first decides whether it can still be in time.
+// Package retry recognizes the retries of callers whose requests were refused. A caller retries on
+// another connection, often at another gateway, with a new ID; how long ago its first attempt was
+// decides whether the request can still be served in time.
 //
-// A caller's try is known by what it asks ([Key]) and by when its patience ends: a next try
-// names so much less time as has passed, so both end at the same moment. Gateways remember
-// whom they turned away and tell each other ([Refusal]).
+// A retry is recognized by its content ([Key]) and its deadline: a retry names a timeout that is
+// shorter by the time passed, so the deadline stays the same. Gateways remember the requests that
+// they refuse and report them to each other ([Refusal]).
 //
 // # Usage
 //
-//	m := retry.NewMemory()
-//	m.Add(now, retry.Refusal{Key: key, Ends: ends, First: first}) // turned away here, or told
-//	first, back := m.First(now, key, ends)                        // a request has come
+//	h := retry.NewHistory()
+//	h.Record(now, retry.Refusal{Key: key, Deadline: d, FirstAttempt: first}) // refused here or by a peer
+//	first, ok := h.FirstAttempt(now, key, d)                                 // a request has arrived
 //
-// Who was turned away by a gateway that nobody heard counts as a first try: a wrong answer
-// costs the order in which requests are served, never a promise. The package takes no lock
-// and reads no clock.
+// A retry of a request that was refused by a gateway whose report got lost counts as a first
+// attempt. A wrong answer affects the order in which requests are served, but no guarantee. The
+// package takes no locks and does not read the clock.
 package retry
 
 import "time"
 
 const (
-	// Two ends of a caller's patience that differ by less are the same: requests take some
-	// milliseconds from the caller, and a busy gateway looks at them up to a hundred later.
+	// tolerance is the difference up to which two deadlines count as the same: requests take some
+	// milliseconds from the caller, and a busy gateway reads them up to 100 ms later.
 	tolerance = 100 * time.Millisecond
-	// A refusal that is told twice ends at the same moment but for the way of the news.
-	sameRefusal = 20 * time.Millisecond
-	// Callers that have given up are looked for this often while the memory is full: it
-	// takes some 50 µs.
-	forgetEvery = 100 * time.Millisecond
-	// Refusals remembered; with more, those that end first are forgotten. 400 a second,
-	// whose callers wait for a third of ten seconds.
-	mostRefusals = 4096
+	// duplicateTolerance is the difference in deadline up to which two refusals are the same one,
+	// reported twice; it covers the time of transmission.
+	duplicateTolerance = 20 * time.Millisecond
+	// evictInterval is the minimum time between evictions of expired refusals while the history
+	// is full; one takes some 50 µs.
+	evictInterval = 100 * time.Millisecond
+	// maxRefusals bounds the history: 400 refusals a second, whose callers wait for a third of
+	// ten seconds. While it is full, new refusals are not recorded.
+	maxRefusals = 4096
 )
 
-// Key names what a request asks, so that another try of it has the same.
+// Key identifies the content of a request; a retry has the same key.
 type Key uint64
 
-// Refusal is a request that was turned away.
+// Refusal is a request that was refused.
 type Refusal struct {
 	Key          Key
-	Deadline     time.Time // when its caller gives up
-	FirstAttempt time.Time // when its caller tried first
+	Deadline     time.Time // when the caller gives up
+	FirstAttempt time.Time // when the caller made its first attempt
 }
 
-// History remembers refusals.
+// History holds refusals whose callers may retry.
 type History struct {
-	refusals  map[Key][]Refusal
-	count     int
-	forgotten time.Time // when callers that have given up were last looked for
+	refusals     map[Key][]Refusal
+	count        int
+	lastEviction time.Time // time of the last eviction
 }
 
-// NewHistory returns an empty memory.
+// NewHistory returns an empty history.
 func NewHistory() *History { return &History{refusals: map[Key][]Refusal{}} }
 
-// Add remembers a refusal.
-func (m *History) Add(now time.Time, r Refusal) {
+// Record adds a refusal.
+func (h *History) Add(now time.Time, r Refusal) {
 	if !now.Before(r.Deadline) {
 		return
 	}
-	for _, known := range m.refusals[r.Key] {
-		if known.Deadline.Sub(r.Deadline).Abs() <= sameRefusal {
-			return // it was told twice
+	for _, known := range h.refusals[r.Key] {
+		if known.Deadline.Sub(r.Deadline).Abs() <= duplicateTolerance {
+			return // reported twice
 		}
 	}
-	if m.count >= mostRefusals && now.Sub(m.forgotten) >= forgetEvery {
-		m.forget(now)
+	if h.count >= maxRefusals && now.Sub(h.lastEviction) >= evictInterval {
+		h.evictExpired(now)
 	}
-	if m.count >= mostRefusals {
-		return // all of them may still come back: the newest is the least likely to have
+	if h.count >= maxRefusals {
+		return // all callers may still retry; the newest is the least likely to have done so
 	}
-	m.refusals[r.Key] = append(m.refusals[r.Key], r)
-	m.count++
+	h.refusals[r.Key] = append(h.refusals[r.Key], r)
+	h.count++
 }
 
-// First returns when the caller of a request tried first, if it was turned away before.
-// That refusal is forgotten: a caller comes back once for each.
-func (m *History) First(now time.Time, key Key, ends time.Time) (first time.Time, back bool) {
-	list := m.refusals[key]
-	best, least := -1, tolerance
+// FirstAttempt returns the time of the first attempt if a request is the retry of a refused one. It
+// removes that refusal, since a caller retries once for each.
+func (h *History) First(now time.Time, key Key, deadline time.Time) (first time.Time, ok bool) {
+	list := h.refusals[key]
+	best, minDiff := -1, tolerance
 	for i, r := range list {
-		if d := r.Deadline.Sub(ends).Abs(); d <= least {
-			best, least = i, d
+		if d := r.Deadline.Sub(deadline).Abs(); d <= minDiff {
+			best, minDiff = i, d
 		}
 	}
 	if best < 0 {
 		return time.Time{}, false
 	}
 	first = list[best].FirstAttempt
-	m.remove(key, best)
+	h.remove(key, best)
 	return first, true
 }
 
-func (m *History) remove(key Key, at int) {
-	list := m.refusals[key]
-	list[at] = list[len(list)-1]
-	m.refusals[key] = list[:len(list)-1]
+func (h *History) remove(key Key, i int) {
+	list := h.refusals[key]
+	list[i] = list[len(list)-1]
+	h.refusals[key] = list[:len(list)-1]
 	if len(list) == 1 {
-		delete(m.refusals, key)
+		delete(h.refusals, key)
 	}
-	m.count--
+	h.count--
 }
 
-// forget drops the refusals of callers that have given up.
-func (m *History) forget(now time.Time) {
-	m.forgotten = now
-	for key, list := range m.refusals {
+// evictExpired removes the refusals whose callers have given up.
+func (h *History) evictExpired(now time.Time) {
+	h.lastEviction = now
+	for key, list := range h.refusals {
 		for i := len(list) - 1; i >= 0; i-- {
 			if !now.Before(list[i].Deadline) {
-				m.remove(key, i)
+				h.remove(key, i)
 			}
 		}
 	}
 }
 
-// Len returns how many refusals are remembered.
-func (m *History) Len() int { return m.count }
+// Len returns the number of refusals.
+func (h *History) Len() int { return h.count }
--- a/gateway/retry/retry_test.go
+++ b/gateway/retry/retry_test.go
@@ -15,64 +15,64 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestFirst(t *testing.T) {
+func TestFirstAttempt(t *testing.T) {
 	const patience = 10 * time.Second
 	refused := retry.Refusal{Key: 1, Deadline: start.Add(patience), FirstAttempt: start}
 	tests := []struct {
-		name  string
-		after time.Duration // since start
-		key   retry.Key
-		ends  time.Time
-		back  bool
+		name    string
+		after   time.Duration // since start
+		key     retry.Key
+		ends    time.Time
+		isRetry bool
 	}{
-		{"it has come back", time.Second, 1, refused.Deadline, true},
-		{"a busy gateway looked at it late", time.Second, 1, refused.Deadline.Add(80 * time.Millisecond), true},
-		{"another caller asks the same", time.Second, 1, refused.Deadline.Add(time.Second), false},
-		{"another request with as much time", time.Second, 2, refused.Deadline, false},
+		{"retry", time.Second, 1, refused.Deadline, true},
+		{"read late by a busy gateway", time.Second, 1, refused.Deadline.Add(80 * time.Millisecond), true},
+		{"same request of another caller", time.Second, 1, refused.Deadline.Add(time.Second), false},
+		{"another request with the same deadline", time.Second, 2, refused.Deadline, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			m := retry.NewHistory()
-			m.Add(start, refused)
-			m.Add(start, refused) // told twice
-			first, back := m.First(start.Add(test.after), test.key, test.ends)
-			require.Equal(t, test.back, back)
-			if back {
+			h := retry.NewHistory()
+			h.Add(start, refused)
+			h.Add(start, refused) // reported twice
+			first, isRetry := h.First(start.Add(test.after), test.key, test.ends)
+			require.Equal(t, test.isRetry, isRetry)
+			if isRetry {
 				require.Equal(t, start, first)
-				require.Zero(t, m.Len(), "a caller comes back once for each refusal")
+				require.Zero(t, h.Len(), "a caller retries once for each refusal")
 			}
 		})
 	}
 }
 
-// TestMemoryIsBounded: callers that have given up make room; without any, new ones get none.
-func TestMemoryIsBounded(t *testing.T) {
-	const most = 4096
-	m := retry.NewHistory()
-	for n := range 2 * most {
-		m.Add(start, retry.Refusal{Key: retry.Key(n), Deadline: start.Add(time.Second), FirstAttempt: start})
+// TestHistoryIsBounded: expired refusals make room; while there are none, new ones are not recorded.
+func TestHistoryIsBounded(t *testing.T) {
+	const maxRefusals = 4096
+	h := retry.NewHistory()
+	for n := range 2 * maxRefusals {
+		h.Add(start, retry.Refusal{Key: retry.Key(n), Deadline: start.Add(time.Second), FirstAttempt: start})
 	}
-	require.Equal(t, most, m.Len())
+	require.Equal(t, maxRefusals, h.Len())
 	later := start.Add(2 * time.Second)
-	m.Add(later, retry.Refusal{Key: 1, Deadline: later.Add(time.Second), FirstAttempt: later})
-	require.Equal(t, 1, m.Len())
+	h.Add(later, retry.Refusal{Key: 1, Deadline: later.Add(time.Second), FirstAttempt: later})
+	require.Equal(t, 1, h.Len())
 }
 
-// try is a request as a gateway sees it.
-type try struct {
+// attempt is a request as a gateway receives it.
+type attempt struct {
 	at       time.Time
 	key      retry.Key
-	patience time.Duration // that the caller names
+	patience time.Duration // timeout that the caller names
 	first    time.Time
 	refused  bool
 }
 
-// play returns the tries of callers whose patience differs by a share of it. A third is
-// refused, and comes back after up to a third of what is left. One key in five is shared by
-// many callers.
-func play(spread float64, outliers bool) []try {
+// simulate returns the attempts of callers whose timeouts vary by the given share. A third of them is
+// refused and retried after up to a third of the remaining time. One key in five is shared by many
+// callers.
+func simulate(spread float64, outliers bool) []attempt {
 	r := rand.New(rand.NewPCG(1, 2))
-	var list []try
+	var list []attempt
 	for n := range 5000 {
 		at := start.Add(time.Duration(n) * 5 * time.Millisecond)
 		key := retry.Key(n + 100)
@@ -84,19 +84,19 @@
 			patience *= 3
 		}
 		refused := r.IntN(3) == 0
-		list = append(list, try{at: at, key: key, patience: patience, first: at, refused: refused})
+		list = append(list, attempt{at: at, key: key, patience: patience, first: at, refused: refused})
 		if refused {
 			wait := 200*time.Millisecond + time.Duration(r.Float64()*float64(patience)/3)
-			way := time.Duration(r.IntN(10)) * time.Millisecond // there and back
-			list = append(list, try{at: at.Add(wait + way), key: key, patience: patience - wait, first: at})
+			roundTrip := time.Duration(r.IntN(10)) * time.Millisecond // round trip
+			list = append(list, attempt{at: at.Add(wait + roundTrip), key: key, patience: patience - wait, first: at})
 		}
 	}
-	slices.SortStableFunc(list, func(x, y try) int { return cmp.Compare(x.at.UnixNano(), y.at.UnixNano()) })
+	slices.SortStableFunc(list, func(x, y attempt) int { return cmp.Compare(x.at.UnixNano(), y.at.UnixNano()) })
 	return list
 }
 
-// TestPrecisionAndRecall plays callers with patience of any spread, beside a guess by the
-// longest patience seen, which takes callers with less of it for ones that have come back.
+// TestPrecisionAndRecall simulates callers with varying timeouts. The baseline takes each request with
+// less than the longest timeout seen for a retry, and so misjudges callers with shorter timeouts.
 func TestPrecisionAndRecall(t *testing.T) {
 	tests := []struct {
 		spread   float64
@@ -105,37 +105,37 @@
 	for _, test := range tests {
 		name := fmt.Sprintf("spread %.2f outliers %v", test.spread, test.outliers)
 		t.Run(name, func(t *testing.T) {
-			m := retry.NewHistory()
-			var memory, longest counts
-			most := time.Duration(0)
-			for _, x := range play(test.spread, test.outliers) {
-				most = max(most, x.patience)
-				longest.add(x, most-x.patience > 50*time.Millisecond)
-				first, back := m.First(x.at, x.key, x.at.Add(x.patience))
-				memory.add(x, back && first.Equal(x.first))
+			h := retry.NewHistory()
+			var history, baseline counts
+			longest := time.Duration(0)
+			for _, x := range simulate(test.spread, test.outliers) {
+				longest = max(longest, x.patience)
+				baseline.add(x, longest-x.patience > 50*time.Millisecond)
+				first, isRetry := h.First(x.at, x.key, x.at.Add(x.patience))
+				history.add(x, isRetry && first.Equal(x.first))
 				if x.refused {
-					m.Add(x.at, retry.Refusal{Key: x.key, Deadline: x.at.Add(x.patience), FirstAttempt: x.first})
+					h.Add(x.at, retry.Refusal{Key: x.key, Deadline: x.at.Add(x.patience), FirstAttempt: x.first})
 				}
 			}
-			fmt.Printf("figure precision-%.2f-%v %.3f share (longest patience: %.3f)\n", test.spread, test.outliers, memory.precision(), longest.precision())
-			fmt.Printf("figure recall-%.2f-%v %.3f share (longest patience: %.3f)\n", test.spread, test.outliers, memory.recall(), longest.recall())
-			require.Greater(t, memory.precision(), 0.97)
-			require.Greater(t, memory.recall(), 0.97)
+			fmt.Printf("figure precision-%.2f-%v %.3f share (longest patience: %.3f)\n", test.spread, test.outliers, history.precision(), baseline.precision())
+			fmt.Printf("figure recall-%.2f-%v %.3f share (longest patience: %.3f)\n", test.spread, test.outliers, history.recall(), baseline.recall())
+			require.Greater(t, history.precision(), 0.97)
+			require.Greater(t, history.recall(), 0.97)
 		})
 	}
 }
 
-// counts are of tries that are said to have come back.
+// counts counts the requests taken for retries, rightly or wrongly, and the retries missed.
 type counts struct{ right, wrong, missed int }
 
-func (c *counts) add(x try, said bool) {
-	back := x.first != x.at
+func (c *counts) add(x attempt, reported bool) {
+	isRetry := x.first != x.at
 	switch {
-	case said && back:
+	case reported && isRetry:
 		c.right++
-	case said:
+	case reported:
 		c.wrong++
-	case back:
+	case isRetry:
 		c.missed++
 	}
 }
--- a/gateway/settle.go
+++ b/gateway/settle.go
@@ -8,101 +8,102 @@
 	"opalbridge.dev/gateway/rollout"
 )
 
-// This file takes over a store that has come back from an older copy. Its revisions are of a
-// later era (see [catalog.Revision]), so a view of it replaces any view of before, and each
-// gateway that hears of the era lists anew or takes such a view from another one.
+// This file handles a store that was restored from an older copy. Its revisions are of a later
+// era (see [catalog.Revision]), so a view of it replaces any earlier view, and each gateway that
+// hears of the era lists again or fetches such a view from a peer.
 //
-// But for a moment the copy is older than what is known: operators and servers write again what
-// it lacks. Until then (settleTime) a view of the new era is put together from both:
+// At first the copy is older than what the gateways know: operators and servers write again what
+// it lacks. During that time (reconcilePeriod) a view of the new era is merged from both:
 //
 //   - the configuration is the one of the highest version;
-//   - a lifetime that has said that it leaves does so, until it writes something else;
-//   - a server, an evacuated hall or a suspect that the copy lacks is kept, and gone after that
-//     time if nobody has written it again;
-//   - a server of which another lifetime is known, or whose entry had gone, gets nothing until it
-//     writes again, or until that time is over and its entry is still there.
+//   - a lifetime that has reported that it is leaving stays leaving until its entry is
+//     written again;
+//   - a server, an evacuated hall or a suspect that the copy lacks is kept, and removed after
+//     the period if nobody has written it again;
+//   - a server of which another lifetime is known, or whose entry was gone, gets no work until
+//     its entry is written again, or until the period is over and the entry is still there.
 //
-// What the gateways themselves had written, nobody else writes again: see suspects.rewrite.
-// Claims of cold servers are not written again, see [warmup.Episode]: who holds one goes on, and
-// nobody else can claim it.
+// What the gateways themselves wrote, nobody else writes again: see
+// suspectTracker.scheduleRewrites. Claims of cold servers are not written again, see
+// [warmup.Episode]: the holder of one goes on, and nobody else can claim the server.
 
 const (
-	// Operators and servers have written again by then what a copy lacks: they take about two
-	// seconds.
+	// reconcilePeriod is the time in which operators and servers have written again what a copy
+	// lacks: they take about two seconds.
 	reconcilePeriod = reregistrationGrace
-	// Servers and suspects that are gone are remembered for so long: copies are some seconds
-	// old, and an outage lasts some more.
-	goneKept = time.Minute
-	// And so many of each at most; a fleet of 10,000 that is replaced at once fits.
-	mostGone = 1 << 14
+	// tombstoneTTL is how long removed servers and suspects are remembered: copies are some
+	// seconds old, and an outage adds some more.
+	tombstoneTTL = time.Minute
+	// maxTombstones bounds each kind; a fleet of 10,000 that is replaced at once fits.
+	maxTombstones = 1 << 14
 )
 
-// memory is what a gateway remembers of the store's past, in case it comes back from a copy.
+// tombstones remembers what was removed from the store, in case it is restored from a copy.
 type tombstones struct {
-	servers  map[string]ended             // servers whose entry has gone, by name
-	suspects map[quarantine.Key]time.Time // suspects that are kept no more, and since when
+	servers  map[string]serverTombstone   // removed servers, by name
+	suspects map[quarantine.Key]time.Time // removed suspects, by the time of removal
 }
 
-// ended is the last that was known of a server.
-type ended struct {
+// serverTombstone is the last state of a removed server.
+type serverTombstone struct {
 	at       time.Time
 	lifetime string
 	leaving  bool
 }
 
 func newTombstones() tombstones {
-	return tombstones{servers: map[string]ended{}, suspects: map[quarantine.Key]time.Time{}}
+	return tombstones{servers: map[string]serverTombstone{}, suspects: map[quarantine.Key]time.Time{}}
 }
 
-// dropped notes that a server is gone.
+// addServer records that a server was removed.
 func (m *tombstones) addServer(now time.Time, s catalog.Server) {
-	if len(m.servers) < mostGone {
-		m.servers[s.Name()] = ended{at: now, lifetime: s.ID, leaving: s.Leaving}
+	if len(m.servers) < maxTombstones {
+		m.servers[s.Name()] = serverTombstone{at: now, lifetime: s.ID, leaving: s.Leaving}
 	}
 }
 
-// lift notes that a suspect is kept no more.
+// addSuspect records that a suspect was removed.
 func (m *tombstones) addSuspect(now time.Time, k quarantine.Key) {
-	if len(m.suspects) < mostGone {
+	if len(m.suspects) < maxTombstones {
 		m.suspects[k] = now
 	}
 }
 
-// forget drops what is too old to matter.
+// expire drops tombstones older than tombstoneTTL.
 func (m *tombstones) expire(now time.Time) {
 	for name, e := range m.servers {
-		if now.Sub(e.at) > goneKept {
+		if now.Sub(e.at) > tombstoneTTL {
 			delete(m.servers, name)
 		}
 	}
 	for k, at := range m.suspects {
-		if now.Sub(at) > goneKept {
+		if now.Sub(at) > tombstoneTTL {
 			delete(m.suspects, k)
 		}
 	}
 }
 
-// reconciling tells whether the store may lack what it had: it has come back from a copy.
+// reconciling reports whether the store was restored and may still lack earlier writes.
 func (f *storeWatcher) reconciling(now time.Time) bool { return now.Before(f.reconcileUntil) }
 
-// enter takes over that the store is in a later era than the one that was known, whose views
-// may lack what they had until a moment.
+// enterEra starts the reconciliation with a restored store, whose views may lack earlier writes
+// until the given time.
 func (f *storeWatcher) enterEra(revision catalog.Revision, settled time.Time) {
 	before := f.gateway.view.Load()
 	f.reconcileUntil = settled
 	if before.Configuration == nil {
-		return // nothing is known of before
+		return // there is nothing to reconcile
 	}
 	f.gateway.log.Warn().Str("event", "store.returned").EmbedObject(revisionFields(revision)).Stringer("before", before.Revision).
 		Int("servers", len(f.servers)).Int("gone", len(f.tombstones.servers)).
 		Int("halls", len(f.evacuations)).Int("suspects", len(f.suspects)).
-		Msg("it has come back from a copy: what it lacks is kept for a moment")
+		Msg("store was restored from a copy; what the copy lacks is kept for a grace period")
 }
 
-// revives tells whether a view of a new era names a server whose entry had gone before, or another
-// lifetime than is known of it. Which of two is the later one nobody knows until the
-// server writes again, so neither gets anything: the copy may lack a start that the other
-// gateways know of, or this one may have missed it.
+// withholdUnverified withholds a server of a restored store's view if its entry was removed
+// before, or another lifetime of it is known, and reports whether it did. Which of the two is
+// the later one is unknown until the server writes its entry again, so neither gets work: the
+// copy may lack a restart that the gateways know of, or this gateway may have missed one.
 func (f *storeWatcher) withholdUnverified(s catalog.Server) bool {
 	before, gone := f.tombstones.servers[s.Name()]
 	current, known := f.currentIDs[s.Name()]
@@ -115,28 +116,28 @@
 	return true
 }
 
-// hold keeps back a server that a copy has revived, and the lifetime that is known of it.
+// withhold excludes from the view a server that a restored store lists, and its known lifetime.
 func (f *storeWatcher) withhold(s catalog.Server) {
 	current, known := f.currentIDs[s.Name()]
-	f.gateway.log.Info().Str("event", "server.revived").Str("server", s.ID).Str("known", current).Msg("more is known of it than the copy says: nothing until it writes again")
+	f.gateway.log.Info().Str("event", "server.revived").Str("server", s.ID).Str("known", current).Msg("restored entry contradicts what is known; no work until the server writes its entry again")
 	f.unverified[s.Name()] = s
 	c, cold := f.cold[s.ID]
 	if known {
 		f.dropServer(current)
 	}
 	if cold {
-		f.cold[s.ID] = c // it may still be when it is believed
+		f.cold[s.ID] = c // still holds if the server turns out to be live
 	}
 }
 
-// leaves tells whether a server that a whole view names leaves: one that had said so does, also if
-// a copy does not have that.
+// isLeaving reports whether a server of a whole view is leaving. One that was leaving before
+// the restore still is, even if the copy does not say so.
 func (f *storeWatcher) isLeaving(s catalog.Server) bool {
 	return s.Leaving || f.reconciling(f.applyTime) && f.servers[s.ID].Leaving
 }
 
-// lack takes over that a whole view does not name a server. One that a copy lacks is kept until
-// the view has settled.
+// handleAbsent handles a server that a whole view lacks. During reconciliation it is kept until
+// the period is over.
 func (f *storeWatcher) handleAbsent(id string, drop func(id string)) {
 	if !f.reconciling(f.applyTime) {
 		drop(id)
@@ -145,11 +146,12 @@
 	until, already := f.missingUntil[id]
 	f.missingUntil[id] = latest(until, f.reconcileUntil)
 	if !already {
-		f.gateway.log.Info().Str("event", "server.missing").Str("server", id).Msg("kept for a moment: the copy may lack it")
+		f.gateway.log.Info().Str("event", "server.missing").Str("server", id).Msg("not in the restored store; server is kept for a grace period")
 	}
 }
 
-// settle ends what was kept for a moment only. It returns whether that may have changed the view.
+// finishReconciliation ends the reconciliation when its time is over. It reports whether the
+// view may have changed.
 func (f *storeWatcher) finishReconciliation(now time.Time) bool {
 	if f.reconcileUntil.IsZero() || f.reconciling(now) {
 		return false
@@ -166,13 +168,13 @@
 			delete(f.cold, id)
 		}
 	}
-	f.gateway.log.Info().Str("event", "store.settled").EmbedObject(revisionFields(f.gateway.view.Load().Revision)).Msg("it has what had been written before it came back")
+	f.gateway.log.Info().Str("event", "store.settled").EmbedObject(revisionFields(f.gateway.view.Load().Revision)).Msg("reconciliation with the restored store is complete")
 	return true
 }
 
-// takeBackLost takes evacuations and orders of roll-outs back of which the store has told nothing since it came back from
-// a copy, also one that a gateway for which the view had not settled has told later. It returns
-// whether there was one.
+// revertLostOrders reverts evacuations and roll-out orders that nobody has written again since the
+// store was restored, including those handed over later by a peer that was still reconciling. It
+// reports whether there were any.
 func (f *storeWatcher) revertLostOrders(now time.Time) (found bool) {
 	if f.reconciling(now) {
 		return false
@@ -193,27 +195,27 @@
 	return found
 }
 
-// mergeSuspects returns what is kept of suspects, by what a view of a new era says and what was
-// known, and lets what the store lacks or should not have any more be written again.
-func (f *storeWatcher) mergeSuspects(told map[quarantine.Key]quarantine.StoredRecord) map[quarantine.Key]quarantine.StoredRecord {
-	merged := make(map[quarantine.Key]quarantine.StoredRecord, len(told))
-	var differ []quarantine.Key
-	for k, is := range told {
+// mergeSuspects merges the suspects of a restored store's view with the known ones, and schedules
+// a rewrite of those that the store lacks or should no longer have.
+func (f *storeWatcher) mergeSuspects(stored map[quarantine.Key]quarantine.StoredRecord) map[quarantine.Key]quarantine.StoredRecord {
+	merged := make(map[quarantine.Key]quarantine.StoredRecord, len(stored))
+	var changed []quarantine.Key
+	for k, record := range stored {
 		if _, lifted := f.tombstones.suspects[k]; lifted {
-			differ = append(differ, k)
+			changed = append(changed, k)
 			continue
 		}
-		merged[k] = is.Merge(f.suspects[k])
-		if !merged[k].Equal(is) {
-			differ = append(differ, k)
+		merged[k] = record.Merge(f.suspects[k])
+		if !merged[k].Equal(record) {
+			changed = append(changed, k)
 		}
 	}
-	for k, was := range f.suspects {
-		if _, there := told[k]; !there {
-			merged[k] = was
-			differ = append(differ, k)
+	for k, known := range f.suspects {
+		if _, found := stored[k]; !found {
+			merged[k] = known
+			changed = append(changed, k)
 		}
 	}
-	f.gateway.suspects.scheduleRewrites(f.applyTime, differ, f.gateway.watchesStore.Load())
+	f.gateway.suspects.scheduleRewrites(f.applyTime, changed, f.gateway.watchesStore.Load())
 	return merged
 }
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -10,27 +10,20 @@
 	"opalbridge.dev/gateway/peer"
 )
 
-// What users saw: a server said that it leaves, the store came back from a copy that did not
-// have that, and the server got new requests again, more than two seconds after it had said so.
-//
-// The order of events: (1) the entry says that it leaves, at all gateways; (2) the copy says
-// ready, and whoever lists it believes the copy, which is older than what was known; (3) two
-// seconds later the server has written again.
-//
-// The cause: a list of the store was taken for all there is. The evidence: of two writes lost and
-// six others made before anybody asked, views went back at the first list, in our own worlds (169
-// late requests at three gateways).
+// These tests guard against a restored store that lacks recent writes. If a list of it is taken as
+// complete, a server that has reported that it is leaving becomes ready again in all views until it
+// writes its entry again, about two seconds later, and gets new requests in the meantime.
 
-// staying is a lifetime that takes work, and parting the same one that has said that it leaves.
-func staying() catalog.Server { return lifetime("i-1", 5) }
+// testServer is a lifetime that takes work; testServerLeaving is the same one, leaving.
+func testServer() catalog.Server { return lifetime("i-1", 5) }
 
-func parting() catalog.Server {
-	s := staying()
+func testServerLeaving() catalog.Server {
+	s := testServer()
 	s.Leaving = true
 	return s
 }
 
-func (g *Gateway) takesWork() []string {
+func (g *Gateway) availableServers() []string {
 	var list []string
 	for _, s := range g.view.Load().Servers {
 		if !s.Leaving {
@@ -40,181 +33,183 @@
 	return list
 }
 
-// TestCopyIsOlder: what a gateway believes after the store has come back from a copy, at once,
-// when something is written again, and when all has been.
-func TestCopyIsOlder(t *testing.T) {
+// TestRestoredStoreIsOlder tests the view after a restore of the store: at once, after a write, and
+// after the reconciliation.
+func TestRestoredStoreIsOlder(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	other := lifetime("i-2", 6)
-	gone := sourceResult{since: before - 1, revision: before, changes: []Change{ServerRemoved{"i-1"}}}
-	again := func(c Change) []sourceResult {
+	removed := sourceResult{since: before - 1, revision: before, changes: []Change{ServerRemoved{"i-1"}}}
+	write := func(c Change) []sourceResult {
 		return []sourceResult{{since: after, revision: after + 1, changes: []Change{c}}}
 	}
 	tests := []struct {
 		name               string
-		known              []sourceResult // of the era before; the last one is of revision before
-		copy               sourceResult
+		known              []sourceResult // in the era before; the last one has revision before
+		restored           sourceResult
 		then               []sourceResult
-		atOnce, later, end []string // that take work: after the copy, after what was written then, and when settled
+		atOnce, later, end []string // servers that take work: after the restore, after the writes in then, and after the reconciliation
 	}{
-		{"it says that a leaving server is ready", []sourceResult{listResult(before, 1, parting(), other)}, listResult(after, 1, staying(), other),
+		{"leaving server is listed as ready", []sourceResult{listResult(before, 1, testServerLeaving(), other)}, listResult(after, 1, testServer(), other),
 			nil, []string{"i-2@6"}, nil, []string{"i-2@6"}},
-		{"and another list does", []sourceResult{listResult(before, 1, parting(), other)}, listResult(after, 1, staying(), other),
-			[]sourceResult{listResult(after+1, 1, staying(), other)}, []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
-		{"it lacks a leaving server", []sourceResult{listResult(before, 1, parting(), other)}, listResult(after, 1, other),
-			again(ServerChanged{Server: parting()}), []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
-		{"which has changed its mind", []sourceResult{listResult(before, 1, parting(), other)}, listResult(after, 1, staying(), other),
-			again(ServerChanged{Server: staying()}), []string{"i-2@6"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
-		{"it has a leaving server that had gone as ready", []sourceResult{listResult(before-1, 1, parting(), other), gone}, listResult(after, 1, staying(), other),
+		{"leaving server is listed as ready twice", []sourceResult{listResult(before, 1, testServerLeaving(), other)}, listResult(after, 1, testServer(), other),
+			[]sourceResult{listResult(after+1, 1, testServer(), other)}, []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
+		{"leaving server is not listed", []sourceResult{listResult(before, 1, testServerLeaving(), other)}, listResult(after, 1, other),
+			write(ServerChanged{Server: testServerLeaving()}), []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
+		{"leaving server becomes ready", []sourceResult{listResult(before, 1, testServerLeaving(), other)}, listResult(after, 1, testServer(), other),
+			write(ServerChanged{Server: testServer()}), []string{"i-2@6"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
+		{"removed leaving server is listed as ready", []sourceResult{listResult(before-1, 1, testServerLeaving(), other), removed}, listResult(after, 1, testServer(), other),
 			nil, []string{"i-2@6"}, nil, []string{"i-2@6"}},
-		{"it lacks a server", []sourceResult{listResult(before, 1, staying(), other)}, listResult(after, 1, other),
+		{"server is not listed", []sourceResult{listResult(before, 1, testServer(), other)}, listResult(after, 1, other),
 			nil, []string{"i-1@5", "i-2@6"}, nil, []string{"i-2@6"}},
-		{"that writes again", []sourceResult{listResult(before, 1, staying(), other)}, listResult(after, 1, other),
-			again(ServerChanged{Server: staying()}), []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
-		{"it has a server that had gone", []sourceResult{listResult(before-1, 1, staying(), other), gone}, listResult(after, 1, staying(), other),
+		{"server is not listed and writes again", []sourceResult{listResult(before, 1, testServer(), other)}, listResult(after, 1, other),
+			write(ServerChanged{Server: testServer()}), []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
+		{"removed server is listed", []sourceResult{listResult(before-1, 1, testServer(), other), removed}, listResult(after, 1, testServer(), other),
 			nil, []string{"i-2@6"}, nil, []string{"i-1@5", "i-2@6"}},
-		{"whose entry goes again", []sourceResult{listResult(before-1, 1, staying(), other), gone}, listResult(after, 1, staying(), other),
-			again(ServerRemoved{"i-1"}), []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
-		{"or which writes again", []sourceResult{listResult(before-1, 1, staying(), other), gone}, listResult(after, 1, staying(), other),
-			again(ServerChanged{Server: staying()}), []string{"i-2@6"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
-		{"it has the lifetime before", []sourceResult{listResult(before-1, 1, staying()), {since: before - 1, revision: before, changes: []Change{ServerChanged{Server: lifetime("i-1", 3)}}}},
-			listResult(after, 1, staying()), again(ServerChanged{Server: lifetime("i-1", 3)}), []string{}, []string{"i-1@3"}, []string{"i-1@3"}},
-		{"it has one before the first that is known", []sourceResult{listResult(before, 1, lifetime("i-1", 3))}, listResult(after, 1, staying()),
-			again(ServerChanged{Server: lifetime("i-1", 3)}), []string{}, []string{"i-1@3"}, []string{"i-1@3"}},
-		{"it has a later one", []sourceResult{listResult(before, 1, staying())}, listResult(after, 1, lifetime("i-1", 9)),
+		{"removed server is listed and removed again", []sourceResult{listResult(before-1, 1, testServer(), other), removed}, listResult(after, 1, testServer(), other),
+			write(ServerRemoved{"i-1"}), []string{"i-2@6"}, []string{"i-2@6"}, []string{"i-2@6"}},
+		{"removed server is listed and writes again", []sourceResult{listResult(before-1, 1, testServer(), other), removed}, listResult(after, 1, testServer(), other),
+			write(ServerChanged{Server: testServer()}), []string{"i-2@6"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
+		{"previous lifetime is listed", []sourceResult{listResult(before-1, 1, testServer()), {since: before - 1, revision: before, changes: []Change{ServerChanged{Server: lifetime("i-1", 3)}}}},
+			listResult(after, 1, testServer()), write(ServerChanged{Server: lifetime("i-1", 3)}), []string{}, []string{"i-1@3"}, []string{"i-1@3"}},
+		{"lifetime before the first known one is listed", []sourceResult{listResult(before, 1, lifetime("i-1", 3))}, listResult(after, 1, testServer()),
+			write(ServerChanged{Server: lifetime("i-1", 3)}), []string{}, []string{"i-1@3"}, []string{"i-1@3"}},
+		{"later lifetime is listed", []sourceResult{listResult(before, 1, testServer())}, listResult(after, 1, lifetime("i-1", 9)),
 			nil, []string{}, nil, []string{"i-1@9"}},
-		{"a server starts meanwhile", []sourceResult{listResult(before, 1, staying())}, listResult(after, 1, staying()),
-			again(ServerChanged{Server: other}), []string{"i-1@5"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
+		{"server starts during the reconciliation", []sourceResult{listResult(before, 1, testServer())}, listResult(after, 1, testServer()),
+			write(ServerChanged{Server: other}), []string{"i-1@5"}, []string{"i-1@5", "i-2@6"}, []string{"i-1@5", "i-2@6"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g, now := newIdleGateway(t), time.Now()
-			believes := func(want []string) {
+			requireAvailable := func(want []string) {
 				t.Helper()
 				if want != nil {
-					require.ElementsMatch(t, want, g.takesWork())
+					require.ElementsMatch(t, want, g.availableServers())
 				}
 			}
 			for _, a := range test.known {
 				g.storeWatcher.applyResult(now, a)
 			}
-			g.storeWatcher.applyResult(now, test.copy)
-			believes(test.atOnce)
+			g.storeWatcher.applyResult(now, test.restored)
+			requireAvailable(test.atOnce)
 			now = now.Add(time.Second)
 			for _, a := range test.then {
 				g.storeWatcher.applyResult(now, a)
 			}
-			believes(test.later)
+			requireAvailable(test.later)
 			now = now.Add(reconcilePeriod)
 			g.storeWatcher.expireMissing(now)
-			believes(test.end)
+			requireAvailable(test.end)
 			require.True(t, g.view.Load().ReconcileUntil.IsZero())
 		})
 	}
 }
 
-// TestCopyTurnsNoConfigurationBack, whoever tells the older one; and a gateway that knows the
-// store as well as another one, but an older configuration, takes the later one over.
-func TestCopyTurnsNoConfigurationBack(t *testing.T) {
+// TestRestoreKeepsNewerConfiguration: an older configuration, from the store or a peer, does not
+// replace a newer one, and a gateway with an older configuration takes the newer one of a peer that
+// knows no later revision.
+func TestRestoreKeepsNewerConfiguration(t *testing.T) {
 	now := time.Now()
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
-	lived, started := newIdleGateway(t), newIdleGateway(t)
-	lived.storeWatcher.applyResult(now, listResult(before, 7, staying()))
-	started.storeWatcher.applyResult(now, listResult(after+1, 5, staying()))
+	longRunning, started := newIdleGateway(t), newIdleGateway(t)
+	longRunning.storeWatcher.applyResult(now, listResult(before, 7, testServer()))
+	started.storeWatcher.applyResult(now, listResult(after+1, 5, testServer()))
 	require.Equal(t, uint64(5), started.view.Load().Configuration.Version)
-	lived.storeWatcher.applyResult(now, listResult(after, 5, staying()))
-	require.Equal(t, uint64(7), lived.view.Load().Configuration.Version)
-	transferView(t, now, started, lived, unchanged)
-	require.Equal(t, uint64(7), lived.view.Load().Configuration.Version)
+	longRunning.storeWatcher.applyResult(now, listResult(after, 5, testServer()))
+	require.Equal(t, uint64(7), longRunning.view.Load().Configuration.Version)
+	transferView(t, now, started, longRunning, unchanged)
+	require.Equal(t, uint64(7), longRunning.view.Load().Configuration.Version)
 
 	h := updateReceiver{gateway: started, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
 	for range 4 {
 		now = now.Add(handoverDelay / 2)
 		h.handle(t.Context(), now, peer.Update{From: "127.0.0.9", Hall: "other", Alive: true, StoreRevision: after, ConfigurationVersion: 7})
 	}
-	require.True(t, h.fetching, "it knows a later configuration")
+	require.True(t, h.fetching, "the peer knows a newer configuration")
 	<-h.fetched
-	transferView(t, now, lived, started, func(d *viewDocument) { require.True(t, d.Partial, "no more than that is told") })
+	transferView(t, now, longRunning, started, func(d *viewDocument) { require.True(t, d.Partial, "only the configuration is sent") })
 	require.Equal(t, uint64(7), started.view.Load().Configuration.Version)
 	require.Equal(t, after+1, started.view.Load().Revision)
 }
 
-// TestStartedGatewayTurnsNobodyBack: it knows the copy only, and hands it over.
-func TestStartedGatewayTurnsNobodyBack(t *testing.T) {
+// TestPeerViewOfRestoredStore: a gateway that has started after a restore hands over the older copy.
+func TestPeerViewOfRestoredStore(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	other := lifetime("i-2", 6)
-	for _, known := range []catalog.Revision{before, after} { // of the one that it is handed to
+	for _, known := range []catalog.Revision{before, after} { // revision known to the receiving gateway
 		now := time.Now()
-		lived, started := newIdleGateway(t), newIdleGateway(t)
-		lived.storeWatcher.applyResult(now, listResult(before, 7, parting(), other))
+		longRunning, started := newIdleGateway(t), newIdleGateway(t)
+		longRunning.storeWatcher.applyResult(now, listResult(before, 7, testServerLeaving(), other))
 		if known == after {
-			lived.storeWatcher.applyResult(now, listResult(after, 5, staying()))
+			longRunning.storeWatcher.applyResult(now, listResult(after, 5, testServer()))
 		}
-		started.storeWatcher.applyResult(now, listResult(after+1, 5, staying()))
-		transferView(t, now, started, lived, unchanged)
-		require.Equal(t, after+1, lived.view.Load().Revision)
-		require.Equal(t, []string{"i-2@6"}, lived.takesWork(), "one leaves, the other one the copy lacks")
-		lived.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
-		require.Empty(t, lived.takesWork(), "nobody has written it again")
+		started.storeWatcher.applyResult(now, listResult(after+1, 5, testServer()))
+		transferView(t, now, started, longRunning, unchanged)
+		require.Equal(t, after+1, longRunning.view.Load().Revision)
+		require.Equal(t, []string{"i-2@6"}, longRunning.availableServers(), "i-1 is leaving, i-2 is not in the copy")
+		longRunning.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
+		require.Empty(t, longRunning.availableServers(), "i-2 was not written again")
 	}
 }
 
-// TestSettledViewIsTheStore: a gateway that was cut off takes over the view of one for which all
-// has been written again long ago; what that one lacks is gone.
-func TestSettledViewIsTheStore(t *testing.T) {
+// TestReconciledViewReplacesOlder: a gateway that was cut off takes the view of a peer that has
+// finished the reconciliation, and drops what that view lacks.
+func TestReconciledViewReplacesOlder(t *testing.T) {
 	now := time.Now()
-	cut, lived := newIdleGateway(t), newIdleGateway(t)
-	for _, g := range []*Gateway{cut, lived} {
-		g.storeWatcher.applyResult(now, listResult(catalog.NewRevision(1, 90), 1, staying(), lifetime("i-2", 6)))
+	partitioned, longRunning := newIdleGateway(t), newIdleGateway(t)
+	for _, g := range []*Gateway{partitioned, longRunning} {
+		g.storeWatcher.applyResult(now, listResult(catalog.NewRevision(1, 90), 1, testServer(), lifetime("i-2", 6)))
 	}
-	lived.storeWatcher.applyResult(now, listResult(catalog.NewRevision(3, 9), 1, staying()))
+	longRunning.storeWatcher.applyResult(now, listResult(catalog.NewRevision(3, 9), 1, testServer()))
 	now = now.Add(reconcilePeriod + time.Millisecond)
-	lived.storeWatcher.expireMissing(now)
-	transferView(t, now, lived, cut, unchanged)
-	require.Equal(t, []string{"i-1@5"}, cut.takesWork())
+	longRunning.storeWatcher.expireMissing(now)
+	transferView(t, now, longRunning, partitioned, unchanged)
+	require.Equal(t, []string{"i-1@5"}, partitioned.availableServers())
 }
 
-// TestHallsOverAReturn: a hall whose evacuation the copy lacks stays evacuated until operators
-// have written again, and no longer.
-func TestHallsOverAReturn(t *testing.T) {
+// TestEvacuationAfterRestore: a hall whose evacuation the copy lacks stays evacuated until the end of
+// the reconciliation, and after that only if the operators have ordered it again.
+func TestEvacuationAfterRestore(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
-	for _, written := range []bool{true, false} {
+	for _, rewritten := range []bool{true, false} {
 		now := time.Now()
 		g := newIdleGateway(t)
-		first := listResult(before, 1, staying())
+		first := listResult(before, 1, testServer())
 		first.snapshot.Evacuated = map[string]catalog.Revision{"": before - 4}
 		g.storeWatcher.applyResult(now, first)
-		g.storeWatcher.applyResult(now, listResult(after, 1, staying()))
+		g.storeWatcher.applyResult(now, listResult(after, 1, testServer()))
 		require.True(t, g.view.Load().Servers[0].Evacuated)
-		if written {
+		if rewritten {
 			g.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{HallEvacuated{Revision: after + 1}}})
 		}
 		g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
-		require.Equal(t, written, g.view.Load().Servers[0].Evacuated)
+		require.Equal(t, rewritten, g.view.Load().Servers[0].Evacuated)
 	}
 }
 
-// TestLostEvacuationIsToldLate: a gateway for which the view has settled hears of an evacuation of
-// the era before from one for which it has not, and takes it back as well.
-func TestLostEvacuationIsToldLate(t *testing.T) {
+// TestLateReportOfLostEvacuation: a gateway that has finished the reconciliation hears of a lost
+// evacuation from a peer that has not, and reverts it as well.
+func TestLateReportOfLostEvacuation(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	now := time.Now()
 	early, late := newIdleGateway(t), newIdleGateway(t)
-	early.storeWatcher.applyResult(now, listResult(before, 1, staying()))
-	early.storeWatcher.applyResult(now, listResult(after, 1, staying()))
-	first := listResult(before, 1, staying())
+	early.storeWatcher.applyResult(now, listResult(before, 1, testServer()))
+	early.storeWatcher.applyResult(now, listResult(after, 1, testServer()))
+	first := listResult(before, 1, testServer())
 	first.snapshot.Evacuated = map[string]catalog.Revision{"": before - 4}
 	late.storeWatcher.applyResult(now, first)
 	now = now.Add(reconcilePeriod + time.Millisecond)
 	early.storeWatcher.expireMissing(now)
-	late.storeWatcher.applyResult(now, listResult(after, 1, staying()))
-	late.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{ServerChanged{Server: staying()}}})
+	late.storeWatcher.applyResult(now, listResult(after, 1, testServer()))
+	late.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{ServerChanged{Server: testServer()}}})
 	transferView(t, now, late, early, unchanged)
 	early.storeWatcher.expireMissing(now)
 	require.False(t, early.view.Load().Servers[0].Evacuated)
 }
 
-// TestNoClaimsWhileSettling: a server that appears may have been there before, and held.
-func TestNoClaimsWhileSettling(t *testing.T) {
+// TestNoClaimsWhileReconciling: a server that appears during reconciliation may have been there, and
+// been claimed, before the restore.
+func TestNoClaimsWhileReconciling(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	now := time.Now()
 	g := newIdleGateway(t)
--- a/gateway/source.go
+++ b/gateway/source.go
@@ -12,80 +12,79 @@
 	"opalbridge.dev/gateway/warmup"
 )
 
-// ErrHistoryGone is what [Source.Watch] returns when changes after a revision can no
-// longer be told: list again.
-var ErrHistoryGone = errors.New("gateway: history of the store is gone")
+// ErrHistoryGone is returned by [Source.Watch] when the changes after the given revision are no
+// longer available: list again.
+var ErrHistoryGone = errors.New("gateway: change history of the store is gone")
 
-// Snapshot is all that the source holds.
+// Snapshot is the complete content of the source.
 type Snapshot struct {
 	Configuration    *catalog.Configuration // nil: none yet
-	RawConfiguration []byte                 // the configuration as it was announced
+	RawConfiguration []byte                 // the configuration as published
 	Servers          []catalog.Server
-	Unreadable       []string                    // names whose entries tell of no server that can be used
-	MissingUntil     map[string]time.Time        // servers that are kept until then although their entry has gone
-	Revision         catalog.Revision            // changes up to it are included
-	Evacuated        map[string]catalog.Revision // halls that are evacuated, with the revision at which the operators said so
-	// ColdFor tells for how much longer servers are cold, as they say themselves.
+	Unreadable       []string                    // names of entries that describe no usable server
+	MissingUntil     map[string]time.Time        // servers kept until then although their entry is gone
+	Revision         catalog.Revision            // all changes up to it are included
+	Evacuated        map[string]catalog.Revision // evacuated halls, with the revision at which the operators ordered it
+	// ColdFor holds, for cold servers, the remaining cold time that they report themselves.
 	ColdFor         map[string]time.Duration
 	RolloutOrders   map[string]rollout.Order  // by service
-	RolloutStatuses map[string]rollout.Status // of roll-outs, by service
-	// Suspects are the requests that were at two servers or more when these ended.
+	RolloutStatuses map[string]rollout.Status // by service
+	// Suspects are requests during which two servers or more have crashed.
 	Suspects map[quarantine.Key]quarantine.StoredRecord
 }
 
-// Change is one change of what the source holds.
+// Change is a single change of the source's content.
 type Change interface{ change() }
 
-// ConfigurationChanged brings a new configuration.
+// ConfigurationChanged reports a new configuration.
 type ConfigurationChanged struct {
 	Configuration *catalog.Configuration
 	Raw           []byte
 }
 
-// ServerChanged brings a new or changed server.
+// ServerChanged reports a new or changed server.
 type ServerChanged struct {
 	Server catalog.Server
-	Cold   time.Duration // for how much longer it is cold, as it says itself
+	Cold   time.Duration // remaining cold time that it reports itself
 }
 
-// ServerRemoved says that the entry of the server of that name has gone.
+// ServerRemoved reports that the entry of a server is gone.
 type ServerRemoved struct{ Name string }
 
-// ServerUnreadable says that the entry under that name tells of no server that can be used,
-// whatever it told before.
+// ServerUnreadable reports an entry that describes no usable server, whatever it held before.
 type ServerUnreadable struct{ Name string }
 
-// HallEvacuated says that the servers of a hall shall get no new work.
+// HallEvacuated reports that the servers of a hall must get no new work.
 type HallEvacuated struct {
 	Hall     string
-	Revision catalog.Revision // of the store, which names the evacuation
+	Revision catalog.Revision // of the store; it identifies the evacuation
 }
 
-// HallEvacuationEnded says that an evacuation is taken back.
+// HallEvacuationEnded reports that the operators have ended an evacuation.
 type HallEvacuationEnded struct{ Hall string }
 
-// ServerClaimed says that a gateway has claimed a cold server.
+// ServerClaimed reports that a gateway has claimed a cold server.
 type ServerClaimed struct{ Claim warmup.Claim }
 
-// RolloutOrdered says that the traffic of a service shall move to a new version.
+// RolloutOrdered reports an order to move the traffic of a service to a new version.
 type RolloutOrdered struct{ Order rollout.Order }
 
-// RolloutWithdrawn says that there is no such order any more.
+// RolloutWithdrawn reports that the operators have withdrawn the order.
 type RolloutWithdrawn struct{ Service string }
 
-// RolloutStatusChanged tells how far a service's roll-out is.
+// RolloutStatusChanged reports the progress of a service's roll-out.
 type RolloutStatusChanged struct {
 	Service string
-	Status  rollout.Status // zero: nothing is said of it any more
+	Status  rollout.Status // zero: the status was removed
 }
 
-// SuspectChanged tells what is kept of a request that was at servers when these ended.
+// SuspectChanged reports the stored state of a request during which servers have crashed.
 type SuspectChanged struct {
 	Key  quarantine.Key
 	Kept quarantine.StoredRecord
 }
 
-// SuspectRemoved says that nothing is kept of a request any more.
+// SuspectRemoved reports that a suspect was removed from the store.
 type SuspectRemoved struct{ Key quarantine.Key }
 
 func (RolloutOrdered) change()       {}
@@ -101,17 +100,17 @@
 func (ServerRemoved) change()        {}
 func (ServerUnreadable) change()     {}
 
-// Source tells the operators' configuration and the backend servers. It may be slow,
-// away, or answer for some gateways only.
+// Source provides the operators' configuration and the backend servers. It may be slow,
+// unreachable, or reachable for some gateways only.
 type Source interface {
-	// List returns all there is.
+	// List returns the complete content.
 	List(ctx context.Context) (Snapshot, error)
-	// Watch waits at most wait for changes after a revision, and returns them with
-	// the revision to go on from.
+	// Watch waits at most wait for changes after a revision. It returns them with the
+	// revision to continue from.
 	Watch(ctx context.Context, revision catalog.Revision, wait time.Duration) ([]Change, catalog.Revision, error)
-	// Era returns the latest era of revisions that any answer of the store has told, also one
-	// to other calls.
+	// Era returns the latest era of revisions seen in any answer of the store, including
+	// answers to other calls.
 	Era() uint64
-	// Decode decodes a configuration that another gateway has handed over.
+	// Decode decodes a configuration that a peer has handed over.
 	Decode(raw []byte) (*catalog.Configuration, error)
 }
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -13,110 +13,110 @@
 	"opalbridge.dev/gateway/quarantine"
 )
 
-// This file keeps requests that end servers from the next ones, over the fleet. Such a
-// request comes as a sound first try each time, to whatever gateway, and would end server after
-// server (platform: TestRequestThatEndsServers). crashes.go finds out which servers have ended, and
-// package quarantine decides.
+// This file protects the fleet from requests that crash servers. Such a request arrives as a
+// valid first attempt each time, at any gateway, and would crash server after server (platform:
+// TestRequestThatEndsServers). crashes.go detects which servers have crashed, and package
+// quarantine decides which requests are barred.
 //
-// Two ways bring what one gateway has seen to the others, so that either may fail: beacons,
-// in some milliseconds, and for those that were at two ends or more the store, which also
-// outlasts all gateways.
+// What one gateway has seen reaches the others in two ways, so that either may fail: by beacons,
+// within milliseconds, and, for requests during which two servers or more have crashed, by the
+// store, which also outlasts all gateways.
 
-// Suspect is a request that was at two servers or more when they ended.
+// Suspect is a request during which two servers or more have crashed.
 type Suspect struct {
-	Summary      string   // what it asks, for operators
-	Servers      []string // lifetimes that ended
-	Simultaneous bool     // they did so at one moment, but for one at most
-	Trials       int      // how often it was sent although it is barred
+	Summary      string   // description of the request, for operators
+	Servers      []string // lifetimes that crashed
+	Simultaneous bool     // they crashed at one moment, but for one at most
+	Trials       int      // times that it was sent although barred
 }
 
-// SuspectStore keeps suspects where each gateway finds them alike, until they are dropped.
+// SuspectStore stores suspects where all gateways see the same ones, until they are deleted.
 type SuspectStore interface {
-	// Keep adds what is known of a suspect to what is kept of it.
+	// Save merges what is known of a suspect into the stored state.
 	Keep(ctx context.Context, key quarantine.Key, s Suspect) error
-	// Drop forgets a suspect; there need not be one.
+	// Delete removes a suspect; it need not exist.
 	Drop(ctx context.Context, key quarantine.Key) error
-	// Try counts one more try of a suspect that is barred, if so many are counted. It returns
-	// whether it was counted; after an error nobody knows.
+	// CountTrial counts one more trial of a barred suspect if the stored count equals trials. It
+	// reports whether it was counted; after an error that is unknown.
 	Try(ctx context.Context, key quarantine.Key, tries int) (counted bool, err error)
 }
 
 const (
-	// Requests that all gateways together tell as suspects in a second after a server's end:
-	// 64 KB a second for each gateway while servers end, and with fewer the requests at
-	// three of the largest servers that end at once would not be told.
-	fleetSuspects = 2048
-	// A gateway of a large fleet tells so many at least.
-	leastSuspects = 4
-	// A doubtful request is tried after this time without another end or try, in which all
-	// gateways have heard of the last one. The bound of three more sends has room for two.
+	// maxFleetSuspectsPerSecond bounds the suspects that all gateways together report in a second
+	// after a server has crashed: 64 KB a second for each gateway while servers crash. With fewer,
+	// the requests at three of the largest servers that crash at once would not all be reported.
+	maxFleetSuspectsPerSecond = 2048
+	// minSuspectsPerSecond is what each gateway of a large fleet may report at least.
+	minSuspectsPerSecond = 4
+	// trialInterval is the time without another crash or trial before an ambiguous request is tried;
+	// by then all gateways have heard of the last one. The fleet may send a barred request three
+	// more times, which leaves room for maxTrials.
 	trialInterval = 3 * time.Second
 	maxTrials     = 2
-	// Gateways come to it one after the other, so that mostly one of them asks the store; the
-	// later ones together.
-	tryStagger  = 300 * time.Millisecond
-	mostStagger = 10
-	// The store answers within milliseconds; a caller waits for it.
-	tryTimeout = 500 * time.Millisecond
-	// A write to the store is given up after this time.
+	// trialStagger delays the gateways one after the other, so that mostly one of them asks the
+	// store. Those from rank maxTrialRank on come together.
+	trialStagger = 300 * time.Millisecond
+	maxTrialRank = 10
+	// trialTimeout bounds the store's answer: it takes milliseconds, and a caller waits for it.
+	trialTimeout = 500 * time.Millisecond
+	// storeWriteTimeout bounds a write to the store.
 	storeWriteTimeout = time.Second
-	// And tried again after this, twice as late each time up to the longest.
+	// Backoff of failed writes, which doubles up to the maximum.
 	minStoreWriteBackoff = 250 * time.Millisecond
 	maxStoreWriteBackoff = 2 * time.Second
 )
 
-// suspectTracker is what this gateway believes of requests that were at ends of servers. It is safe
-// for use by several goroutines.
+// suspectTracker tracks requests during which servers have crashed. It is safe for concurrent use.
 type suspectTracker struct {
 	log          zerolog.Logger
 	peers        *peer.Node
 	address      string        // IP address of this gateway
-	store        SuspectStore  // nil: nothing is kept, and what is barred is not tried
-	fleet        func() int    // live gateways
+	store        SuspectStore  // nil: nothing is stored, and barred requests are not tried
+	fleetSize    func() int    // number of live gateways
 	wake         chan struct{} // there is something to write
 	newlyBarred  chan struct{} // a request has been barred
-	suspectCount atomic.Int64  // requests in the registry; with none there is nothing to look for
+	suspectCount atomic.Int64  // requests in the registry; if 0, lookups are skipped
 
 	mutex         sync.Mutex
 	registry      *quarantine.Registry
-	recentAnswers quarantine.RecentAnswers      // of this gateway
-	ownWrites     map[quarantine.Key]bool       // kept in the store by this gateway
-	trials        map[quarantine.Key]trialState // although they are barred
-	others        map[string]bool               // live gateways, by address
-	summaries     map[quarantine.Key]string     // what those ask that were at two ends or more, as far as this gateway has seen them
-	pendingWrites map[quarantine.Key]bool       // to be written
-	rewriteAt     map[quarantine.Key]time.Time  // to be written again from then on, unless another gateway has
-	second        time.Time                     // in which told counts
-	told          int
+	recentAnswers quarantine.RecentAnswers      // answered by this gateway
+	ownWrites     map[quarantine.Key]bool       // stored by this gateway
+	trials        map[quarantine.Key]trialState // of barred requests
+	livePeers     map[string]bool               // by address
+	summaries     map[quarantine.Key]string     // descriptions of suspects that this gateway has seen, for requests with two crashes or more
+	pendingWrites map[quarantine.Key]bool       // to be written to the store
+	rewriteAt     map[quarantine.Key]time.Time  // to be written again from then on, unless a peer has
+	windowStart   time.Time                     // start of the second in which reported counts
+	reported      int
 }
 
-func newSuspectTracker(log zerolog.Logger, address string, fleet func() int) *suspectTracker {
+func newSuspectTracker(log zerolog.Logger, address string, fleetSize func() int) *suspectTracker {
 	return &suspectTracker{
-		log: log, address: address, fleet: fleet, wake: make(chan struct{}, 1), newlyBarred: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
-		ownWrites: map[quarantine.Key]bool{}, trials: map[quarantine.Key]trialState{}, others: map[string]bool{}, summaries: map[quarantine.Key]string{}, pendingWrites: map[quarantine.Key]bool{}, rewriteAt: map[quarantine.Key]time.Time{},
+		log: log, address: address, fleetSize: fleetSize, wake: make(chan struct{}, 1), newlyBarred: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
+		ownWrites: map[quarantine.Key]bool{}, trials: map[quarantine.Key]trialState{}, livePeers: map[string]bool{}, summaries: map[quarantine.Key]string{}, pendingWrites: map[quarantine.Key]bool{}, rewriteAt: map[quarantine.Key]time.Time{},
 	}
 }
 
-// tries is how often a request was sent although it is barred, over the fleet.
+// trialState counts, over the fleet, how often a barred request was sent.
 type trialState struct {
-	counted int
-	at      time.Time // when this gateway heard of the latest one, or asked the store in vain
-	asking  bool      // the store is being asked for another one
+	counted  int
+	at       time.Time // when this gateway heard of the last trial, or failed to claim one
+	claiming bool      // a trial is being claimed from the store
 }
 
-// suspect is a request that was at a server when that one ended.
+// suspect is a request that was at a server when the server crashed.
 type suspect struct {
 	key        quarantine.Key
 	summary    string
-	responding bool // events of its answer had come
+	responding bool // events of its answer had arrived
 }
 
-// serverCrashed takes over that a server has serverCrashed under requests of this gateway, and tells the
-// others.
-func (s *suspectTracker) serverCrashed(now time.Time, server string, there []suspect) {
-	// Who had not begun to be answered comes first, in case not all can be told: servers end
-	// when they begin with the request that ends them.
-	slices.SortStableFunc(there, func(x, y suspect) int {
+// serverCrashed records that a server has crashed with requests of this gateway, and reports it
+// to the peers.
+func (s *suspectTracker) serverCrashed(now time.Time, server string, requests []suspect) {
+	// Requests without a response so far come first, in case not all can be reported: servers
+	// crash when they begin with the request that causes it.
+	slices.SortStableFunc(requests, func(x, y suspect) int {
 		switch {
 		case x.responding == y.responding:
 			return 0
@@ -127,14 +127,14 @@
 	})
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	keys := make([]quarantine.Key, 0, len(there))
-	for _, t := range there {
+	keys := make([]quarantine.Key, 0, len(requests))
+	for _, t := range requests {
 		if !s.recentAnswers.Contains(now, t.key) {
 			keys = append(keys, t.key)
 		}
 	}
 	changed := s.registry.AddCrash(now, server, keys)
-	for _, t := range there {
+	for _, t := range requests {
 		if slices.Contains(changed, t.key) {
 			s.summaries[t.key] = t.summary
 		}
@@ -144,16 +144,16 @@
 		s.pendingWrites[k] = true
 	}
 	s.wakeWriter()
-	s.tell(now, server, keys, changed)
+	s.reportCrash(now, server, keys, changed)
 }
 
-// tell tells the others who was there: those that were at an end before, and of the rest as
-// many as the fleet can bear.
-func (s *suspectTracker) tell(now time.Time, server string, keys, repeated []quarantine.Key) {
-	if now.Sub(s.second) >= time.Second {
-		s.second, s.told = now, 0
+// reportCrash reports to the peers which requests were at a server: those with an earlier crash,
+// and of the rest as many as the limit allows.
+func (s *suspectTracker) reportCrash(now time.Time, server string, keys, repeated []quarantine.Key) {
+	if now.Sub(s.windowStart) >= time.Second {
+		s.windowStart, s.reported = now, 0
 	}
-	left := max(fleetSuspects/max(s.fleet(), 1), leastSuspects) - s.told
+	left := max(maxFleetSuspectsPerSecond/max(s.fleetSize(), 1), minSuspectsPerSecond) - s.reported
 	e := peer.Crash{Server: server}
 	for _, k := range repeated {
 		e.Suspects = append(e.Suspects, peer.Key(k))
@@ -161,32 +161,32 @@
 	for _, k := range keys {
 		if left > 0 && !slices.Contains(repeated, k) {
 			e.Suspects = append(e.Suspects, peer.Key(k))
-			s.told++
+			s.reported++
 			left--
 		}
 	}
 	s.peers.PublishCrash(e)
 }
 
-// note writes to the log what is now believed of requests. The mutex is held.
+// reportChanged logs the new state of requests. The mutex must be held.
 func (s *suspectTracker) reportChanged(changed []quarantine.Key, server string) {
 	for _, k := range changed {
 		r, _ := s.registry.Record(k)
 		event := s.log.Warn().Str("key", k.String()).Str("asks", s.summaries[k]).Strs("servers", r.Servers).Str("latest", server)
 		if r.QuarantinedAt.IsZero() {
-			event.Str("event", "request.suspected").Msg("servers have ended under it; one more and it is barred")
+			event.Str("event", "request.suspected").Msg("servers crashed during this request; one more crash bars it")
 			continue
 		}
-		event.Str("event", "request.barred").Msg("it reaches no server any more")
+		event.Str("event", "request.barred").Msg("request is barred from all servers")
 		select {
 		case s.newlyBarred <- struct{}{}:
-		default: // whoever reads it looks at all
+		default: // the reader looks at all barred requests
 		}
 	}
 	s.suspectCount.Store(int64(s.registry.Len()))
 }
 
-// applyPeerReports takes over what another gateway tells.
+// applyPeerReports applies what a peer reports.
 func (s *suspectTracker) applyPeerReports(now time.Time, ends []peer.Crash, answered []peer.Cleared) {
 	if len(ends)+len(answered) == 0 {
 		return
@@ -208,19 +208,19 @@
 		k := quarantine.Key(a.Key)
 		s.registry.Clear(k, a.Servers)
 		if _, repeated := s.registry.Record(k); !repeated && s.ownWrites[k] {
-			s.removeStored(k) // it may have been written after who answered it has dropped it
+			s.removeStored(k) // it may have been stored after the gateway that answered it deleted it
 		}
 	}
 }
 
-// crashCount returns how many servers have ended under a request, and whether it is barred.
+// crashCount returns how many servers have crashed during a request, and whether it is barred.
 func (s *suspectTracker) crashCount(key quarantine.Key) (n int, barred bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.registry.CrashCount(key), s.registry.IsQuarantined(key)
 }
 
-// requestAnswered takes over that a request was requestAnswered whole.
+// requestAnswered records that a request was answered completely.
 func (s *suspectTracker) requestAnswered(now time.Time, key quarantine.Key) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -228,7 +228,7 @@
 	s.clearCrashes(key)
 }
 
-// clear lets nothing count any more that a request has seen, here and at the other gateways.
+// clearCrashes discards the crashes counted for a request, here and at the peers.
 func (s *suspectTracker) clearCrashes(key quarantine.Key) {
 	_, repeated := s.registry.Record(key)
 	cleared := s.registry.MarkAnswered(key)
@@ -241,89 +241,89 @@
 	}
 }
 
-// drop lets the store keep a request no more.
+// removeStored has a request deleted from the store.
 func (s *suspectTracker) removeStored(k quarantine.Key) {
-	s.log.Info().Str("event", "request.cleared").Str("key", k.String()).Msg("it was answered")
+	s.log.Info().Str("event", "request.cleared").Str("key", k.String()).Msg("request was answered; no longer a suspect")
 	delete(s.summaries, k)
 	s.pendingWrites[k] = true
 	s.wakeWriter()
 }
 
-// setPeerLive takes over whether another gateway lives.
+// setPeerLive records whether a peer is alive.
 func (s *suspectTracker) setPeerLive(address string, alive bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if alive {
-		s.others[address] = true
+		s.livePeers[address] = true
 		return
 	}
-	delete(s.others, address)
+	delete(s.livePeers, address)
 }
 
-// trialDue tells whether a request that is barred may be sent once all the same, by this gateway
-// now: all ends came at one moment, so something else may be their cause. Gateways come to it
-// in an order that most find alike (rendezvous hashing), also those that have started since
-// and know of the ends by the store alone.
+// trialDue reports whether this gateway may send a barred request once now: all crashes came at
+// one moment, so something else may be their cause. Gateways take turns in an order by rendezvous
+// hashing, which is the same for nearly all of them, including those that have started since and
+// know of the crashes from the store alone.
 func (s *suspectTracker) trialDue(now time.Time, key quarantine.Key) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.due(now, key)
+	return s.trialDueLocked(now, key)
 }
 
-// due is mayTry with the mutex held.
-func (s *suspectTracker) due(now time.Time, key quarantine.Key) bool {
+// trialDueLocked is trialDue with the mutex held.
+func (s *suspectTracker) trialDueLocked(now time.Time, key quarantine.Key) bool {
 	quiet, doubtful := s.registry.Ambiguous(now, key)
 	known := s.trials[key]
-	if !doubtful || s.store == nil || known.asking || known.counted >= maxTrials {
+	if !doubtful || s.store == nil || known.claiming || known.counted >= maxTrials {
 		return false
 	}
-	before := 0
+	rank := 0
 	own := unitHash(s.address + "/" + key.String())
-	for address := range s.others {
+	for address := range s.livePeers {
 		if unitHash(address+"/"+key.String()) > own {
-			before++
+			rank++
 		}
 	}
-	return min(quiet, now.Sub(known.at)) >= trialInterval+time.Duration(min(before, mostStagger))*tryStagger
+	return min(quiet, now.Sub(known.at)) >= trialInterval+time.Duration(min(rank, maxTrialRank))*trialStagger
 }
 
-// claimTrial uses a claimTrial of a request that is barred. The store counts them, so that there are no more
+// claimTrial claims a trial of a barred request. The store counts the trials, which bounds them
 // over the fleet, whichever gateways have started since.
 func (s *suspectTracker) claimTrial(ctx context.Context, key quarantine.Key) bool {
 	s.mutex.Lock()
 	known := s.trials[key]
-	if !s.due(time.Now(), key) {
+	if !s.trialDueLocked(time.Now(), key) {
 		s.mutex.Unlock()
 		return false
 	}
-	s.trials[key] = trialState{counted: known.counted, at: known.at, asking: true}
+	s.trials[key] = trialState{counted: known.counted, at: known.at, claiming: true}
 	s.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
 	counted, err := s.store.Try(ctx, key, known.counted)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	now := s.trials[key]
-	now.asking, now.at = false, time.Now()
+	state := s.trials[key]
+	state.claiming, state.at = false, time.Now()
 	if counted {
-		now.counted = max(now.counted, known.counted+1)
+		state.counted = max(state.counted, known.counted+1)
 	}
-	s.trials[key] = now
+	s.trials[key] = state
 	if err != nil || !counted {
-		s.log.Info().Str("event", "request.not_tried").Str("key", key.String()).Err(err).Msg("another gateway may have tried it")
+		s.log.Info().Str("event", "request.not_tried").Str("key", key.String()).Err(err).Msg("trial not claimed; another gateway may have sent it")
 		return false
 	}
-	s.log.Warn().Str("event", "request.tried").Str("key", key.String()).Str("asks", s.summaries[key]).Int("tries", known.counted+1).Msg("all ends under it came at once, so it may not be their cause")
+	s.log.Warn().Str("event", "request.tried").Str("key", key.String()).Str("asks", s.summaries[key]).Int("tries", known.counted+1).Msg("trial of a barred request: all crashes came at once, so it may not be their cause")
 	return true
 }
 
-// isBarred tells whether a request is barred.
+// isBarred reports whether a request is barred.
 func (s *suspectTracker) isBarred(key quarantine.Key) bool {
 	_, barred := s.crashCount(key)
 	return barred
 }
 
-// barredCount returns how many requests are barredCount.
+// barredCount returns the number of barred requests.
 func (s *suspectTracker) barredCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/gateway/suspects_return_test.go
+++ b/gateway/suspects_return_test.go
@@ -11,9 +11,9 @@
 	"opalbridge.dev/gateway/quarantine"
 )
 
-// TestSuspectsOverAReturn: what the copy lacks stays barred and is written again once, with its
-// tries; what was lifted and the copy still has is dropped again.
-func TestSuspectsOverAReturn(t *testing.T) {
+// TestSuspectsAfterRestore: a suspect that the copy lacks stays barred and is written again once, with
+// its trials; one that was deleted and is in the copy is deleted again.
+func TestSuspectsAfterRestore(t *testing.T) {
 	barred, lifted, tried := quarantine.Key{1}, quarantine.Key{2}, quarantine.Key{3}
 	kept := func(tries int) quarantine.StoredRecord {
 		return quarantine.StoredRecord{Servers: []string{"a", "b", "c"}, Simultaneous: true, Probes: tries}
@@ -28,9 +28,9 @@
 		first.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{barred: kept(1), lifted: kept(0), tried: kept(2)}
 		g.storeWatcher.applyResult(now, first)
 		g.storeWatcher.applyResult(now, sourceResult{since: before - 1, revision: before, changes: []Change{SuspectRemoved{Key: lifted}}})
-		older := listResult(after, 1)
-		older.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{lifted: kept(0), tried: kept(1)}
-		g.storeWatcher.applyResult(now, older)
+		restored := listResult(after, 1)
+		restored.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{lifted: kept(0), tried: kept(1)}
+		g.storeWatcher.applyResult(now, restored)
 		require.True(t, g.suspects.isBarred(barred))
 		require.False(t, g.suspects.isBarred(lifted))
 		require.Equal(t, 2, g.suspects.trials[tried].counted)
@@ -44,11 +44,11 @@
 			return list
 		}
 		if !watches {
-			require.Empty(t, writes(), "the one that watches for the hall does")
+			require.Empty(t, writes(), "only the gateway that watches for the hall writes")
 			continue
 		}
 		g.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{SuspectChanged{Key: barred, Kept: kept(1)}}})
-		require.Equal(t, []quarantine.Key{lifted, tried}, writes(), "another gateway has written the third one")
+		require.Equal(t, []quarantine.Key{lifted, tried}, writes(), "a peer has written the third one")
 		g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
 		require.True(t, g.suspects.isBarred(barred))
 	}
--- a/gateway/suspects_store.go
+++ b/gateway/suspects_store.go
@@ -9,27 +9,27 @@
 	"opalbridge.dev/gateway/quarantine"
 )
 
-// This file brings suspects to the store, and takes over what the store keeps of them.
+// This file writes suspects to the store and applies what the store holds of them.
 
-// kept takes over what the store keeps: old is what it kept before. What this gateway knows
-// to have been answered since is dropped by one gateway of each hall, the one that watches.
+// applyStored applies the stored suspects; old is their former state. Those that this gateway
+// knows to have been answered since are deleted by one gateway of each hall, the one that watches.
 func (s *suspectTracker) applyStored(now time.Time, old, kept map[quarantine.Key]quarantine.StoredRecord, watches bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for k, is := range kept {
-		news := s.registry.Merge(now, k, is)
-		if known := s.trials[k]; is.Probes != known.counted {
-			known.counted, known.at = is.Probes, now // fewer: it was dropped, and is kept again
+	for k, record := range kept {
+		changed := s.registry.Merge(now, k, record)
+		if known := s.trials[k]; record.Probes != known.counted {
+			known.counted, known.at = record.Probes, now // fewer: it was deleted and stored again
 			s.trials[k] = known
 		}
 		if s.recentAnswers.Contains(now, k) {
 			s.clearCrashes(k)
 			continue
 		}
-		if news {
+		if changed {
 			s.reportChanged([]quarantine.Key{k}, "")
 		}
-		if watches && s.registry.IsCleared(k, is.Servers) && !old[k].Equal(is) {
+		if watches && s.registry.IsCleared(k, record.Servers) && !old[k].Equal(record) {
 			s.removeStored(k)
 		}
 	}
@@ -39,18 +39,18 @@
 			delete(s.summaries, k)
 			delete(s.ownWrites, k)
 			delete(s.trials, k)
-			s.log.Info().Str("event", "request.lifted").Str("key", k.String()).Msg("the store keeps it no more")
+			s.log.Info().Str("event", "request.lifted").Str("key", k.String()).Msg("suspect was deleted from the store")
 		}
 	}
 }
 
-// rewriteSpread is the time in which gateways write again what the store has lost: each at
-// another moment, so that mostly the first one writes and the others hear of it.
+// rewriteJitter spreads the rewrites of lost suspects over the gateways, so that mostly the first
+// one writes and the others see the result.
 const rewriteJitter = time.Second
 
-// rewrite lets what is known of suspects be written to a store that has come back from a copy
-// and has lost some of it, or keeps again what was dropped. Gateways do so that watch for their
-// hall, or had written it before.
+// scheduleRewrites has suspects written again to a restored store that has lost some of them or
+// holds deleted ones again. Only a gateway that watches for its hall, or that has written them
+// before, does so.
 func (s *suspectTracker) scheduleRewrites(now time.Time, keys []quarantine.Key, watches bool) {
 	if s.store == nil {
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-// writeDue hands to the writer what is to be written again by now.
+// queueDueRewrites queues the rewrites that are due.
 func (s *suspectTracker) queueDueRewrites(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// rewritten takes over that the store keeps so much of a suspect: if that is all that is known,
-// it need not be written again.
+// cancelRewriteIfStored cancels the rewrite of a suspect if the store already holds all that is
+// known of it.
 func (s *suspectTracker) cancelRewriteIfStored(key quarantine.Key, kept quarantine.StoredRecord) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// setSuspect takes over what is kept of a suspect.
+// setSuspect applies a suspect's stored state.
 func (f *storeWatcher) setSuspect(key quarantine.Key, kept quarantine.StoredRecord) {
 	delete(f.tombstones.suspects, key)
 	f.gateway.suspects.cancelRewriteIfStored(key, kept)
@@ -105,7 +105,7 @@
 	f.suspects, f.suspectsChanged = changed, true
 }
 
-// dropSuspect takes over that nothing is kept of a suspect any more.
+// removeSuspect applies the removal of a suspect from the store.
 func (f *storeWatcher) removeSuspect(key quarantine.Key) {
 	f.tombstones.addSuspect(f.applyTime, key)
 	f.gateway.suspects.cancelRewriteIfStored(key, quarantine.StoredRecord{})
@@ -118,11 +118,11 @@
 func (s *suspectTracker) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
-	default: // it looks at all that there is
+	default: // the writer takes all pending writes
 	}
 }
 
-// write writes to the store what is to be written, until ctx ends.
+// runWriter writes pending suspects to the store until ctx is done.
 func (s *suspectTracker) runWriter(ctx context.Context) {
 	if s.store == nil {
 		return
@@ -137,7 +137,7 @@
 		case <-s.wake:
 		case <-retry.C:
 		}
-		if s.writeAll(ctx) {
+		if s.flush(ctx) {
 			wait = minStoreWriteBackoff
 			continue
 		}
@@ -146,26 +146,26 @@
 	}
 }
 
-// writeAll writes what is to be written; it returns whether all of that was.
-func (s *suspectTracker) writeAll(ctx context.Context) bool {
+// flush writes all pending suspects and reports whether all writes succeeded.
+func (s *suspectTracker) flush(ctx context.Context) bool {
 	s.mutex.Lock()
 	list := slices.Collect(maps.Keys(s.pendingWrites))
 	clear(s.pendingWrites)
 	s.mutex.Unlock()
-	whole := true
+	ok := true
 	for _, k := range list {
-		if err := s.writeOne(ctx, k); err != nil {
-			s.log.Warn().Str("event", "suspect.not_kept").Str("key", k.String()).Err(err).Msg("try again")
+		if err := s.writeSuspect(ctx, k); err != nil {
+			s.log.Warn().Str("event", "suspect.not_kept").Str("key", k.String()).Err(err).Msg("cannot write suspect; will retry")
 			s.mutex.Lock()
 			s.pendingWrites[k] = true
 			s.mutex.Unlock()
-			whole = false
+			ok = false
 		}
 	}
-	return whole
+	return ok
 }
 
-func (s *suspectTracker) writeOne(ctx context.Context, k quarantine.Key) error {
+func (s *suspectTracker) writeSuspect(ctx context.Context, k quarantine.Key) error {
 	ctx, cancel := context.WithTimeout(ctx, storeWriteTimeout)
 	defer cancel()
 	s.mutex.Lock()
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -16,7 +16,7 @@
 	"opalbridge.dev/gateway/quarantine"
 )
 
-// handOver takes over at one gateway what another one tells of its view.
+// transferView hands the view of one gateway over to another one.
 func transferView(t *testing.T, now time.Time, from, to *Gateway, change func(d *viewDocument)) {
 	t.Helper()
 	raw, err := from.encodedView(now, to.viewQuery())
@@ -32,22 +32,22 @@
 
 func unchanged(*viewDocument) {}
 
-// TestSuspectsAreHandedOver: a gateway learns of barred requests from another one's view,
-// whole or in part, and loses none to a gateway of a version that knows of none.
-func TestSuspectsAreHandedOver(t *testing.T) {
+// TestSuspectsInPeerView: a gateway learns of barred requests from a peer's view, whole or partial,
+// and keeps them when a peer's version knows of no suspects.
+func TestSuspectsInPeerView(t *testing.T) {
 	now := time.Now()
 	first := sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Revision: 3, Suspects: map[quarantine.Key]quarantine.StoredRecord{{1}: {Servers: []string{"a", "b", "c"}}}}}
 	from, to := newIdleGateway(t), newIdleGateway(t)
 	from.storeWatcher.applyResult(now, first)
 	transferView(t, now, from, to, unchanged)
-	require.True(t, to.suspects.isBarred(quarantine.Key{1}), "the whole view")
+	require.True(t, to.suspects.isBarred(quarantine.Key{1}), "whole view")
 	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
 		SuspectChanged{Key: quarantine.Key{2}, Kept: quarantine.StoredRecord{Servers: []string{"a", "b", "d"}, Simultaneous: true, Probes: 1}}, SuspectRemoved{Key: quarantine.Key{1}},
 	}})
 	transferView(t, now, from, to, func(d *viewDocument) { require.True(t, d.Partial) })
 	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
-	require.Equal(t, from.view.Load().Suspects, to.view.Load().Suspects, "with what is doubtful")
-	require.False(t, to.suspects.isBarred(quarantine.Key{1}), "it was lifted")
+	require.Equal(t, from.view.Load().Suspects, to.view.Load().Suspects, "including ambiguous suspects")
+	require.False(t, to.suspects.isBarred(quarantine.Key{1}), "the suspect was removed")
 	from.storeWatcher.applyResult(now, sourceResult{since: 5, revision: 7, changes: []Change{ServerChanged{Server: readyServer("i-1")}}})
 	transferView(t, now, from, to, func(d *viewDocument) {
 		*d = viewDocument{Servers: d.Servers, Revision: d.Revision}
@@ -56,13 +56,13 @@
 	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
 }
 
-// faultyStore keeps suspects, when it is not away.
+// faultyStore stores suspects and can be made unreachable.
 type faultyStore struct {
 	mutex sync.Mutex
 	away  bool
 	tries int
 	kept  map[quarantine.Key]Suspect
-	sent  map[quarantine.Key]int // although they are barred
+	sent  map[quarantine.Key]int // trials of barred requests
 }
 
 func (f *faultyStore) do(use func()) error {
@@ -94,9 +94,9 @@
 	return f.do(func() { delete(f.kept, key) })
 }
 
-// TestSuspectsAreKept: what was at two ends is written, also if the store is away at first,
-// and dropped when it was answered.
-func TestSuspectsAreKept(t *testing.T) {
+// TestSuspectsAreStored: a request with two crashes is written to the store, also if the store is
+// unreachable at first, and deleted once it is answered.
+func TestSuspectsAreStored(t *testing.T) {
 	s := newIdleGateway(t).suspects
 	store := &faultyStore{away: true, kept: map[quarantine.Key]Suspect{}}
 	s.store = store
@@ -142,8 +142,9 @@
 	require.False(t, barred)
 }
 
-// TestSuspectsOfOthers: what others tell counts, but for what this gateway has answered lately.
-func TestSuspectsOfOthers(t *testing.T) {
+// TestSuspectsFromPeers: peers' reports count, except for requests that this gateway has answered
+// recently.
+func TestSuspectsFromPeers(t *testing.T) {
 	s := newIdleGateway(t).suspects
 	s.store = &faultyStore{}
 	now := time.Now()
@@ -155,15 +156,15 @@
 	require.True(t, s.isBarred(quarantine.Key{1}))
 	n, _ := s.crashCount(quarantine.Key{2})
 	require.Zero(t, n)
-	require.False(t, s.trialDue(now.Add(time.Minute), quarantine.Key{1}), "its ends did not come at once")
+	require.False(t, s.trialDue(now.Add(time.Minute), quarantine.Key{1}), "the crashes did not come at once")
 	s.applyPeerReports(now, nil, []peer.Cleared{{Key: peer.Key{1}, Servers: []string{"i-2"}}})
 	require.False(t, s.isBarred(quarantine.Key{1}))
 }
 
-// TestTriesAreCounted: gateways that bar a request by ends at once try it twice in all, one after
-// the other with a pause, whichever of them know the ends by the store alone, and also if each
-// starts again between; none does while the store is away.
-func TestTriesAreCounted(t *testing.T) {
+// TestTrialsAreCounted: gateways that bar a request because of simultaneous crashes send it maxTrials
+// times in all, with a pause in between, even if they know the crashes from the store alone or restart
+// in between. None sends it while the store is unreachable.
+func TestTrialsAreCounted(t *testing.T) {
 	node := newPeerNode(t)
 	synctest.Test(t, func(t *testing.T) {
 		key := quarantine.Key{1}
@@ -203,14 +204,14 @@
 			}
 		}
 		require.Len(t, sent, maxTrials)
-		require.Greater(t, sent[0], 10*time.Second, "the store was away")
+		require.Greater(t, sent[0], 10*time.Second, "the store was unreachable")
 		require.GreaterOrEqual(t, sent[1]-sent[0], trialInterval)
 	})
 }
 
-// TestTriesStartAnew: what was dropped and is doubtful again may be tried as if it had not been
-// before, also by a gateway that saw both changes in one view.
-func TestTriesStartAnew(t *testing.T) {
+// TestTrialsRestartAfterDeletion: a suspect that was deleted and is ambiguous again may be tried anew,
+// also by a gateway that sees both changes in one view.
+func TestTrialsRestartAfterDeletion(t *testing.T) {
 	node := newPeerNode(t)
 	synctest.Test(t, func(t *testing.T) {
 		key := quarantine.Key{1}
@@ -223,7 +224,7 @@
 		before, after := kept(2, "i-1", "i-2", "i-3"), kept(0, "i-4", "i-5", "i-6")
 		s.applyStored(time.Now(), nil, before, false)
 		time.Sleep(time.Minute)
-		require.False(t, s.claimTrial(t.Context(), key), "both are used")
+		require.False(t, s.claimTrial(t.Context(), key), "both trials are used")
 		store.sent[key] = 0
 		s.applyStored(time.Now(), before, after, false)
 		time.Sleep(time.Minute)
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -13,88 +13,92 @@
 	"opalbridge.dev/gateway/quarantine"
 )
 
-// Times of following the source.
+// Intervals and timeouts of following the store.
 const (
-	// One watch waits this long. A watch that the store has silently forgotten is
-	// noticed after it, which has to be well within the time in which a configuration
-	// is in force and a leaving server gets no more work (two seconds).
+	// watchWait is how long one watch waits for changes. A watch that the store has
+	// silently dropped is noticed only after this time, which must be well within the
+	// two seconds in which a new configuration takes effect and a leaving server stops
+	// getting work.
 	watchWait = 1500 * time.Millisecond
-	// An answer may come so much later than the wait asked for.
+	// watchSlack is how much later than the requested wait a watch may be answered.
 	watchSlack = 400 * time.Millisecond
-	// A list is given up after this time.
+	// listTimeout bounds a list call.
 	listTimeout = time.Second
-	// Tries after a failure are this far apart.
+	// sourceRetryInterval is the time between calls after a failure.
 	sourceRetryInterval = 200 * time.Millisecond
-	// While others of the hall have lost the store as well, tries are further apart, so that
-	// two of the hall try in that time together: whoever reaches it first tells all. Up to
-	// this time, so that a configuration is in force soon after the store's return.
-	longestRetry = 2 * time.Second
-	// After changes the next watch waits so long, so that changes that come together
-	// cost one call.
-	gatherChanges = 100 * time.Millisecond
-	// A gateway that does not watch for its hall asks the store itself when nobody has
-	// confirmed its view for this long: four beacons were lost, or the store's answers.
+	// maxSourceRetryInterval bounds the retry interval. It grows with the number of
+	// gateways of the hall that have lost the store too, so that together they make two
+	// calls per sourceRetryInterval: the first one to reach the store tells the others.
+	// The bound lets a configuration take effect soon after the store is back.
+	maxSourceRetryInterval = 2 * time.Second
+	// changeBatchDelay is the pause before the next watch after changes, so that
+	// changes that come together cost one call.
+	changeBatchDelay = 100 * time.Millisecond
+	// confirmationTimeout is how long a gateway that does not watch for its hall goes
+	// without a confirmation of its view before it queries the store itself. By then
+	// four beacons, or the store's answers, have been lost.
 	confirmationTimeout = watchWait + time.Second
-	// A gateway that starts asks the store only after this time, so that it has heard
-	// whether another one of its hall does.
-	electFirst = 150 * time.Millisecond
-	// If another one does, it asks the store after this time at the latest: by then that
-	// one has handed over its view. A list takes a call for each fifty servers.
-	startPatience = time.Second
-	// A server whose entry has gone while the store was away is kept for this long
-	// after its return: servers that live write their entry again within about two
-	// seconds (source: the users' second letter).
+	// electionDelay is how long a starting gateway waits before it queries the store, so
+	// that it has heard whether another gateway of its hall watches.
+	electionDelay = 150 * time.Millisecond
+	// initialViewTimeout is when a starting gateway queries the store although another
+	// gateway of its hall watches: by then that one should have handed over its view. A
+	// list takes one call per fifty servers.
+	initialViewTimeout = time.Second
+	// reregistrationGrace is how long, after the store is back, a server is kept whose
+	// entry expired during the outage. Live servers write their entry again within about
+	// two seconds.
 	reregistrationGrace = 2500 * time.Millisecond
 )
 
-// View is what a gateway believes of the configuration and the servers. It is not
-// changed once it is published.
+// View is a gateway's state of the configuration and the servers. It is immutable once
+// published.
 type View struct {
-	Configuration    *catalog.Configuration // nil: none is known
-	RawConfiguration []byte                 // the configuration as it was announced
+	Configuration    *catalog.Configuration // nil if unknown
+	RawConfiguration []byte                 // the configuration as published
 	Servers          []catalog.Server
-	MissingUntil     map[string]time.Time     // those of the servers that are kept until then although their entry has gone
-	Revision         catalog.Revision         // of the store; complete up to it
+	MissingUntil     map[string]time.Time     // servers kept until then although their entry is gone
+	Revision         catalog.Revision         // of the store; all changes up to it are included
 	Evacuated        map[string]evacuation    // by hall
-	Cold             map[string]coldState     // by server; of the others nothing is known
+	Cold             map[string]coldState     // by server; nothing is known of the others
 	Rollouts         map[string]rolloutRecord // by service
 	Suspects         map[quarantine.Key]quarantine.StoredRecord
-	ReportedLeaving  []string         // lifetimes that have said that they leave, whatever their entries say
-	ReconcileUntil   time.Time        // until then the store may lack what it had; zero: it has all
-	Unverified       []catalog.Server // that a copy names and that are kept back
-	serverChanges    changeLog        // of servers
-	suspectChanges   changeLog        // of suspects, by their keys' text
+	ReportedLeaving  []string         // lifetimes that have reported that they are leaving, whatever their entries say
+	ReconcileUntil   time.Time        // until then the restored store may lack earlier writes; zero: it is complete
+	Unverified       []catalog.Server // withheld servers that the restored store lists
+	serverChanges    changeLog        // of servers, by ID
+	suspectChanges   changeLog        // of suspects, by key
 }
 
-// storeWatcher is the duty that keeps the view.
+// storeWatcher follows the store and publishes the view.
 type storeWatcher struct {
 	gateway       *Gateway
 	servers       map[string]catalog.Server
-	currentIDs    map[string]string     // the lifetime that is in servers, by the server's name
-	missingUntil  map[string]time.Time  // servers kept until then although their entry has gone
-	evacuations   map[string]evacuation // that are evacuated
+	currentIDs    map[string]string     // ID of the server's current lifetime, by server name
+	missingUntil  map[string]time.Time  // servers kept until then although their entry is gone
+	evacuations   map[string]evacuation // by hall
 	cold          map[string]coldState  // by server
 	serverChanges changeLog
-	// What is known of roll-outs, by service; replaced, not changed, since views share it.
+	// Rollouts by service. Copied on write, since views share the map.
 	rollouts map[string]rolloutRecord
-	// What the store keeps of suspects; replaced, not changed, since views share it.
+	// Suspects kept in the store. Copied on write, since views share the map.
 	suspects        map[quarantine.Key]quarantine.StoredRecord
-	suspectsChanged bool // since the latest view
+	suspectsChanged bool // since the last view
 	suspectChanges  changeLog
 	tombstones      tombstones
-	reconcileUntil  time.Time                 // until then the store may lack what it had; zero: it has all
-	unverified      map[string]catalog.Server // that a copy names and that are kept back, by name
-	applyTime       time.Time                 // of what is being taken over
-	changeRevision  catalog.Revision          // under which changes are logged
-	sortedIDs       []string                  // ids of the servers, sorted; nil: to be made anew
-	lastFailure     time.Time                 // last failure of the source
-	lastQuery       time.Time                 // when the latest call began
+	reconcileUntil  time.Time                 // until then the restored store may lack earlier writes; zero: it is complete
+	unverified      map[string]catalog.Server // withheld servers that the restored store lists, by name
+	applyTime       time.Time                 // time at which the current update is applied
+	changeRevision  catalog.Revision          // revision under which changes are logged
+	sortedIDs       []string                  // IDs of the servers; nil: to be rebuilt
+	lastFailure     time.Time
+	lastQuery       time.Time // start of the last call
 	unreachable     bool
 	peerViews       chan peerView
-	leavingSignal   chan struct{} // a server has said that it leaves
+	leavingSignal   chan struct{} // a server has reported that it is leaving
 }
 
-// revisionFields writes a revision to the log: its era, and its number as the store calls it.
+// revisionFields logs a revision as its era and its number.
 type revisionFields catalog.Revision
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
@@ -107,9 +111,9 @@
 	return &storeWatcher{gateway: g, servers: map[string]catalog.Server{}, currentIDs: map[string]string{}, missingUntil: map[string]time.Time{}, evacuations: map[string]evacuation{}, cold: map[string]coldState{}, tombstones: newTombstones(), unverified: map[string]catalog.Server{}, peerViews: make(chan peerView, 1), leavingSignal: make(chan struct{}, 1)}
 }
 
-// sourceResult is the end of one call to the source.
+// sourceResult is the result of one call to the source.
 type sourceResult struct {
-	since    catalog.Revision // that a watch went on from
+	since    catalog.Revision // revision at which the watch started
 	listed   bool
 	snapshot Snapshot
 	changes  []Change
@@ -117,23 +121,23 @@
 	err      error
 }
 
-// run follows the source until ctx ends. Calls run beside it, so that handed-over
-// views and ends of grace are taken up while a call waits.
+// run follows the source until ctx is done. Calls run in their own goroutines, so that
+// peer views are applied and grace periods end while a call waits.
 func (f *storeWatcher) run(ctx context.Context) {
-	answers := make(chan sourceResult, 1)
+	results := make(chan sourceResult, 1)
 	call := func(listed bool) {
 		revision := f.gateway.view.Load().Revision
-		go func() { answers <- f.call(ctx, listed, revision) }()
+		go func() { results <- f.call(ctx, listed, revision) }()
 	}
-	sweep := time.NewTicker(sourceRetryInterval)
-	defer sweep.Stop()
-	soon := time.NewTimer(time.Hour)
-	defer soon.Stop()
+	ticker := time.NewTicker(sourceRetryInterval)
+	defer ticker.Stop()
+	callTimer := time.NewTimer(time.Hour)
+	defer callTimer.Stop()
 	list := true
-	next := &list // the call to make, whether to list; nil: one is under way
-	soon.Reset(electFirst)
+	next := &list // whether the next call is a list; nil: a call is in flight
+	callTimer.Reset(electionDelay)
 	called := false
-	proceed := func(now time.Time) {
+	startCall := func(now time.Time) {
 		if next == nil || !f.shouldQuery(now) {
 			return
 		}
@@ -146,53 +150,53 @@
 		select {
 		case <-ctx.Done():
 			if next == nil {
-				<-answers
+				<-results
 			}
 			return
-		case a := <-answers:
-			list, wait := f.applyResult(time.Now(), a)
+		case r := <-results:
+			list, wait := f.applyResult(time.Now(), r)
 			next = &list
 			if !wait {
-				soon.Reset(gatherChanges)
+				callTimer.Reset(changeBatchDelay)
 			}
 		case h := <-f.peerViews:
 			f.applyPeerView(time.Now(), h)
 			if !called {
-				list = false // what was handed over can be watched on from
+				list = false // a watch can continue from the peer's view
 			}
 		case <-f.leavingSignal:
 			f.republish()
-		case now := <-soon.C:
-			proceed(now)
-		case now := <-sweep.C:
+		case now := <-callTimer.C:
+			startCall(now)
+		case now := <-ticker.C:
 			f.expireMissing(now)
 			f.gateway.suspects.queueDueRewrites(now)
-			proceed(now)
+			startCall(now)
 		}
 	}
 }
 
-// shouldQuery tells whether this gateway has to ask the store: it watches for its hall, or
-// nobody who does has been heard.
+// shouldQuery reports whether this gateway has to query the store: it watches for its
+// hall, or no gateway that does has been heard.
 func (f *storeWatcher) shouldQuery(now time.Time) bool {
 	g := f.gateway
 	age := now.Sub(g.started)
 	switch {
-	case age < electFirst, f.unreachable && now.Sub(f.lastQuery) < f.retryInterval():
+	case age < electionDelay, f.unreachable && now.Sub(f.lastQuery) < f.retryInterval():
 		return false
 	case g.watchesStore.Load() || now.Sub(g.confirmedAt()) > confirmationTimeout:
 		return true
 	case g.options.Source.Era() > g.view.Load().Revision.Era():
-		return true // an answer to another call has told that the store has come back from a copy
+		return true // the answer to another call has shown that the store was restored
 	default:
-		return g.view.Load().Configuration == nil && age > startPatience
+		return g.view.Load().Configuration == nil && age > initialViewTimeout
 	}
 }
 
-// retryInterval is the time between tries while the store is out of reach.
+// retryInterval returns the time between calls while the store is unreachable.
 func (f *storeWatcher) retryInterval() time.Duration {
-	away := time.Duration(f.gateway.hallPeersWithoutStore.Load()) + 1
-	return min(max(away/2, 1)*sourceRetryInterval, longestRetry)
+	unreachable := time.Duration(f.gateway.hallPeersWithoutStore.Load()) + 1
+	return min(max(unreachable/2, 1)*sourceRetryInterval, maxSourceRetryInterval)
 }
 
 func (f *storeWatcher) call(ctx context.Context, listed bool, revision catalog.Revision) sourceResult {
@@ -208,41 +212,41 @@
 	return sourceResult{since: revision, changes: changes, revision: now, err: err}
 }
 
-// applyResult takes an answer over. It returns whether to list next, and whether to wait
-// before.
-func (f *storeWatcher) applyResult(now time.Time, a sourceResult) (list, wait bool) {
+// applyResult applies the result of a call. It returns whether to list next, and whether
+// to wait before that.
+func (f *storeWatcher) applyResult(now time.Time, r sourceResult) (list, wait bool) {
 	f.applyTime = now
 	known := f.gateway.view.Load().Revision
 	switch {
-	case errors.Is(a.err, ErrHistoryGone):
-		f.gateway.log.Warn().Str("event", "store.history_gone").EmbedObject(revisionFields(known)).Err(a.err).Msg("list again")
-		return true, a.listed // a list that is late, or was made while the store came back
-	case a.err != nil:
-		f.recordFailure(now, a.err)
-		return true, true // a watch may have been forgotten; a list tells what there is
+	case errors.Is(r.err, ErrHistoryGone):
+		f.gateway.log.Warn().Str("event", "store.history_gone").EmbedObject(revisionFields(known)).Err(r.err).Msg("change history is gone; listing again")
+		return true, r.listed // the list was late, or ran while the store was being restored
+	case r.err != nil:
+		f.recordFailure(now, r.err)
+		return true, true // the store may have dropped the watch; a list returns the current state
 	}
-	f.recover(now)
-	if a.listed {
-		return f.takeList(now, known, a.snapshot)
+	f.recordSuccess(now)
+	if r.listed {
+		return f.applyList(now, known, r.snapshot)
 	}
-	if a.since.Era() == known.Era() {
+	if r.since.Era() == known.Era() {
 		f.gateway.confirm(now)
 	}
-	// Another gateway may have handed over a newer view while the call was under way.
-	if a.since != known {
-		return false, false // its changes are older than what is known: watch on from there
+	// A peer may have handed over a newer view while the call was in flight.
+	if r.since != known {
+		return false, false // its changes are already known: continue the watch from the newer revision
 	}
-	f.applyChanges(now, a.changes, a.revision)
+	f.applyChanges(now, r.changes, r.revision)
 	return false, false
 }
 
-// takeList takes over a list, unless more is known.
-func (f *storeWatcher) takeList(now time.Time, known catalog.Revision, s Snapshot) (list, wait bool) {
+// applyList applies a list, unless the view is newer.
+func (f *storeWatcher) applyList(now time.Time, known catalog.Revision, s Snapshot) (list, wait bool) {
 	if s.Revision.Era() == known.Era() {
 		f.gateway.confirm(now)
 	}
 	if s.Revision < known {
-		f.gateway.log.Warn().Str("event", "store.list_set_aside").EmbedObject(revisionFields(s.Revision)).Stringer("known", known).Msg("older than what is known: list again")
+		f.gateway.log.Warn().Str("event", "store.list_set_aside").EmbedObject(revisionFields(s.Revision)).Stringer("known", known).Msg("list is older than the current view; listing again")
 		return true, true
 	}
 	if s.Revision.Era() > known.Era() {
@@ -252,7 +256,7 @@
 	f.changeRevision = s.Revision
 	f.applyListedCold(now, s)
 	f.applyListedRollouts(now, s)
-	f.serverChanges.reset(s.Revision) // what was between is not known
+	f.serverChanges.reset(s.Revision) // changes in between are unknown
 	f.suspectChanges.reset(s.Revision)
 	f.applySnapshot(s, func(id string) { f.removeServer(now, id) })
 	return s.Configuration == nil, s.Configuration == nil
@@ -261,7 +265,7 @@
 func (f *storeWatcher) recordFailure(now time.Time, err error) {
 	f.lastFailure = now
 	if f.reconciling(now) {
-		f.reconcileUntil = now.Add(reconcilePeriod) // nobody can write again meanwhile
+		f.reconcileUntil = now.Add(reconcilePeriod) // servers and operators cannot write meanwhile
 	}
 	for id := range f.missingUntil {
 		f.missingUntil[id] = now.Add(reregistrationGrace)
@@ -270,24 +274,27 @@
 		f.unreachable = true
 		f.gateway.storeUnreachable.Store(true)
 		f.gateway.peers.SendSoon()
-		f.gateway.log.Warn().Str("event", "store.lost").Err(err).EmbedObject(revisionFields(f.gateway.view.Load().Revision)).Msg("go on with what is known")
+		f.gateway.log.Warn().Str("event", "store.lost").Err(err).EmbedObject(revisionFields(f.gateway.view.Load().Revision)).Msg("store is unreachable; continuing with the last view")
 	}
 }
 
-func (f *storeWatcher) recover(now time.Time) {
+func (f *storeWatcher) recordSuccess(now time.Time) {
 	if f.unreachable {
 		f.unreachable = false
 		f.gateway.storeUnreachable.Store(false)
-		f.gateway.log.Info().Str("event", "store.regained").Dur("away", now.Sub(f.lastFailure)).Msg("follow the store again")
+		f.gateway.log.Info().Str("event", "store.regained").Dur("away", now.Sub(f.lastFailure)).Msg("store is reachable again")
 	}
 }
 
-// grace tells whether entries that are missing may come back: the store was away a
-// moment ago.
-func (f *storeWatcher) grace(now time.Time) bool { return now.Sub(f.lastFailure) < reregistrationGrace }
+// withinGrace reports whether missing entries may still be written again, since the store
+// was unreachable a moment ago.
+func (f *storeWatcher) withinGrace(now time.Time) bool {
+	return now.Sub(f.lastFailure) < reregistrationGrace
+}
 
-// takeSnapshot takes over all there is; lacking hears of the servers that are no more.
-func (f *storeWatcher) applySnapshot(s Snapshot, lacking func(id string)) {
+// applySnapshot replaces the state by a snapshot and calls remove for each server that the
+// snapshot lacks.
+func (f *storeWatcher) applySnapshot(s Snapshot, remove func(id string)) {
 	for _, name := range s.Unreadable {
 		f.dropServerByName(name)
 	}
@@ -307,7 +314,7 @@
 	}
 	for id := range f.servers {
 		if !present[id] {
-			f.handleAbsent(id, lacking)
+			f.handleAbsent(id, remove)
 		}
 	}
 	if f.reconciling(f.applyTime) {
@@ -361,13 +368,13 @@
 	f.publish(configuration, raw, revision)
 }
 
-// republish makes a new view of what is known besides the store.
+// republish publishes a new view after a change that did not come from the store.
 func (f *storeWatcher) republish() {
 	v := f.gateway.view.Load()
 	f.publish(v.Configuration, v.RawConfiguration, v.Revision)
 }
 
-// publish makes a new view known. A configuration never steps back.
+// publish publishes a new view. The version of the configuration never decreases.
 func (f *storeWatcher) publish(c *catalog.Configuration, raw []byte, revision catalog.Revision) {
 	old := f.gateway.view.Load()
 	if old.Configuration != nil && (c == nil || c.Version < old.Configuration.Version) {
@@ -375,7 +382,7 @@
 	}
 	if c != nil && (old.Configuration == nil || c.Version != old.Configuration.Version) {
 		f.gateway.log.Info().Str("event", "configuration.in_force").Uint64("version", c.Version).
-			EmbedObject(revisionFields(revision)).Int("routes", len(c.Routes)).Int("accounts", len(c.Accounts)).Msg("apply")
+			EmbedObject(revisionFields(revision)).Int("routes", len(c.Routes)).Int("accounts", len(c.Accounts)).Msg("configuration is in force")
 	}
 	v := &View{
 		Configuration: c, RawConfiguration: raw, Revision: max(revision, old.Revision), MissingUntil: maps.Clone(f.missingUntil),
--- a/gateway/view_bench_test.go
+++ b/gateway/view_bench_test.go
@@ -9,9 +9,8 @@
 	"opalbridge.dev/gateway/peer"
 )
 
-// BenchmarkViewChange takes one changed server among 3,000 over, at a gateway that knows 300
-// others: 36 ms when all gateways were looked through for each server and the servers
-// sorted, 7 ms now (medians of five, beside other work).
+// BenchmarkViewChange applies a change of one server among 3,000 at a gateway that knows 300
+// peers. Searching all peers for each server, and sorting the servers, would dominate the time.
 func BenchmarkViewChange(b *testing.B) {
 	const servers, gateways, serversEach = 3000, 300, 10
 	now := time.Now()
--- a/gateway/view_test.go
+++ b/gateway/view_test.go
@@ -11,7 +11,7 @@
 	"opalbridge.dev/gateway/peer"
 )
 
-// newIdleGateway is a gateway whose duties do not run.
+// newIdleGateway returns a gateway whose background tasks do not run.
 func newIdleGateway(t *testing.T) *Gateway {
 	t.Helper()
 	g, err := New(Options{
@@ -41,9 +41,9 @@
 	return list
 }
 
-// TestLateAnswersDoNotTurnBack: a call to the store was under way when another gateway
-// handed over a newer view; its answer is older than what is known.
-func TestLateAnswersDoNotTurnBack(t *testing.T) {
+// TestLateResultsKeepNewerView: the result of a call to the store arrives after a peer has handed
+// over a newer view, and must not replace it.
+func TestLateResultsKeepNewerView(t *testing.T) {
 	tests := []struct {
 		name string
 		late sourceResult
@@ -59,7 +59,7 @@
 			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{readyServer("i-1")}, Revision: 3}})
 			f.applyPeerView(now, peerView{snapshot: Snapshot{Configuration: configurationVersion(2), Servers: []catalog.Server{leavingServer("i-1"), readyServer("i-2")}, Revision: 9}})
 			f.applyResult(now, test.late)
-			require.Equal(t, []string{"i-1"}, g.leavingServers(), "a leaving server must not seem ready again")
+			require.Equal(t, []string{"i-1"}, g.leavingServers(), "a leaving server must not become ready again")
 			require.Len(t, g.view.Load().Servers, 2)
 			require.Equal(t, catalog.Revision(9), g.view.Load().Revision)
 			require.Equal(t, uint64(2), g.view.Load().Configuration.Version)
@@ -67,19 +67,19 @@
 	}
 }
 
-// TestMissingServers: what happens to a server whose entry has gone.
+// TestMissingServers tests when a server whose entry is gone is kept for a grace period.
 func TestMissingServers(t *testing.T) {
 	now := time.Now()
 	tests := []struct {
 		name   string
-		failed time.Duration // before now the store last failed; 0: never
+		failed time.Duration // time since the store's last failure; 0: never
 		server catalog.Server
 		kept   bool
 	}{
 		{"calm", 0, readyServer("i-1"), false},
-		{"store failed a moment ago", time.Second, readyServer("i-1"), true},
+		{"store failed recently", time.Second, readyServer("i-1"), true},
 		{"store failed long ago", time.Minute, readyServer("i-1"), false},
-		{"it was leaving", time.Second, leavingServer("i-1"), false},
+		{"server was leaving", time.Second, leavingServer("i-1"), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -92,13 +92,13 @@
 			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
 			require.Equal(t, test.kept, len(g.view.Load().Servers) == 1)
 			f.expireMissing(now.Add(reregistrationGrace + time.Millisecond))
-			require.Empty(t, g.view.Load().Servers, "an entry that does not come back is gone")
+			require.Empty(t, g.view.Load().Servers, "a server whose entry is not written again is dropped")
 		})
 	}
 }
 
-// TestMissingServerReturns in time and stays.
-func TestMissingServerReturns(t *testing.T) {
+// TestMissingServerReregisters: a server that writes its entry again in time is kept.
+func TestMissingServerReregisters(t *testing.T) {
 	now := time.Now()
 	g := newIdleGateway(t)
 	f := g.storeWatcher
@@ -110,9 +110,9 @@
 	require.Len(t, g.view.Load().Servers, 1)
 }
 
-// TestHandedOverMissingServers: a gateway that keeps a server for a moment hands it
-// over as such; who takes the view over drops it as well if it does not come back.
-func TestHandedOverMissingServers(t *testing.T) {
+// TestMissingServersInPeerView: a server in its grace period is handed over as such, and the
+// receiving gateway drops it too if its entry is not written again.
+func TestMissingServersInPeerView(t *testing.T) {
 	now := time.Now()
 	from, to := newIdleGateway(t), newIdleGateway(t)
 	f := from.storeWatcher
--- a/gateway/warmup/warmup.go
+++ b/gateway/warmup/warmup.go
@@ -1,33 +1,32 @@
-// Package warmup bounds how many requests a cold server gets. A server that has just
-// started, or comes back after its hall was evacuated, bears a few requests a second and
-// falls over at well above that, with every stream on it. An idle server looks best to
-// every gateway at the same moment, so the bound has to hold over the fleet.
+// Package warmup limits the request rate of cold servers. A server that has just started, or
+// whose hall was evacuated until now, sustains a few requests a second and fails well above
+// that, with every stream on it. An idle server looks best to every gateway at the same moment,
+// so the limit has to hold over the fleet.
 //
-// One gateway holds a cold server: it alone sends there, at most [Limits.Allowance]
-// requests in any [Window]. Who that is the platform's store decides: a gateway writes a
-// key that nobody has written before, named by the server and the [Episode] of coldness
-// in which it is (a [Claim]). So at most one process holds a server in an episode,
-// whatever any gateway believes of the others. Who does not hold it sends nothing there
-// until it is warm; when the holder ends, nobody does.
+// One gateway holds a cold server: it alone sends to it, at most [Limits.Allowance] requests in
+// any [Window]. The platform's store decides which one: a gateway creates a key, named by the
+// server and its [Episode] of coldness (a [Claim]), which succeeds only if the key does not exist.
+// So at most one process holds a server in an episode, whatever any gateway believes of the
+// others. A gateway that does not hold the server sends nothing to it until it is warm; if the
+// holder crashes, nobody does.
 //
 // # Usage
 //
-//	g := warmup.NewGuard()
-//	g.Set(now, servers)                            // those that are cold
-//	for _, c := range g.Due(now, rank) { … }       // write the claim, then:
-//	g.Settle(now, c, warmup.Won)
-//	if at := g.OpenAt(now, id); !at.After(now) {   // the server may get a request
-//		g.Sent(now, id)                        // it leaves within SendWithin
+//	l := warmup.NewLimiter()
+//	l.SetServers(now, servers)                           // the cold ones
+//	for _, c := range l.DueClaims(now, wanted, rank) { … } // write the claim, then:
+//	l.ResolveClaim(now, c, warmup.Won)
+//	if at := l.NextSendAt(now, id); !at.After(now) {     // the server may get a request
+//		l.RecordSend(now, id)                        // it is sent within MaxSendDelay
 //	}
 //
-// What the bound rests on: a claim is written once; what is sent leaves within
-// [MaxSendDelay] of its decision; an episode's claims are used only when nobody sends by
-// those of the one before ([Server.Clear]). What it does not cover: a gateway that has
-// not heard that a server is cold sends it what it would send a warm one. Limits.Extra is
-// left for that.
+// The limit depends on three rules: a claim is written once; a request is sent within
+// [MaxSendDelay] of its decision; and the claims of an episode are used only when nobody sends
+// by those of the one before ([Server.IdleSince]). It does not cover a gateway that has not yet
+// heard that a server is cold and sends to it as to a warm one. Limits.Extra leaves room for that.
 //
-// The package takes no lock, does no input or output and reads no clock. A Guard belongs
-// to one goroutine.
+// The package takes no locks, does no input or output and does not read the clock. A Limiter must
+// be used by one goroutine only.
 package warmup
 
 import (
@@ -39,32 +38,32 @@
 )
 
 const (
-	// MaxSendDelay is the time in which a request leaves after it was decided on. A process
-	// that was stopped between the two must not send it later, together with others.
+	// MaxSendDelay is the time in which a request must be sent after its decision. A process
+	// that was suspended in between must not send it later, together with others.
 	MaxSendDelay = 200 * time.Millisecond
-	// Window is the span in which decisions are counted, so that what leaves in any second
-	// is bounded.
+	// Window is the span over which decisions are counted. It exceeds a second by MaxSendDelay,
+	// so that the requests sent in any second are bounded.
 	Window = time.Second + MaxSendDelay
-	// Gateways hear within this time that a server is cold or that its hall is evacuated;
-	// a holder of a server that was warm before sends nothing until then.
-	settleFor = time.Second
-	// The gateway that ranks first for a server claims it at once, the next one after this
-	// time, and so on: long enough to hear of the first one's claim.
+	// propagationDelay is the time in which all gateways hear that a server is cold or its hall
+	// evacuated. The holder of a server that was warm before sends nothing until then.
+	propagationDelay = time.Second
+	// rankDelay separates the claims of gateways for a server by their rank, long enough for the
+	// next one to hear of an earlier claim.
 	rankDelay = 250 * time.Millisecond
-	// A claim of which nobody knows whether it was written is tried again after this time.
-	retryAfter = 300 * time.Millisecond
-	// And so often at most.
-	mostTries = 3
+	// claimRetryInterval is the time before a claim of unknown outcome is retried.
+	claimRetryInterval = 300 * time.Millisecond
+	// maxClaimAttempts bounds the attempts to claim a server in an episode.
+	maxClaimAttempts = 3
 )
 
-// Limits bound what a cold server gets from all gateways in a second.
+// Limits bounds the requests that a cold server gets from all gateways in a second.
 type Limits struct {
-	PerSecond float64 // that it bears; 0: its service has no cold servers
+	PerSecond float64 // that the server sustains; 0: the service has no cold servers
 	Factor    float64 // the fleet must not send more than PerSecond × Factor + Extra
 	Extra     float64
 }
 
-// Allowance returns how many requests the holder of a server sends in any Window.
+// Allowance returns how many requests the holder of a server may send in any Window.
 func (l Limits) Allowance() int {
 	if n := int(l.PerSecond * l.Factor); n > 0 {
 		return n
@@ -72,13 +71,13 @@
 	return min(int(l.PerSecond*l.Factor+l.Extra), 1)
 }
 
-// Episode is a span in which a server is cold, the same for all gateways: the revision of the
-// store at which its hall was evacuated last, or that of number 0 in the era in which it started.
-// So a claim of it is made in that era only: what a store that has come back from a copy says of
-// earlier episodes doesn't count, since it may have lost who holds the server.
+// Episode identifies a period in which a server is cold, equally at all gateways: it is the
+// revision at which the server's hall was last evacuated, or else the revision with number 0 of
+// the era in which the server started. So a claim is valid in that era only: what a restored
+// store says of earlier episodes does not count, since it may have lost who holds the server.
 type Episode = catalog.Revision
 
-// Claim names what a gateway claims.
+// Claim identifies a server and the episode for which it is claimed.
 type Claim struct {
 	Server  string
 	Episode Episode
@@ -89,69 +88,69 @@
 	Claim
 	Hall      string
 	Limits    Limits
-	ColdUntil time.Time // it is warm from then on
-	IdleSince time.Time // since then it gets nothing from gateways that know that it is cold, or evacuated; zero: it never got anything
-	// StartObserved is true if the episode's beginning was seen. Who has not seen it may name
-	// the episode wrongly, and claims nothing.
+	ColdUntil time.Time // the server is warm from then on
+	IdleSince time.Time // since when gateways that know it as cold or evacuated send it nothing; zero: it never got requests
+	// StartObserved is true if this gateway observed the beginning of the episode. One that did
+	// not may name the wrong episode, and so claims nothing.
 	StartObserved bool
 	Claimed       bool // by some gateway
 }
 
-// Outcome is how a claim ended.
+// Outcome is the outcome of a claim.
 type Outcome int
 
-// The outcomes.
+// Outcomes of claims.
 const (
 	Won     Outcome = iota // this process holds the server
-	Lost                   // another one does
+	Lost                   // another process holds it
 	Unknown                // the claim may have been written
 )
 
-// state is what a guard knows of a server.
+// state is a limiter's state of a server.
 type state struct {
 	Server
-	held   bool
-	asked  bool // a claim is under way
-	unsure bool // the latest claim may have been written
-	ranked bool
-	tries  int
-	next   time.Time   // when to claim
-	sent   []time.Time // decisions of the last Window
+	held      bool
+	claiming  bool // a claim is in flight
+	uncertain bool // the outcome of the last claim is unknown
+	ranked    bool
+	attempts  int
+	nextClaim time.Time   // earliest time of the next claim
+	sent      []time.Time // times of the decisions in the last Window
 }
 
-// Limiter decides what a gateway sends to cold servers.
+// Limiter decides when a gateway may send to cold servers.
 type Limiter struct{ servers map[string]*state }
 
-// NewLimiter returns a guard that knows of no cold server.
+// NewLimiter returns a limiter without cold servers.
 func NewLimiter() *Limiter { return &Limiter{servers: map[string]*state{}} }
 
-// Set replaces the servers that are cold. What is held stays held in the same episode.
-func (g *Limiter) Set(now time.Time, list []Server) {
-	kept := make(map[string]*state, len(list))
+// SetServers replaces the cold servers. A held server stays held in the same episode.
+func (l *Limiter) Set(now time.Time, list []Server) {
+	servers := make(map[string]*state, len(list))
 	for _, s := range list {
-		old := g.servers[s.Server]
-		if old == nil || old.Episode != s.Episode {
-			old = &state{}
+		st := l.servers[s.Server]
+		if st == nil || st.Episode != s.Episode {
+			st = &state{}
 		}
-		old.Server = s
-		kept[s.Server] = old
+		st.Server = s
+		servers[s.Server] = st
 	}
-	g.servers = kept
+	l.servers = servers
 }
 
-// Servers returns the servers that Set has named.
-func (g *Limiter) Servers() []string { return slices.Collect(maps.Keys(g.servers)) }
+// Servers returns the IDs of the servers given to SetServers.
+func (l *Limiter) Servers() []string { return slices.Collect(maps.Keys(l.servers)) }
 
-// Cold tells whether a server is cold.
-func (g *Limiter) Cold(now time.Time, server string) bool {
-	s := g.servers[server]
+// IsCold reports whether a server is cold.
+func (l *Limiter) Cold(now time.Time, server string) bool {
+	s := l.servers[server]
 	return s != nil && now.Before(s.ColdUntil)
 }
 
-// NextSendAt returns when a server may get the next request from this gateway; that is in the
-// past if it may get one now.
-func (g *Limiter) NextSendAt(now time.Time, server string) time.Time {
-	s := g.servers[server]
+// NextSendAt returns when this gateway may send the next request to a server; a time in the past
+// means now.
+func (l *Limiter) NextSendAt(now time.Time, server string) time.Time {
+	s := l.servers[server]
 	if s == nil || !now.Before(s.ColdUntil) {
 		return time.Time{}
 	}
@@ -161,7 +160,7 @@
 	}
 	var at time.Time
 	if !s.IdleSince.IsZero() {
-		at = s.IdleSince.Add(settleFor + Window)
+		at = s.IdleSince.Add(propagationDelay + Window)
 	}
 	s.trim(now)
 	if n := len(s.sent); n >= allowance {
@@ -170,15 +169,15 @@
 	return earliest(at, s.ColdUntil)
 }
 
-// RecordSend notes that a request to a server was decided on.
-func (g *Limiter) RecordSend(now time.Time, server string) {
-	if s := g.servers[server]; s != nil {
+// RecordSend records the decision to send a request to a server.
+func (l *Limiter) RecordSend(now time.Time, server string) {
+	if s := l.servers[server]; s != nil {
 		s.trim(now)
 		s.sent = append(s.sent, now)
 	}
 }
 
-// trim forgets decisions that are older than a Window.
+// trim removes decisions older than a Window.
 func (s *state) trim(now time.Time) {
 	n := 0
 	for n < len(s.sent) && now.Sub(s.sent[n]) >= Window {
@@ -187,42 +186,42 @@
 	s.sent = s.sent[n:]
 }
 
-// DueClaims returns the claims to write now. rank tells how many live gateways come before this
-// one for a server; wanted whether this gateway has requests for it.
-func (g *Limiter) DueClaims(now time.Time, wanted func(server string) bool, rank func(s Server) int) []Claim {
-	var list []Claim
-	for id, s := range g.servers {
-		if s.held || s.asked || s.Claimed && !s.unsure || !s.StartObserved || s.tries >= mostTries || !now.Before(s.ColdUntil) {
+// DueClaims returns the claims to write now. wanted reports whether this gateway has requests for a
+// server, and rank returns how many live gateways come before this one for it.
+func (l *Limiter) DueClaims(now time.Time, wanted func(server string) bool, rank func(s Server) int) []Claim {
+	var claims []Claim
+	for id, s := range l.servers {
+		if s.held || s.claiming || s.Claimed && !s.uncertain || !s.StartObserved || s.attempts >= maxClaimAttempts || !now.Before(s.ColdUntil) {
 			continue
 		}
 		if !s.ranked {
 			s.ranked = true
-			s.next = now.Add(time.Duration(rank(s.Server)) * rankDelay)
+			s.nextClaim = now.Add(time.Duration(rank(s.Server)) * rankDelay)
 		}
-		if now.Before(s.next) || !wanted(id) {
+		if now.Before(s.nextClaim) || !wanted(id) {
 			continue
 		}
-		s.asked = true
-		s.tries++
-		list = append(list, s.Claim)
+		s.claiming = true
+		s.attempts++
+		claims = append(claims, s.Claim)
 	}
-	return list
+	return claims
 }
 
-// ResolveClaim takes over how a claim ended.
-func (g *Limiter) ResolveClaim(now time.Time, c Claim, o Outcome) {
-	s := g.servers[c.Server]
+// ResolveClaim records the outcome of a claim.
+func (l *Limiter) ResolveClaim(now time.Time, c Claim, o Outcome) {
+	s := l.servers[c.Server]
 	if s == nil || s.Claim != c {
 		return
 	}
-	s.asked, s.unsure = false, o == Unknown
+	s.claiming, s.uncertain = false, o == Unknown
 	switch o {
 	case Won:
 		s.held = true
 	case Lost:
 		s.Claimed = true
 	case Unknown:
-		s.next = now.Add(retryAfter)
+		s.nextClaim = now.Add(claimRetryInterval)
 	}
 }
 
--- a/gateway/warmup/warmup_test.go
+++ b/gateway/warmup/warmup_test.go
@@ -31,35 +31,35 @@
 		limits warmup.Limits
 		want   int
 	}{
-		{"what it bears and a half", limits, 10},
-		{"under one a second: one when the fleet may send one", warmup.Limits{PerSecond: 0.5, Factor: 1.5, Extra: 1}, 1},
+		{"sustained rate and a half", limits, 10},
+		{"below one a second: one if the fleet may send one", warmup.Limits{PerSecond: 0.5, Factor: 1.5, Extra: 1}, 1},
 		{"the fleet must not send one in a second", warmup.Limits{PerSecond: 0.5, Factor: 1.5}, 0},
-		{"bounds not told", warmup.Limits{PerSecond: 7, Factor: 1}, 7},
+		{"no extra", warmup.Limits{PerSecond: 7, Factor: 1}, 7},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) { require.Equal(t, test.want, test.limits.Allowance()) })
 	}
 }
 
-// TestOpenAt: when a cold server gets the next request from a gateway.
-func TestOpenAt(t *testing.T) {
+// TestNextSendAt tests when a gateway may send the next request to a cold server.
+func TestNextSendAt(t *testing.T) {
 	tests := []struct {
 		name   string
 		server warmup.Server
 		won    bool
 		sent   int
 		after  time.Duration // since start
-		want   time.Duration // until it opens; 0: it is open
+		want   time.Duration // time until then; 0: now
 	}{
-		{"held by nobody", cold(nil), false, 0, 0, 3 * time.Second},
+		{"not held", cold(nil), false, 0, 0, 3 * time.Second},
 		{"held", cold(nil), true, 0, 0, 0},
 		{"one less than the allowance sent", cold(nil), true, 9, 0, 0},
 		{"the allowance sent", cold(nil), true, 10, 0, warmup.Window},
 		{"a window later", cold(nil), true, 10, warmup.Window, 0},
 		{"warm", cold(nil), false, 0, 3 * time.Second, 0},
-		{"it got requests until now", cold(func(s *warmup.Server) { s.IdleSince = start }), true, 0, 0, time.Second + warmup.Window},
-		{"it got requests before its hall was evacuated", cold(func(s *warmup.Server) { s.IdleSince = start.Add(-3 * time.Second) }), true, 0, 0, 0},
-		{"the episode's beginning was not seen", cold(func(s *warmup.Server) { s.StartObserved = false }), true, 0, 0, 3 * time.Second},
+		{"got requests until now", cold(func(s *warmup.Server) { s.IdleSince = start }), true, 0, 0, time.Second + warmup.Window},
+		{"got requests until its hall was evacuated", cold(func(s *warmup.Server) { s.IdleSince = start.Add(-3 * time.Second) }), true, 0, 0, 0},
+		{"beginning of the episode not observed", cold(func(s *warmup.Server) { s.StartObserved = false }), true, 0, 0, 3 * time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestDue: which claims are written, and when.
-func TestDue(t *testing.T) {
+// TestDueClaims tests which claims are written, and when.
+func TestDueClaims(t *testing.T) {
 	tests := []struct {
 		name   string
 		server warmup.Server
@@ -89,10 +89,10 @@
 	}{
 		{"first in rank", cold(nil), 0, true, 0, true},
 		{"second in rank, at once", cold(nil), 1, true, 0, false},
-		{"second in rank, when the first one would have claimed it", cold(nil), 1, true, 250 * time.Millisecond, true},
+		{"second in rank, after the first one's turn", cold(nil), 1, true, 250 * time.Millisecond, true},
 		{"no requests for it", cold(nil), 0, false, 0, false},
-		{"claimed by another one", cold(func(s *warmup.Server) { s.Claimed = true }), 0, true, 0, false},
-		{"its episode's beginning was not seen", cold(func(s *warmup.Server) { s.StartObserved = false }), 0, true, 0, false},
+		{"claimed by another gateway", cold(func(s *warmup.Server) { s.Claimed = true }), 0, true, 0, false},
+		{"beginning of the episode not observed", cold(func(s *warmup.Server) { s.StartObserved = false }), 0, true, 0, false},
 		{"warm", cold(func(s *warmup.Server) { s.ColdUntil = start }), 0, true, 0, false},
 	}
 	for _, test := range tests {
@@ -112,27 +112,27 @@
 	}
 }
 
-// TestUnknownClaims are tried again, also when a watch says meanwhile that somebody holds
-// the server: that may be this process.
-func TestUnknownClaims(t *testing.T) {
+// TestUnknownOutcomesAreRetried: a claim of unknown outcome is retried, also when a watch reports
+// meanwhile that the server is held, since the holder may be this process.
+func TestUnknownOutcomesAreRetried(t *testing.T) {
 	g := warmup.NewLimiter()
 	s := cold(nil)
 	g.Set(start, []warmup.Server{s})
 	now := start
-	tries := 0
+	attempts := 0
 	for now.Before(s.ColdUntil) {
 		for _, c := range g.DueClaims(now, always, first) {
-			tries++
+			attempts++
 			g.ResolveClaim(now, c, warmup.Unknown)
 			s.Claimed = true
 			g.Set(now, []warmup.Server{s})
 		}
 		now = now.Add(50 * time.Millisecond)
 	}
-	require.Equal(t, 3, tries)
+	require.Equal(t, 3, attempts)
 }
 
-// TestEpisodes: what is held is held in its episode only.
+// TestEpisodes: a server is held only in the episode of the claim.
 func TestEpisodes(t *testing.T) {
 	g := warmup.NewLimiter()
 	s := cold(nil)
@@ -140,17 +140,17 @@
 	g.ResolveClaim(start, s.Claim, warmup.Won)
 	s.ColdUntil = s.ColdUntil.Add(time.Second)
 	g.Set(start, []warmup.Server{s})
-	require.False(t, g.NextSendAt(start, "i-1").After(start), "news of the same episode")
+	require.False(t, g.NextSendAt(start, "i-1").After(start), "update within the episode")
 	s.Episode = 7
 	g.Set(start, []warmup.Server{s})
 	require.Equal(t, s.ColdUntil, g.NextSendAt(start, "i-1"))
 	g.ResolveClaim(start, warmup.Claim{Server: "i-1"}, warmup.Won)
-	require.Equal(t, s.ColdUntil, g.NextSendAt(start, "i-1"), "an answer to the claim of the episode before")
+	require.Equal(t, s.ColdUntil, g.NextSendAt(start, "i-1"), "late outcome of a claim in the previous episode")
 }
 
-// TestHolderKeepsTheBound: whatever moments a holder is asked at, what it decides in any
-// Window is bounded, so what leaves in any second is.
-func TestHolderKeepsTheBound(t *testing.T) {
+// TestHolderKeepsLimit: whenever a holder is asked, its decisions in any Window are bounded, and so is
+// what it sends in any second.
+func TestHolderKeepsLimit(t *testing.T) {
 	g := warmup.NewLimiter()
 	s := cold(func(s *warmup.Server) { s.ColdUntil = start.Add(10 * time.Second) })
 	g.Set(start, []warmup.Server{s})
@@ -173,5 +173,5 @@
 		}
 		require.LessOrEqual(t, n, limits.Allowance())
 	}
-	require.Greater(t, len(sent), 8*limits.Allowance(), "what it bears is used")
+	require.Greater(t, len(sent), 8*limits.Allowance(), "the allowance is used")
 }
