--- a/cmd/opalbridge/quarantine.go
+++ b/cmd/opalbridge/quarantine.go
@@ -114,7 +114,7 @@
 	if _, known := kept[key]; !known {
 		return usage(errors.Newf("quarantine: nothing is held against %s", key))
 	}
-	if err := s.Drop(ctx, key); err != nil {
+	if err := s.Delete(ctx, key); err != nil {
 		return errors.Wrap(err, "quarantine: lift")
 	}
 	fmt.Fprintf(c.Root().Writer, "%s: lifted\n", key)
--- a/gateway/caches.go
+++ b/gateway/caches.go
@@ -21,7 +21,7 @@
 // Caches reads what servers hold in their caches. The answers may be incomplete: they save
 // prompt processing, and no guarantee depends on them.
 type Caches interface {
-	Held(ctx context.Context, address string) (CacheContent, error)
+	Contents(ctx context.Context, address string) (CacheContent, error)
 }
 
 // CacheContent is a server's report of its cache.
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithTimeout(ctx, cacheQueryTimeout)
 	defer cancel()
 	start := time.Now()
-	content, err := g.options.Caches.Held(ctx, s.Address)
+	content, err := g.options.Caches.Contents(ctx, s.Address)
 	if err != nil {
 		g.log.Info().Str("event", "cache.unknown").Str("server", s.ID).Err(err).Msg("cache query failed; assuming an empty cache")
 		return
--- a/gateway/catalog/catalog.go
+++ b/gateway/catalog/catalog.go
@@ -60,7 +60,7 @@
 }
 
 // PickService selects the service of a request by weight; draw is uniform in [0, 1).
-func (r *Route) Pick(draw float64) string {
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
@@ -97,7 +97,7 @@
 }
 
 // SupportsCacheCopy reports whether servers copy cached parts of prompts from each other.
-func (e *Engine) Copies() bool { return e != nil && e.BytesPerToken > 0 && e.LinkMbps > 0 }
+func (e *Engine) SupportsCacheCopy() bool { return e != nil && e.BytesPerToken > 0 && e.LinkMbps > 0 }
 
 // Account is a client account.
 type Account struct {
@@ -110,16 +110,16 @@
 type Regions []string
 
 // Allows reports whether requests may go to a region.
-func (r Regions) Allow(region string) bool { return r == nil || slices.Contains(r, region) }
+func (r Regions) Allows(region string) bool { return r == nil || slices.Contains(r, region) }
 
 // Intersect returns the regions that both sets allow.
-func (r Regions) And(other Regions) Regions {
+func (r Regions) Intersect(other Regions) Regions {
 	if r == nil {
 		return other
 	}
 	result := Regions{}
 	for _, region := range r {
-		if other.Allow(region) {
+		if other.Allows(region) {
 			result = append(result, region)
 		}
 	}
@@ -186,8 +186,8 @@
 }
 
 // Unrestricted reports whether every request may be read and served in a region.
-func (c *Configuration) Free(region string) bool {
-	return !slices.ContainsFunc(c.restrictions, func(r Regions) bool { return !r.Allow(region) })
+func (c *Configuration) Unrestricted(region string) bool {
+	return !slices.ContainsFunc(c.restrictions, func(r Regions) bool { return !r.Allows(region) })
 }
 
 // Route returns the route with the longest prefix of the path; a port in host is ignored.
--- a/gateway/catalog/catalog_test.go
+++ b/gateway/catalog/catalog_test.go
@@ -24,12 +24,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			both := test.route.And(test.account)
+			both := test.route.Intersect(test.account)
 			for _, region := range test.allowed {
-				require.True(t, both.Allow(region), region)
+				require.True(t, both.Allows(region), region)
 			}
 			for _, region := range test.forbidden {
-				require.False(t, both.Allow(region), region)
+				require.False(t, both.Allows(region), region)
 			}
 		})
 	}
--- a/gateway/desk.go
+++ b/gateway/desk.go
@@ -301,7 +301,7 @@
 	if moving != nil {
 		d.sentVersion(now, moving, assign)
 	}
-	if d.coldLimiter.Cold(now, assign.Server.ID) {
+	if d.coldLimiter.IsCold(now, assign.Server.ID) {
 		assign.SendBefore = now.Add(warmup.MaxSendDelay)
 		d.sentCold(now, assign.Server.ID)
 	}
--- a/gateway/desk_cold.go
+++ b/gateway/desk_cold.go
@@ -47,7 +47,7 @@
 			})
 		}
 	}
-	d.coldLimiter.Set(now, list)
+	d.coldLimiter.SetServers(now, list)
 	for _, s := range list {
 		d.balancer.CloseUntil(s.Server, d.coldLimiter.NextSendAt(now, s.Server))
 	}
--- a/gateway/ingress.go
+++ b/gateway/ingress.go
@@ -90,7 +90,7 @@
 	}
 	c := &call{
 		gateway: g, w: w, request: r, told: told, route: route, account: account.Name,
-		arrived: arrived, deadline: arrived.Add(holdTime(route, told)), regions: route.Regions.And(account.Regions),
+		arrived: arrived, deadline: arrived.Add(holdTime(route, told)), regions: route.Regions.Intersect(account.Regions),
 	}
 	if d := c.readBody(v.Configuration.Limits); d.status != 0 {
 		return nil, d
@@ -180,7 +180,7 @@
 
 // describe fills in what placement wants to know.
 func (c *call) describe(v *View) {
-	c.service = c.route.Pick(unitHash(c.told.ID))
+	c.service = c.route.PickService(unitHash(c.told.ID))
 	output := c.told.ExpectedOutputTokens
 	if output == 0 {
 		output = c.told.MaxOutputTokens
--- a/gateway/offload.go
+++ b/gateway/offload.go
@@ -79,7 +79,7 @@
 func (g *Gateway) mayPass() bool {
 	c := g.view.Load().Configuration
 	region := g.options.Dispatcher.Regions[g.options.Dispatcher.Hall]
-	return g.helpers.any() && (c == nil || c.Free(region))
+	return g.helpers.any() && (c == nil || c.Unrestricted(region))
 }
 
 // passer passes connections on.
--- a/gateway/placement/option.go
+++ b/gateway/placement/option.go
@@ -109,7 +109,7 @@
 func (b *Balancer) fullest(now time.Time, a *Request) holder {
 	var best holder
 	for _, s := range b.services[a.Service] {
-		if !s.engine.Copies() || now.Before(s.resting) || now.Before(s.pause.until) || !b.allowed(a, s) || slices.Contains(a.Exclude, s.ID) {
+		if !s.engine.SupportsCacheCopy() || now.Before(s.resting) || now.Before(s.pause.until) || !b.allowed(a, s) || slices.Contains(a.Exclude, s.ID) {
 			continue
 		}
 		held := s.cache.ready(now, a)
--- a/gateway/placement/placement.go
+++ b/gateway/placement/placement.go
@@ -249,7 +249,7 @@
 
 // allowed tells whether a request may be served where a server is.
 func (b *Balancer) allowed(a *Request, s *server) bool {
-	return a.Regions == nil || a.Regions.Allow(b.regions[s.Hall])
+	return a.Regions == nil || a.Regions.Allows(b.regions[s.Hall])
 }
 
 // SetRegions tells in which region each hall is.
--- a/gateway/protocol/protocol.go
+++ b/gateway/protocol/protocol.go
@@ -64,5 +64,5 @@
 	// Forward sets the gateway's own headers on a request to a server.
 	Forward(h http.Header, f Forward)
 	// Response decodes a server's headers.
-	Answer(status int, h http.Header) Response
+	Response(status int, h http.Header) Response
 }
--- a/gateway/retries.go
+++ b/gateway/retries.go
@@ -34,7 +34,7 @@
 	}
 	spent := time.Duration(0)
 	r.locked(func(m *retry.History) {
-		if first, back := m.First(c.arrived, key, c.arrived.Add(c.told.Deadline)); back {
+		if first, back := m.FirstAttempt(c.arrived, key, c.arrived.Add(c.told.Deadline)); back {
 			spent = max(c.arrived.Sub(first), time.Millisecond)
 		}
 	})
@@ -48,7 +48,7 @@
 		return
 	}
 	f := retry.Refusal{Key: key, Deadline: c.arrived.Add(c.told.Deadline), FirstAttempt: c.arrived.Add(-c.spent)}
-	r.locked(func(m *retry.History) { m.Add(time.Now(), f) })
+	r.locked(func(m *retry.History) { m.Record(time.Now(), f) })
 	c.gateway.peers.PublishRefusal(peer.Refusal{Key: uint64(key), Deadline: f.Deadline, FirstAttempt: f.FirstAttempt})
 }
 
@@ -59,7 +59,7 @@
 	}
 	r.locked(func(m *retry.History) {
 		for _, f := range list {
-			m.Add(now, retry.Refusal{Key: retry.Key(f.Key), Deadline: f.Deadline, FirstAttempt: f.FirstAttempt})
+			m.Record(now, retry.Refusal{Key: retry.Key(f.Key), Deadline: f.Deadline, FirstAttempt: f.FirstAttempt})
 		}
 	})
 }
--- a/gateway/retry/retry.go
+++ b/gateway/retry/retry.go
@@ -55,7 +55,7 @@
 func NewHistory() *History { return &History{refusals: map[Key][]Refusal{}} }
 
 // Record adds a refusal.
-func (h *History) Add(now time.Time, r Refusal) {
+func (h *History) Record(now time.Time, r Refusal) {
 	if !now.Before(r.Deadline) {
 		return
 	}
@@ -76,7 +76,7 @@
 
 // FirstAttempt returns the time of the first attempt if a request is the retry of a refused one. It
 // removes that refusal, since a caller retries once for each.
-func (h *History) First(now time.Time, key Key, deadline time.Time) (first time.Time, ok bool) {
+func (h *History) FirstAttempt(now time.Time, key Key, deadline time.Time) (first time.Time, ok bool) {
 	list := h.refusals[key]
 	best, minDiff := -1, tolerance
 	for i, r := range list {
--- a/gateway/retry/retry_test.go
+++ b/gateway/retry/retry_test.go
@@ -33,9 +33,9 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			h := retry.NewHistory()
-			h.Add(start, refused)
-			h.Add(start, refused) // reported twice
-			first, isRetry := h.First(start.Add(test.after), test.key, test.ends)
+			h.Record(start, refused)
+			h.Record(start, refused) // reported twice
+			first, isRetry := h.FirstAttempt(start.Add(test.after), test.key, test.ends)
 			require.Equal(t, test.isRetry, isRetry)
 			if isRetry {
 				require.Equal(t, start, first)
@@ -50,11 +50,11 @@
 	const maxRefusals = 4096
 	h := retry.NewHistory()
 	for n := range 2 * maxRefusals {
-		h.Add(start, retry.Refusal{Key: retry.Key(n), Deadline: start.Add(time.Second), FirstAttempt: start})
+		h.Record(start, retry.Refusal{Key: retry.Key(n), Deadline: start.Add(time.Second), FirstAttempt: start})
 	}
 	require.Equal(t, maxRefusals, h.Len())
 	later := start.Add(2 * time.Second)
-	h.Add(later, retry.Refusal{Key: 1, Deadline: later.Add(time.Second), FirstAttempt: later})
+	h.Record(later, retry.Refusal{Key: 1, Deadline: later.Add(time.Second), FirstAttempt: later})
 	require.Equal(t, 1, h.Len())
 }
 
@@ -111,10 +111,10 @@
 			for _, x := range simulate(test.spread, test.outliers) {
 				longest = max(longest, x.patience)
 				baseline.add(x, longest-x.patience > 50*time.Millisecond)
-				first, isRetry := h.First(x.at, x.key, x.at.Add(x.patience))
+				first, isRetry := h.FirstAttempt(x.at, x.key, x.at.Add(x.patience))
 				history.add(x, isRetry && first.Equal(x.first))
 				if x.refused {
-					h.Add(x.at, retry.Refusal{Key: x.key, Deadline: x.at.Add(x.patience), FirstAttempt: x.first})
+					h.Record(x.at, retry.Refusal{Key: x.key, Deadline: x.at.Add(x.patience), FirstAttempt: x.first})
 				}
 			}
 			fmt.Printf("figure precision-%.2f-%v %.3f share (longest patience: %.3f)\n", test.spread, test.outliers, history.precision(), baseline.precision())
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -33,12 +33,12 @@
 // SuspectStore stores suspects where all gateways see the same ones, until they are deleted.
 type SuspectStore interface {
 	// Save merges what is known of a suspect into the stored state.
-	Keep(ctx context.Context, key quarantine.Key, s Suspect) error
+	Save(ctx context.Context, key quarantine.Key, s Suspect) error
 	// Delete removes a suspect; it need not exist.
-	Drop(ctx context.Context, key quarantine.Key) error
+	Delete(ctx context.Context, key quarantine.Key) error
 	// CountTrial counts one more trial of a barred suspect if the stored count equals trials. It
 	// reports whether it was counted; after an error that is unknown.
-	Try(ctx context.Context, key quarantine.Key, tries int) (counted bool, err error)
+	CountTrial(ctx context.Context, key quarantine.Key, tries int) (counted bool, err error)
 }
 
 const (
@@ -300,7 +300,7 @@
 	s.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	counted, err := s.store.Try(ctx, key, known.counted)
+	counted, err := s.store.CountTrial(ctx, key, known.counted)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	state := s.trials[key]
--- a/gateway/suspects_store.go
+++ b/gateway/suspects_store.go
@@ -177,7 +177,7 @@
 	}
 	s.mutex.Unlock()
 	if !repeated {
-		return s.store.Drop(ctx, k)
+		return s.store.Delete(ctx, k)
 	}
-	return s.store.Keep(ctx, k, Suspect{Summary: asks, Servers: r.Servers, Simultaneous: r.Simultaneous, Trials: tries})
+	return s.store.Save(ctx, k, Suspect{Summary: asks, Servers: r.Servers, Simultaneous: r.Simultaneous, Trials: tries})
 }
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -76,11 +76,11 @@
 	return nil
 }
 
-func (f *faultyStore) Keep(_ context.Context, key quarantine.Key, s Suspect) error {
+func (f *faultyStore) Save(_ context.Context, key quarantine.Key, s Suspect) error {
 	return f.do(func() { f.kept[key] = s })
 }
 
-func (f *faultyStore) Try(_ context.Context, key quarantine.Key, tries int) (counted bool, err error) {
+func (f *faultyStore) CountTrial(_ context.Context, key quarantine.Key, tries int) (counted bool, err error) {
 	err = f.do(func() {
 		counted = f.sent[key] == tries
 		if counted {
@@ -90,7 +90,7 @@
 	return counted, err
 }
 
-func (f *faultyStore) Drop(_ context.Context, key quarantine.Key) error {
+func (f *faultyStore) Delete(_ context.Context, key quarantine.Key) error {
 	return f.do(func() { delete(f.kept, key) })
 }
 
--- a/gateway/upstream/upstream.go
+++ b/gateway/upstream/upstream.go
@@ -214,7 +214,7 @@
 	}
 	a.Body = wholeReader{response.Body, a}
 	c.lifetime = keepAlive(response.Header)
-	told := p.codec.Answer(response.StatusCode, response.Header)
+	told := p.codec.Response(response.StatusCode, response.Header)
 	RemoveHopByHopHeaders(a.Header)
 	if w, ok := signalOf(s, r, response.StatusCode, told); ok && p.OnSignal != nil {
 		p.OnSignal(s, w)
--- a/gateway/upstream/upstream_test.go
+++ b/gateway/upstream/upstream_test.go
@@ -23,7 +23,7 @@
 // codec reads the headers of these tests.
 type codec struct{ protocol.Codec }
 
-func (codec) Answer(status int, h http.Header) protocol.Response {
+func (codec) Response(status int, h http.Header) protocol.Response {
 	a := protocol.Response{
 		RequestID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotExecuted: h.Get("Not-Run") != "",
 		Server: h.Get("Server"), Leaving: h.Get("Leaving") != "",
--- a/gateway/warmup/warmup.go
+++ b/gateway/warmup/warmup.go
@@ -125,7 +125,7 @@
 func NewLimiter() *Limiter { return &Limiter{servers: map[string]*state{}} }
 
 // SetServers replaces the cold servers. A held server stays held in the same episode.
-func (l *Limiter) Set(now time.Time, list []Server) {
+func (l *Limiter) SetServers(now time.Time, list []Server) {
 	servers := make(map[string]*state, len(list))
 	for _, s := range list {
 		st := l.servers[s.Server]
@@ -142,7 +142,7 @@
 func (l *Limiter) Servers() []string { return slices.Collect(maps.Keys(l.servers)) }
 
 // IsCold reports whether a server is cold.
-func (l *Limiter) Cold(now time.Time, server string) bool {
+func (l *Limiter) IsCold(now time.Time, server string) bool {
 	s := l.servers[server]
 	return s != nil && now.Before(s.ColdUntil)
 }
--- a/gateway/warmup/warmup_test.go
+++ b/gateway/warmup/warmup_test.go
@@ -64,7 +64,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := warmup.NewLimiter()
-			g.Set(start, []warmup.Server{test.server})
+			g.SetServers(start, []warmup.Server{test.server})
 			if test.won {
 				g.ResolveClaim(start, test.server.Claim, warmup.Won)
 			}
@@ -98,7 +98,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := warmup.NewLimiter()
-			g.Set(start, []warmup.Server{test.server})
+			g.SetServers(start, []warmup.Server{test.server})
 			rank := func(warmup.Server) int { return test.rank }
 			wanted := func(string) bool { return test.wanted }
 			list := g.DueClaims(start, wanted, rank)
@@ -117,7 +117,7 @@
 func TestUnknownOutcomesAreRetried(t *testing.T) {
 	g := warmup.NewLimiter()
 	s := cold(nil)
-	g.Set(start, []warmup.Server{s})
+	g.SetServers(start, []warmup.Server{s})
 	now := start
 	attempts := 0
 	for now.Before(s.ColdUntil) {
@@ -125,7 +125,7 @@
 			attempts++
 			g.ResolveClaim(now, c, warmup.Unknown)
 			s.Claimed = true
-			g.Set(now, []warmup.Server{s})
+			g.SetServers(now, []warmup.Server{s})
 		}
 		now = now.Add(50 * time.Millisecond)
 	}
@@ -136,13 +136,13 @@
 func TestEpisodes(t *testing.T) {
 	g := warmup.NewLimiter()
 	s := cold(nil)
-	g.Set(start, []warmup.Server{s})
+	g.SetServers(start, []warmup.Server{s})
 	g.ResolveClaim(start, s.Claim, warmup.Won)
 	s.ColdUntil = s.ColdUntil.Add(time.Second)
-	g.Set(start, []warmup.Server{s})
+	g.SetServers(start, []warmup.Server{s})
 	require.False(t, g.NextSendAt(start, "i-1").After(start), "update within the episode")
 	s.Episode = 7
-	g.Set(start, []warmup.Server{s})
+	g.SetServers(start, []warmup.Server{s})
 	require.Equal(t, s.ColdUntil, g.NextSendAt(start, "i-1"))
 	g.ResolveClaim(start, warmup.Claim{Server: "i-1"}, warmup.Won)
 	require.Equal(t, s.ColdUntil, g.NextSendAt(start, "i-1"), "late outcome of a claim in the previous episode")
@@ -153,7 +153,7 @@
 func TestHolderKeepsLimit(t *testing.T) {
 	g := warmup.NewLimiter()
 	s := cold(func(s *warmup.Server) { s.ColdUntil = start.Add(10 * time.Second) })
-	g.Set(start, []warmup.Server{s})
+	g.SetServers(start, []warmup.Server{s})
 	g.ResolveClaim(start, s.Claim, warmup.Won)
 	var sent []time.Time
 	for now := start; now.Before(s.ColdUntil); now = now.Add(7 * time.Millisecond) {
