--- a/gateway/handed_view.go
+++ b/gateway/peer_view.go
@@ -29,83 +29,83 @@
 }
 
 // applyPeerView applies a peer's view if it is newer than this gateway's own.
-func (f *storeWatcher) applyPeerView(now time.Time, h peerView) {
+func (f *storeWatcher) applyPeerView(now time.Time, p peerView) {
 	f.applyTime = now
-	f.gateway.applyPeerLeaving(now, h.from, h.leaving)
+	f.gateway.applyPeerLeaving(now, p.from, p.leaving)
 	v := f.gateway.view.Load()
-	if h.snapshot.Revision <= v.Revision {
-		f.applyPeerConfiguration(v, h)
+	if p.snapshot.Revision <= v.Revision {
+		f.applyPeerConfiguration(v, p)
 		return
 	}
-	f.gateway.log.Info().Str("event", "view.handed_over").Str("peer", h.from).
-		EmbedObject(revisionFields(h.snapshot.Revision)).Stringer("before", v.Revision).Bool("partial", h.partial).Msg("applying a peer's newer view")
-	if h.snapshot.Revision.Era() > v.Revision.Era() {
-		f.enterEra(h.snapshot.Revision, h.reconcileUntil)
+	f.gateway.log.Info().Str("event", "view.handed_over").Str("peer", p.from).
+		EmbedObject(revisionFields(p.snapshot.Revision)).Stringer("before", v.Revision).Bool("partial", p.partial).Msg("applying a peer's newer view")
+	if p.snapshot.Revision.Era() > v.Revision.Era() {
+		f.enterEra(p.snapshot.Revision, p.reconcileUntil)
 	}
-	f.changeRevision = h.snapshot.Revision
-	f.applyPeerCold(now, h)
-	f.applyPeerRollouts(now, h.rollouts)
-	if h.partial {
-		f.applyPartialView(h)
+	f.changeRevision = p.snapshot.Revision
+	f.applyPeerCold(now, p)
+	f.applyPeerRollouts(now, p.rollouts)
+	if p.partial {
+		f.applyPartialView(p)
 	} else {
-		f.applyFullView(h)
+		f.applyFullView(p)
 	}
-	f.gateway.confirm(h.confirmed)
+	f.gateway.confirm(p.confirmed)
 }
 
 // applyPeerConfiguration applies a newer configuration of a peer whose view is not newer. After
 // a restore of the store, this gateway may have started with an older configuration.
-func (f *storeWatcher) applyPeerConfiguration(v *View, h peerView) {
-	c := h.snapshot.Configuration
+func (f *storeWatcher) applyPeerConfiguration(v *View, p peerView) {
+	c := p.snapshot.Configuration
 	if c == nil || v.Configuration == nil || c.Version <= v.Configuration.Version {
 		return
 	}
-	f.gateway.log.Info().Str("event", "configuration.handed_over").Str("peer", h.from).Uint64("version", c.Version).Msg("applying a peer's newer configuration")
-	f.publish(c, h.snapshot.RawConfiguration, v.Revision)
+	f.gateway.log.Info().Str("event", "configuration.handed_over").Str("peer", p.from).Uint64("version", c.Version).Msg("applying a peer's newer configuration")
+	f.publish(c, p.snapshot.RawConfiguration, v.Revision)
 }
 
 // applyFullView replaces the state by a peer's whole view.
-func (f *storeWatcher) applyFullView(h peerView) {
-	f.serverChanges.reset(h.snapshot.Revision)
-	f.suspectChanges.reset(h.snapshot.Revision)
-	if !h.hasSuspects {
-		h.snapshot.Suspects = f.suspects
+func (f *storeWatcher) applyFullView(p peerView) {
+	f.serverChanges.reset(p.snapshot.Revision)
+	f.suspectChanges.reset(p.snapshot.Revision)
+	if !p.hasSuspects {
+		p.snapshot.Suspects = f.suspects
 	}
 	if !f.reconciling(f.applyTime) {
 		clear(f.missingUntil)
 	}
-	for id, until := range h.snapshot.MissingUntil {
+	for id, until := range p.snapshot.MissingUntil {
 		f.missingUntil[id] = until
 	}
-	for _, s := range h.unverified {
+	for _, s := range p.unverified {
 		if f.reconciling(f.applyTime) {
 			f.withhold(s)
 		}
 	}
-	f.applySnapshot(h.snapshot, f.dropServer)
+	f.applySnapshot(p.snapshot, f.dropServer)
 }
 
 // applyPartialView applies what has changed at a peer. Expiry times are taken only for servers
 // known here: the peer may have dropped the others since.
-func (f *storeWatcher) applyPartialView(h peerView) {
-	for _, server := range h.snapshot.Servers {
+func (f *storeWatcher) applyPartialView(p peerView) {
+	for _, server := range p.snapshot.Servers {
 		delete(f.unverified, server.Name())
 		f.upsertServer(server)
 	}
-	for _, id := range h.removedServers {
+	for _, id := range p.removedServers {
 		delete(f.unverified, catalog.ServerName(id))
 		f.dropServer(id)
 	}
-	for id, until := range h.snapshot.MissingUntil {
+	for id, until := range p.snapshot.MissingUntil {
 		if _, known := f.servers[id]; known {
 			f.missingUntil[id] = until
 		}
 	}
-	for key, kept := range h.snapshot.Suspects {
+	for key, kept := range p.snapshot.Suspects {
 		f.setSuspect(key, kept)
 	}
-	for _, key := range h.removedSuspects {
+	for _, key := range p.removedSuspects {
 		f.removeSuspect(key)
 	}
-	f.publish(h.snapshot.Configuration, h.snapshot.RawConfiguration, h.snapshot.Revision)
+	f.publish(p.snapshot.Configuration, p.snapshot.RawConfiguration, p.snapshot.Revision)
 }
--- a/gateway/protocol/protocol.go
+++ b/gateway/protocol/protocol.go
@@ -5,7 +5,7 @@
 //
 //	r, err := codec.Request(request.Header)
 //	codec.Forward(header, protocol.Forward{Server: s.ID, Deadline: left})
-//	a := codec.Response(response.StatusCode, response.Header)
+//	resp := codec.Response(response.StatusCode, response.Header)
 //
 // The names themselves are in the adapter that implements [Codec].
 package protocol
--- a/gateway/settle.go
+++ b/gateway/reconcile.go
@@ -46,9 +46,9 @@
 
 // serverTombstone is the last state of a removed server.
 type serverTombstone struct {
-	at       time.Time
-	lifetime string
-	leaving  bool
+	removedAt time.Time
+	id        string
+	leaving   bool
 }
 
 func newTombstones() tombstones {
@@ -58,7 +58,7 @@
 // addServer records that a server was removed.
 func (m *tombstones) addServer(now time.Time, s catalog.Server) {
 	if len(m.servers) < maxTombstones {
-		m.servers[s.Name()] = serverTombstone{at: now, lifetime: s.ID, leaving: s.Leaving}
+		m.servers[s.Name()] = serverTombstone{removedAt: now, id: s.ID, leaving: s.Leaving}
 	}
 }
 
@@ -72,7 +72,7 @@
 // expire drops tombstones older than tombstoneTTL.
 func (m *tombstones) expire(now time.Time) {
 	for name, e := range m.servers {
-		if now.Sub(e.at) > tombstoneTTL {
+		if now.Sub(e.removedAt) > tombstoneTTL {
 			delete(m.servers, name)
 		}
 	}
@@ -111,7 +111,7 @@
 	if !f.reconciling(f.applyTime) || !gone && !held && (!known || current == s.ID) {
 		return false
 	}
-	s.Leaving = s.Leaving || before.leaving && before.lifetime == s.ID
+	s.Leaving = s.Leaving || before.leaving && before.id == s.ID
 	f.withhold(s)
 	return true
 }
--- a/gateway/source.go
+++ b/gateway/source.go
@@ -80,8 +80,8 @@
 
 // SuspectChanged reports the stored state of a request during which servers have crashed.
 type SuspectChanged struct {
-	Key  quarantine.Key
-	Kept quarantine.StoredRecord
+	Key    quarantine.Key
+	Record quarantine.StoredRecord
 }
 
 // SuspectRemoved reports that a suspect was removed from the store.
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -38,7 +38,7 @@
 	Delete(ctx context.Context, key quarantine.Key) error
 	// CountTrial counts one more trial of a barred suspect if the stored count equals trials. It
 	// reports whether it was counted; after an error that is unknown.
-	CountTrial(ctx context.Context, key quarantine.Key, tries int) (counted bool, err error)
+	CountTrial(ctx context.Context, key quarantine.Key, trials int) (counted bool, err error)
 }
 
 const (
@@ -73,7 +73,7 @@
 	address      string        // IP address of this gateway
 	store        SuspectStore  // nil: nothing is stored, and barred requests are not tried
 	fleetSize    func() int    // number of live gateways
-	wake         chan struct{} // there is something to write
+	writerWake   chan struct{} // there is something to write
 	newlyBarred  chan struct{} // a request has been barred
 	suspectCount atomic.Int64  // requests in the registry; if 0, lookups are skipped
 
@@ -92,15 +92,15 @@
 
 func newSuspectTracker(log zerolog.Logger, address string, fleetSize func() int) *suspectTracker {
 	return &suspectTracker{
-		log: log, address: address, fleetSize: fleetSize, wake: make(chan struct{}, 1), newlyBarred: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
+		log: log, address: address, fleetSize: fleetSize, writerWake: make(chan struct{}, 1), newlyBarred: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
 		ownWrites: map[quarantine.Key]bool{}, trials: map[quarantine.Key]trialState{}, livePeers: map[string]bool{}, summaries: map[quarantine.Key]string{}, pendingWrites: map[quarantine.Key]bool{}, rewriteAt: map[quarantine.Key]time.Time{},
 	}
 }
 
 // trialState counts, over the fleet, how often a barred request was sent.
 type trialState struct {
-	counted  int
-	at       time.Time // when this gateway heard of the last trial, or failed to claim one
+	count    int
+	lastAt   time.Time // when this gateway heard of the last trial, or failed to claim one
 	claiming bool      // a trial is being claimed from the store
 }
 
@@ -272,9 +272,9 @@
 
 // trialDueLocked is trialDue with the mutex held.
 func (s *suspectTracker) trialDueLocked(now time.Time, key quarantine.Key) bool {
-	quiet, doubtful := s.registry.Ambiguous(now, key)
+	quiet, ambiguous := s.registry.Ambiguous(now, key)
 	known := s.trials[key]
-	if !doubtful || s.store == nil || known.claiming || known.counted >= maxTrials {
+	if !ambiguous || s.store == nil || known.claiming || known.count >= maxTrials {
 		return false
 	}
 	rank := 0
@@ -284,7 +284,7 @@
 			rank++
 		}
 	}
-	return min(quiet, now.Sub(known.at)) >= trialInterval+time.Duration(min(rank, maxTrialRank))*trialStagger
+	return min(quiet, now.Sub(known.lastAt)) >= trialInterval+time.Duration(min(rank, maxTrialRank))*trialStagger
 }
 
 // claimTrial claims a trial of a barred request. The store counts the trials, which bounds them
@@ -296,24 +296,24 @@
 		s.mutex.Unlock()
 		return false
 	}
-	s.trials[key] = trialState{counted: known.counted, at: known.at, claiming: true}
+	s.trials[key] = trialState{count: known.count, lastAt: known.lastAt, claiming: true}
 	s.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	counted, err := s.store.CountTrial(ctx, key, known.counted)
+	counted, err := s.store.CountTrial(ctx, key, known.count)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	state := s.trials[key]
-	state.claiming, state.at = false, time.Now()
+	state.claiming, state.lastAt = false, time.Now()
 	if counted {
-		state.counted = max(state.counted, known.counted+1)
+		state.count = max(state.count, known.count+1)
 	}
 	s.trials[key] = state
 	if err != nil || !counted {
 		s.log.Info().Str("event", "request.not_tried").Str("key", key.String()).Err(err).Msg("trial not claimed; another gateway may have sent it")
 		return false
 	}
-	s.log.Warn().Str("event", "request.tried").Str("key", key.String()).Str("asks", s.summaries[key]).Int("tries", known.counted+1).Msg("trial of a barred request: all crashes came at once, so it may not be their cause")
+	s.log.Warn().Str("event", "request.tried").Str("key", key.String()).Str("asks", s.summaries[key]).Int("tries", known.count+1).Msg("trial of a barred request: all crashes came at once, so it may not be their cause")
 	return true
 }
 
--- a/gateway/suspects_return_test.go
+++ b/gateway/suspects_restore_test.go
@@ -15,8 +15,8 @@
 // its trials; one that was deleted and is in the copy is deleted again.
 func TestSuspectsAfterRestore(t *testing.T) {
 	barred, lifted, tried := quarantine.Key{1}, quarantine.Key{2}, quarantine.Key{3}
-	kept := func(tries int) quarantine.StoredRecord {
-		return quarantine.StoredRecord{Servers: []string{"a", "b", "c"}, Simultaneous: true, Probes: tries}
+	record := func(trials int) quarantine.StoredRecord {
+		return quarantine.StoredRecord{Servers: []string{"a", "b", "c"}, Simultaneous: true, Probes: trials}
 	}
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	for _, watches := range []bool{true, false} {
@@ -25,15 +25,15 @@
 		g.watchesStore.Store(watches)
 		g.suspects.store = &faultyStore{}
 		first := listResult(before-1, 1)
-		first.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{barred: kept(1), lifted: kept(0), tried: kept(2)}
+		first.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{barred: record(1), lifted: record(0), tried: record(2)}
 		g.storeWatcher.applyResult(now, first)
 		g.storeWatcher.applyResult(now, sourceResult{since: before - 1, revision: before, changes: []Change{SuspectRemoved{Key: lifted}}})
 		restored := listResult(after, 1)
-		restored.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{lifted: kept(0), tried: kept(1)}
+		restored.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{lifted: record(0), tried: record(1)}
 		g.storeWatcher.applyResult(now, restored)
 		require.True(t, g.suspects.isBarred(barred))
 		require.False(t, g.suspects.isBarred(lifted))
-		require.Equal(t, 2, g.suspects.trials[tried].counted)
+		require.Equal(t, 2, g.suspects.trials[tried].count)
 		writes := func() []quarantine.Key {
 			g.suspects.queueDueRewrites(now.Add(rewriteJitter))
 			list := make([]quarantine.Key, 0, len(g.suspects.pendingWrites))
@@ -47,7 +47,7 @@
 			require.Empty(t, writes(), "only the gateway that watches for the hall writes")
 			continue
 		}
-		g.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{SuspectChanged{Key: barred, Kept: kept(1)}}})
+		g.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{SuspectChanged{Key: barred, Record: record(1)}}})
 		require.Equal(t, []quarantine.Key{lifted, tried}, writes(), "a peer has written the third one")
 		g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
 		require.True(t, g.suspects.isBarred(barred))
--- a/gateway/suspects_store.go
+++ b/gateway/suspects_store.go
@@ -13,13 +13,13 @@
 
 // applyStored applies the stored suspects; old is their former state. Those that this gateway
 // knows to have been answered since are deleted by one gateway of each hall, the one that watches.
-func (s *suspectTracker) applyStored(now time.Time, old, kept map[quarantine.Key]quarantine.StoredRecord, watches bool) {
+func (s *suspectTracker) applyStored(now time.Time, old, stored map[quarantine.Key]quarantine.StoredRecord, watches bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for k, record := range kept {
+	for k, record := range stored {
 		changed := s.registry.Merge(now, k, record)
-		if known := s.trials[k]; record.Probes != known.counted {
-			known.counted, known.at = record.Probes, now // fewer: it was deleted and stored again
+		if known := s.trials[k]; record.Probes != known.count {
+			known.count, known.lastAt = record.Probes, now // fewer: it was deleted and stored again
 			s.trials[k] = known
 		}
 		if s.recentAnswers.Contains(now, k) {
@@ -34,7 +34,7 @@
 		}
 	}
 	for k := range old {
-		if _, still := kept[k]; !still && !s.pendingWrites[k] && s.rewriteAt[k].IsZero() {
+		if _, still := stored[k]; !still && !s.pendingWrites[k] && s.rewriteAt[k].IsZero() {
 			s.registry.Release(k)
 			delete(s.summaries, k)
 			delete(s.ownWrites, k)
@@ -81,27 +81,27 @@
 
 // cancelRewriteIfStored cancels the rewrite of a suspect if the store already holds all that is
 // known of it.
-func (s *suspectTracker) cancelRewriteIfStored(key quarantine.Key, kept quarantine.StoredRecord) {
+func (s *suspectTracker) cancelRewriteIfStored(key quarantine.Key, stored quarantine.StoredRecord) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if _, due := s.rewriteAt[key]; !due {
 		return
 	}
 	r, _ := s.registry.Record(key)
-	known := quarantine.StoredRecord{Servers: r.Servers, Simultaneous: r.Simultaneous, Probes: s.trials[key].counted}
-	if len(kept.Merge(known).Servers) == len(kept.Servers) && known.Probes <= kept.Probes {
+	known := quarantine.StoredRecord{Servers: r.Servers, Simultaneous: r.Simultaneous, Probes: s.trials[key].count}
+	if len(stored.Merge(known).Servers) == len(stored.Servers) && known.Probes <= stored.Probes {
 		delete(s.rewriteAt, key)
 	}
 }
 
 // setSuspect applies a suspect's stored state.
-func (f *storeWatcher) setSuspect(key quarantine.Key, kept quarantine.StoredRecord) {
+func (f *storeWatcher) setSuspect(key quarantine.Key, stored quarantine.StoredRecord) {
 	delete(f.tombstones.suspects, key)
-	f.gateway.suspects.cancelRewriteIfStored(key, kept)
+	f.gateway.suspects.cancelRewriteIfStored(key, stored)
 	f.suspectChanges.add(f.changeRevision, key.String())
 	changed := make(map[quarantine.Key]quarantine.StoredRecord, len(f.suspects)+1)
 	maps.Copy(changed, f.suspects)
-	changed[key] = kept
+	changed[key] = stored
 	f.suspects, f.suspectsChanged = changed, true
 }
 
@@ -117,7 +117,7 @@
 
 func (s *suspectTracker) wakeWriter() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.writerWake <- struct{}{}:
 	default: // the writer takes all pending writes
 	}
 }
@@ -134,7 +134,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.wake:
+		case <-s.writerWake:
 		case <-retry.C:
 		}
 		if s.flush(ctx) {
@@ -170,7 +170,7 @@
 	defer cancel()
 	s.mutex.Lock()
 	r, repeated := s.registry.Record(k)
-	asks, tries := s.summaries[k], s.trials[k].counted
+	summary, trials := s.summaries[k], s.trials[k].count
 	s.ownWrites[k] = repeated
 	if !repeated {
 		delete(s.ownWrites, k)
@@ -179,5 +179,5 @@
 	if !repeated {
 		return s.store.Delete(ctx, k)
 	}
-	return s.store.Save(ctx, k, Suspect{Summary: asks, Servers: r.Servers, Simultaneous: r.Simultaneous, Trials: tries})
+	return s.store.Save(ctx, k, Suspect{Summary: summary, Servers: r.Servers, Simultaneous: r.Simultaneous, Trials: trials})
 }
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -42,7 +42,7 @@
 	transferView(t, now, from, to, unchanged)
 	require.True(t, to.suspects.isBarred(quarantine.Key{1}), "whole view")
 	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
-		SuspectChanged{Key: quarantine.Key{2}, Kept: quarantine.StoredRecord{Servers: []string{"a", "b", "d"}, Simultaneous: true, Probes: 1}}, SuspectRemoved{Key: quarantine.Key{1}},
+		SuspectChanged{Key: quarantine.Key{2}, Record: quarantine.StoredRecord{Servers: []string{"a", "b", "d"}, Simultaneous: true, Probes: 1}}, SuspectRemoved{Key: quarantine.Key{1}},
 	}})
 	transferView(t, now, from, to, func(d *viewDocument) { require.True(t, d.Partial) })
 	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
@@ -58,18 +58,18 @@
 
 // faultyStore stores suspects and can be made unreachable.
 type faultyStore struct {
-	mutex sync.Mutex
-	away  bool
-	tries int
-	kept  map[quarantine.Key]Suspect
-	sent  map[quarantine.Key]int // trials of barred requests
+	mutex       sync.Mutex
+	unreachable bool
+	calls       int
+	saved       map[quarantine.Key]Suspect
+	trials      map[quarantine.Key]int // by barred request
 }
 
 func (f *faultyStore) do(use func()) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.tries++
-	if f.away {
+	f.calls++
+	if f.unreachable {
 		return errors.New("away")
 	}
 	use()
@@ -77,28 +77,28 @@
 }
 
 func (f *faultyStore) Save(_ context.Context, key quarantine.Key, s Suspect) error {
-	return f.do(func() { f.kept[key] = s })
+	return f.do(func() { f.saved[key] = s })
 }
 
-func (f *faultyStore) CountTrial(_ context.Context, key quarantine.Key, tries int) (counted bool, err error) {
+func (f *faultyStore) CountTrial(_ context.Context, key quarantine.Key, trials int) (counted bool, err error) {
 	err = f.do(func() {
-		counted = f.sent[key] == tries
+		counted = f.trials[key] == trials
 		if counted {
-			f.sent[key]++
+			f.trials[key]++
 		}
 	})
 	return counted, err
 }
 
 func (f *faultyStore) Delete(_ context.Context, key quarantine.Key) error {
-	return f.do(func() { delete(f.kept, key) })
+	return f.do(func() { delete(f.saved, key) })
 }
 
 // TestSuspectsAreStored: a request with two crashes is written to the store, also if the store is
 // unreachable at first, and deleted once it is answered.
 func TestSuspectsAreStored(t *testing.T) {
 	s := newIdleGateway(t).suspects
-	store := &faultyStore{away: true, kept: map[quarantine.Key]Suspect{}}
+	store := &faultyStore{unreachable: true, saved: map[quarantine.Key]Suspect{}}
 	s.store = store
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -111,27 +111,27 @@
 		<-ended
 	}()
 	now := time.Now()
-	there := []suspect{{key: quarantine.Key{1}, summary: "a POST h/x"}, {key: quarantine.Key{2}}}
-	s.serverCrashed(now, "i-1", there)
-	s.serverCrashed(now.Add(2*time.Second), "i-2", there[:1])
+	requests := []suspect{{key: quarantine.Key{1}, summary: "a POST h/x"}, {key: quarantine.Key{2}}}
+	s.serverCrashed(now, "i-1", requests)
+	s.serverCrashed(now.Add(2*time.Second), "i-2", requests[:1])
 	require.Eventually(t, func() bool {
 		store.mutex.Lock()
 		defer store.mutex.Unlock()
-		return store.tries > 0
+		return store.calls > 0
 	}, 5*time.Second, time.Millisecond)
-	kept := func() (n int, asks string) {
+	kept := func() (n int, summary string) {
 		store.mutex.Lock()
 		defer store.mutex.Unlock()
-		return len(store.kept), store.kept[quarantine.Key{1}].Summary
+		return len(store.saved), store.saved[quarantine.Key{1}].Summary
 	}
 	n, _ := kept()
 	require.Zero(t, n)
 	store.mutex.Lock()
-	store.away = false
+	store.unreachable = false
 	store.mutex.Unlock()
 	require.Eventually(t, func() bool {
-		n, asks := kept()
-		return n == 1 && asks == "a POST h/x"
+		n, summary := kept()
+		return n == 1 && summary == "a POST h/x"
 	}, 5*time.Second, 5*time.Millisecond)
 	s.requestAnswered(now.Add(3*time.Second), quarantine.Key{1})
 	require.Eventually(t, func() bool {
@@ -168,10 +168,10 @@
 	node := newPeerNode(t)
 	synctest.Test(t, func(t *testing.T) {
 		key := quarantine.Key{1}
-		store := &faultyStore{sent: map[quarantine.Key]int{}}
+		store := &faultyStore{trials: map[quarantine.Key]int{}}
 		addresses := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 		kept := func() quarantine.StoredRecord {
-			return quarantine.StoredRecord{Servers: []string{"i-1", "i-2", "i-3"}, Simultaneous: true, Probes: store.sent[key]}
+			return quarantine.StoredRecord{Servers: []string{"i-1", "i-2", "i-3"}, Simultaneous: true, Probes: store.trials[key]}
 		}
 		start := func(own string) *suspectTracker {
 			s := newSuspectTracker(zerolog.Nop(), own, func() int { return len(addresses) })
@@ -188,11 +188,11 @@
 		}
 		var sent []time.Duration
 		began := time.Now()
-		store.away = true
+		store.unreachable = true
 		for step := range 600 {
 			time.Sleep(100 * time.Millisecond)
 			if step == 100 {
-				store.away = false
+				store.unreachable = false
 			}
 			for i, s := range fleet {
 				if s.trialDue(time.Now(), key) && s.claimTrial(t.Context(), key) {
@@ -215,17 +215,17 @@
 	node := newPeerNode(t)
 	synctest.Test(t, func(t *testing.T) {
 		key := quarantine.Key{1}
-		store := &faultyStore{sent: map[quarantine.Key]int{key: 2}}
+		store := &faultyStore{trials: map[quarantine.Key]int{key: 2}}
 		s := newSuspectTracker(zerolog.Nop(), "10.0.0.1", func() int { return 1 })
 		s.store, s.peers = store, node
-		kept := func(tries int, servers ...string) map[quarantine.Key]quarantine.StoredRecord {
-			return map[quarantine.Key]quarantine.StoredRecord{key: {Servers: servers, Simultaneous: true, Probes: tries}}
+		kept := func(trials int, servers ...string) map[quarantine.Key]quarantine.StoredRecord {
+			return map[quarantine.Key]quarantine.StoredRecord{key: {Servers: servers, Simultaneous: true, Probes: trials}}
 		}
 		before, after := kept(2, "i-1", "i-2", "i-3"), kept(0, "i-4", "i-5", "i-6")
 		s.applyStored(time.Now(), nil, before, false)
 		time.Sleep(time.Minute)
 		require.False(t, s.claimTrial(t.Context(), key), "both trials are used")
-		store.sent[key] = 0
+		store.trials[key] = 0
 		s.applyStored(time.Now(), before, after, false)
 		time.Sleep(time.Minute)
 		require.True(t, s.claimTrial(t.Context(), key))
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -127,7 +127,7 @@
 	results := make(chan sourceResult, 1)
 	call := func(listed bool) {
 		revision := f.gateway.view.Load().Revision
-		go func() { results <- f.call(ctx, listed, revision) }()
+		go func() { results <- f.query(ctx, listed, revision) }()
 	}
 	ticker := time.NewTicker(sourceRetryInterval)
 	defer ticker.Stop()
@@ -159,8 +159,8 @@
 			if !wait {
 				callTimer.Reset(changeBatchDelay)
 			}
-		case h := <-f.peerViews:
-			f.applyPeerView(time.Now(), h)
+		case p := <-f.peerViews:
+			f.applyPeerView(time.Now(), p)
 			if !called {
 				list = false // a watch can continue from the peer's view
 			}
@@ -199,7 +199,7 @@
 	return min(max(unreachable/2, 1)*sourceRetryInterval, maxSourceRetryInterval)
 }
 
-func (f *storeWatcher) call(ctx context.Context, listed bool, revision catalog.Revision) sourceResult {
+func (f *storeWatcher) query(ctx context.Context, listed bool, revision catalog.Revision) sourceResult {
 	if listed {
 		ctx, cancel := context.WithTimeout(ctx, listTimeout)
 		defer cancel()
@@ -360,7 +360,7 @@
 		case ServerClaimed:
 			f.markClaimed(c.Claim)
 		case SuspectChanged:
-			f.setSuspect(c.Key, c.Kept)
+			f.setSuspect(c.Key, c.Record)
 		case SuspectRemoved:
 			f.removeSuspect(c.Key)
 		}
--- a/gateway/warmup/warmup.go
+++ b/gateway/warmup/warmup.go
@@ -13,11 +13,11 @@
 // # Usage
 //
 //	l := warmup.NewLimiter()
-//	l.SetServers(now, servers)                           // the cold ones
+//	l.SetServers(now, servers)                             // the cold ones
 //	for _, c := range l.DueClaims(now, wanted, rank) { … } // write the claim, then:
 //	l.ResolveClaim(now, c, warmup.Won)
-//	if at := l.NextSendAt(now, id); !at.After(now) {     // the server may get a request
-//		l.RecordSend(now, id)                        // it is sent within MaxSendDelay
+//	if at := l.NextSendAt(now, id); !at.After(now) {       // the server may get a request
+//		l.RecordSend(now, id)                          // it is sent within MaxSendDelay
 //	}
 //
 // The limit depends on three rules: a claim is written once; a request is sent within
