--- a/gateway/view.go
+++ b/gateway/view.go
@@ -382,7 +382,7 @@
 	}
 	if c != nil && (old.Configuration == nil || c.Version != old.Configuration.Version) {
 		f.gateway.log.Info().Str("event", "configuration.in_force").Uint64("version", c.Version).
-			EmbedObject(revisionFields(revision)).Int("routes", len(c.Routes)).Int("accounts", len(c.Accounts)).Msg("configuration is in force")
+			EmbedObject(revisionFields(revision)).Int("routes", len(c.Routes)).Int("accounts", len(c.Accounts)).Msg("apply")
 	}
 	v := &View{
 		Configuration: c, RawConfiguration: raw, Revision: max(revision, old.Revision), MissingUntil: maps.Clone(f.missingUntil),
