--- a/gateway/lifetimes.go
+++ b/gateway/lifetimes.go
@@ -8,6 +8,7 @@
 
 // This file maintains the set of servers, each as one lifetime from a start to its end.
 
+// upsertServer adds or replaces a server by its entry.
 func (f *storeWatcher) upsertServer(s catalog.Server) {
 	delete(f.missingUntil, s.ID)
 	s.Evacuated = false // set by publish
@@ -21,6 +22,7 @@
 	f.putServer(s)
 }
 
+// putServer stores a server as its current lifetime.
 func (f *storeWatcher) putServer(s catalog.Server) {
 	if _, known := f.servers[s.ID]; !known {
 		f.sortedIDs = nil
@@ -50,6 +52,8 @@
 	}
 }
 
+// removeServer drops a server whose entry is gone, after a grace period if the store was
+// unreachable a moment ago.
 func (f *storeWatcher) removeServer(now time.Time, id string) {
 	s, known := f.servers[id]
 	if !known {
@@ -93,8 +97,8 @@
 			dropped = true
 		}
 	}
-	settled, reverted := f.finishReconciliation(now), f.revertLostOrders(now)
-	if dropped || settled || reverted {
+	reconciled, reverted := f.finishReconciliation(now), f.revertLostOrders(now)
+	if dropped || reconciled || reverted {
 		f.republish()
 	}
 	if now.Sub(f.gateway.confirmedAt()) < confirmationTimeout {
