--- a/gateway/catalog/catalog_test.go
+++ b/gateway/catalog/catalog_test.go
@@ -16,20 +16,20 @@
 		allowed   []string
 		forbidden []string
 	}{
-		{"neither is bound", nil, nil, []string{"north", ""}, nil},
-		{"the route is", catalog.Regions{"north"}, nil, []string{"north"}, []string{"south", ""}},
-		{"the account is", nil, catalog.Regions{"north"}, []string{"north"}, []string{"south", ""}},
-		{"both bind", catalog.Regions{"north", "south"}, catalog.Regions{"south", "west"}, []string{"south"}, []string{"north", "west"}},
-		{"both bind and nothing is left", catalog.Regions{"north"}, catalog.Regions{"south"}, nil, []string{"north", "south", ""}},
+		{"no restriction", nil, nil, []string{"north", ""}, nil},
+		{"route restricted", catalog.Regions{"north"}, nil, []string{"north"}, []string{"south", ""}},
+		{"account restricted", nil, catalog.Regions{"north"}, []string{"north"}, []string{"south", ""}},
+		{"both restricted", catalog.Regions{"north", "south"}, catalog.Regions{"south", "west"}, []string{"south"}, []string{"north", "west"}},
+		{"both restricted, nothing in common", catalog.Regions{"north"}, catalog.Regions{"south"}, nil, []string{"north", "south", ""}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			both := test.route.And(test.account)
+			both := test.route.Intersect(test.account)
 			for _, region := range test.allowed {
-				require.True(t, both.Allow(region), region)
+				require.True(t, both.Allows(region), region)
 			}
 			for _, region := range test.forbidden {
-				require.False(t, both.Allow(region), region)
+				require.False(t, both.Allows(region), region)
 			}
 		})
 	}
--- a/gateway/dispatcher.go
+++ b/gateway/dispatcher.go
@@ -320,7 +320,7 @@
 	if ro != nil {
 		d.recordRolloutSend(now, ro, assign)
 	}
-	if d.coldLimiter.Cold(now, assign.Server.ID) {
+	if d.coldLimiter.IsCold(now, assign.Server.ID) {
 		assign.SendBefore = now.Add(warmup.MaxSendDelay)
 		d.recordColdSend(now, assign.Server.ID)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -193,7 +193,7 @@
 	group.Go(background, "caches", g.queryCaches)
 	group.Go(background, "claims", g.writeClaims)
 	group.Go(background, "statements", g.writeRolloutStatuses)
-	group.Go(background, "suspects", g.suspects.write)
+	group.Go(background, "suspects", g.suspects.runWriter)
 	group.Go(background, "barred", g.cancelQuarantinedCalls)
 	for range probeWorkers {
 		group.Go(background, "probes", g.crashes.runProbes)
--- a/gateway/ingress.go
+++ b/gateway/ingress.go
@@ -90,7 +90,7 @@
 	}
 	c := &call{
 		gateway: g, w: w, request: r, meta: meta, route: route, account: account.Name,
-		arrived: arrived, deadline: arrived.Add(requestTimeout(route, meta)), regions: route.Regions.And(account.Regions),
+		arrived: arrived, deadline: arrived.Add(requestTimeout(route, meta)), regions: route.Regions.Intersect(account.Regions),
 	}
 	if d := c.readBody(v.Configuration.Limits); d.status != 0 {
 		return nil, d
@@ -180,7 +180,7 @@
 
 // setPlaceReq sets the input of the placement decision.
 func (c *call) setPlaceReq(v *View) {
-	c.service = c.route.Pick(unitHash(c.meta.ID))
+	c.service = c.route.PickService(unitHash(c.meta.ID))
 	output := c.meta.ExpectedOutputTokens
 	if output == 0 {
 		output = c.meta.MaxOutputTokens
--- a/gateway/lifetimes.go
+++ b/gateway/lifetimes.go
@@ -6,97 +6,102 @@
 	"opalbridge.dev/gateway/catalog"
 )
 
-// This file keeps which servers there are, each from one start to its end.
+// This file maintains the set of servers, each as one lifetime from a start to its end.
 
-func (f *storeWatcher) set(s catalog.Server) {
-	delete(f.missing, s.ID)
-	s.Evacuated = false // publish fills it in
-	f.endBefore(s)
-	delete(f.memory.gone, s.Name())
+// upsertServer adds or replaces a server by its entry.
+func (f *storeWatcher) upsertServer(s catalog.Server) {
+	delete(f.missingUntil, s.ID)
+	s.Evacuated = false // set by publish
+	f.dropPreviousLifetime(s)
+	delete(f.tombstones.servers, s.Name())
 	f.serverChanges.add(f.changeRevision, s.ID)
 	if old, known := f.servers[s.ID]; !known || old != s {
 		f.gateway.log.Info().Str("event", "server.changed").Str("server", s.ID).Str("service", s.Service).
-			Str("address", s.Address).Str("hall", s.Hall).Bool("leaving", s.Leaving).Bool("new", !known).Msg("server entry")
+			Str("address", s.Address).Str("hall", s.Hall).Bool("leaving", s.Leaving).Bool("new", !known).Msg("server entry changed")
 	}
-	f.put(s)
+	f.putServer(s)
 }
 
-func (f *storeWatcher) put(s catalog.Server) {
+// putServer stores a server as its current lifetime.
+func (f *storeWatcher) putServer(s catalog.Server) {
 	if _, known := f.servers[s.ID]; !known {
-		f.order = nil
+		f.sortedIDs = nil
 	}
 	f.servers[s.ID] = s
 	f.currentIDs[s.Name()] = s.ID
 }
 
-// endBefore drops the lifetime that a server had before it started again. News come in the
-// order of the store's revisions, so what is told now is the later one, whatever the clock of
-// the server's host said at the two starts.
-func (f *storeWatcher) endBefore(s catalog.Server) {
-	before, known := f.currentIDs[s.Name()]
-	if !known || before == s.ID {
+// dropPreviousLifetime drops the lifetime that a server had before a restart. Updates
+// come in the order of the store's revisions, so s is the later one whatever the host's clock
+// said at the two starts.
+func (f *storeWatcher) dropPreviousLifetime(s catalog.Server) {
+	previous, known := f.currentIDs[s.Name()]
+	if !known || previous == s.ID {
 		return
 	}
 	f.gateway.log.Info().Str("event", "server.started_again").Str("server", s.Name()).
-		Int64("born", s.Born).Int64("before", f.servers[before].Born).EmbedObject(revisionFields(f.changeRevision)).
-		Msg("nothing that was learned of it holds")
-	f.drop(before)
+		Int64("born", s.Born).Int64("before", f.servers[previous].Born).EmbedObject(revisionFields(f.changeRevision)).
+		Msg("server has restarted; its former state is discarded")
+	f.dropServer(previous)
 }
 
-// dropNamed drops the server of that name at once.
-func (f *storeWatcher) dropNamed(name string) {
+// dropServerByName drops a server at once, by its name.
+func (f *storeWatcher) dropServerByName(name string) {
 	if id, known := f.currentIDs[name]; known {
-		f.drop(id)
+		f.dropServer(id)
 	}
 }
 
-func (f *storeWatcher) remove(now time.Time, id string) {
+// removeServer drops a server whose entry is gone, after a grace period if the store was
+// unreachable a moment ago.
+func (f *storeWatcher) removeServer(now time.Time, id string) {
 	s, known := f.servers[id]
 	if !known {
 		return
 	}
-	if f.grace(now) && !s.Leaving {
-		if _, already := f.missing[id]; !already {
-			f.missing[id] = f.failed.Add(returnGrace)
-			f.gateway.log.Info().Str("event", "server.missing").Str("server", id).Msg("kept for a moment: the store was away")
+	if f.withinGrace(now) && !s.Leaving {
+		if _, already := f.missingUntil[id]; !already {
+			f.missingUntil[id] = f.lastFailure.Add(reregistrationGrace)
+			f.gateway.log.Info().Str("event", "server.missing").Str("server", id).Msg("entry expired while the store was unreachable; server is kept for a grace period")
 		}
 		return
 	}
-	f.drop(id)
+	f.dropServer(id)
 }
 
-// drop forgets a server.
-func (f *storeWatcher) drop(id string) {
+// dropServer drops a server at once, without a grace period.
+func (f *storeWatcher) dropServer(id string) {
 	if s, known := f.servers[id]; known {
-		f.memory.dropped(f.now, s)
+		f.tombstones.addServer(f.applyTime, s)
 	}
 	f.serverChanges.add(f.changeRevision, id)
 	delete(f.servers, id)
 	if name := catalog.ServerName(id); f.currentIDs[name] == id {
 		delete(f.currentIDs, name)
 	}
-	f.order = nil
-	delete(f.missing, id)
+	f.sortedIDs = nil
+	delete(f.missingUntil, id)
 	delete(f.cold, id)
-	f.gateway.log.Info().Str("event", "server.gone").Str("server", id).Msg("no new work")
+	f.gateway.log.Info().Str("event", "server.gone").Str("server", id).Msg("server is gone; it gets no new work")
 }
 
-// expireMissing removes servers whose entry has not come back.
+// expireMissing drops servers whose entry has not been written again within the grace period,
+// and ends the reconciliation after a restore of the store when its time is over.
 func (f *storeWatcher) expireMissing(now time.Time) {
-	f.now = now
+	f.applyTime = now
 	dropped := false
-	f.changeRevision = f.gateway.view.Load().Revision + 1 // no change of the store says so
-	for id, until := range f.missing {
+	f.changeRevision = f.gateway.view.Load().Revision + 1 // the store has no revision for this change
+	for id, until := range f.missingUntil {
 		if now.After(until) {
-			f.drop(id)
+			f.dropServer(id)
 			dropped = true
 		}
 	}
-	settled, takenBack := f.settle(now), f.takeBackLost(now)
-	if dropped || settled || takenBack {
+	reconciled, reverted := f.finishReconciliation(now), f.revertLostOrders(now)
+	if dropped || reconciled || reverted {
 		f.republish()
 	}
 	if now.Sub(f.gateway.confirmedAt()) < confirmationTimeout {
-		f.memory.forget(now) // while the store is away, it may come back from a copy of before
+		f.tombstones.expire(now) // not while the store is unreachable: it may come back restored from an older copy
 	}
 }
--- a/gateway/offload.go
+++ b/gateway/offload.go
@@ -80,7 +80,7 @@
 func (g *Gateway) canOffload() bool {
 	c := g.view.Load().Configuration
 	region := g.options.Dispatcher.Regions[g.options.Dispatcher.Hall]
-	return g.offloadTargets.available() && (c == nil || c.Free(region))
+	return g.offloadTargets.available() && (c == nil || c.Unrestricted(region))
 }
 
 // offloader offloads connections.
--- a/gateway/placement/candidate.go
+++ b/gateway/placement/candidate.go
@@ -113,7 +113,7 @@
 func (b *Balancer) bestCacheHolder(now time.Time, req *Request) cacheHolder {
 	var best cacheHolder
 	for _, s := range b.services[req.Service] {
-		if !s.engine.Copies() || now.Before(s.ejectedUntil) || now.Before(s.backoff.until) || !b.inAllowedRegion(req, s) || slices.Contains(req.Exclude, s.ID) {
+		if !s.engine.SupportsCacheCopy() || now.Before(s.ejectedUntil) || now.Before(s.backoff.until) || !b.inAllowedRegion(req, s) || slices.Contains(req.Exclude, s.ID) {
 			continue
 		}
 		cached := s.cache.readyTokens(now, req)
--- a/gateway/placement/placement.go
+++ b/gateway/placement/placement.go
@@ -250,7 +250,7 @@
 
 // inAllowedRegion reports whether a request may be served in a server's region.
 func (b *Balancer) inAllowedRegion(req *Request, s *server) bool {
-	return req.Regions == nil || req.Regions.Allow(b.regions[s.Hall])
+	return req.Regions == nil || req.Regions.Allows(b.regions[s.Hall])
 }
 
 // SetRegions sets the region of each hall.
--- a/gateway/retries.go
+++ b/gateway/retries.go
@@ -34,7 +34,7 @@
 	}
 	elapsed := time.Duration(0)
 	t.withHistory(func(h *retry.History) {
-		if first, found := h.First(c.arrived, key, c.arrived.Add(c.meta.Deadline)); found {
+		if first, found := h.FirstAttempt(c.arrived, key, c.arrived.Add(c.meta.Deadline)); found {
 			elapsed = max(c.arrived.Sub(first), time.Millisecond)
 		}
 	})
@@ -48,7 +48,7 @@
 		return
 	}
 	f := retry.Refusal{Key: key, Deadline: c.arrived.Add(c.meta.Deadline), FirstAttempt: c.arrived.Add(-c.sinceFirstTry)}
-	t.withHistory(func(h *retry.History) { h.Add(time.Now(), f) })
+	t.withHistory(func(h *retry.History) { h.Record(time.Now(), f) })
 	c.gateway.peers.PublishRefusal(peer.Refusal{Key: uint64(key), Deadline: f.Deadline, FirstAttempt: f.FirstAttempt})
 }
 
@@ -59,7 +59,7 @@
 	}
 	t.withHistory(func(h *retry.History) {
 		for _, f := range list {
-			h.Add(now, retry.Refusal{Key: retry.Key(f.Key), Deadline: f.Deadline, FirstAttempt: f.FirstAttempt})
+			h.Record(now, retry.Refusal{Key: retry.Key(f.Key), Deadline: f.Deadline, FirstAttempt: f.FirstAttempt})
 		}
 	})
 }
--- a/gateway/rollout_test.go
+++ b/gateway/rollout_test.go
@@ -24,10 +24,10 @@
 func TestRolloutTracking(t *testing.T) {
 	now := time.Now()
 	old, later := catalog.NewRevision(1, 9), catalog.NewRevision(2, 4)
-	first := listOf(old, 1, readyServer("i-1"))
+	first := listResult(old, 1, readyServer("i-1"))
 	first.snapshot.RolloutOrders = map[string]rollout.Order{"s": testOrder(old)}
 	within := func(revision catalog.Revision) sourceResult {
-		a := listOf(revision, 1, readyServer("i-1"))
+		a := listResult(revision, 1, readyServer("i-1"))
 		a.snapshot.RolloutOrders = map[string]rollout.Order{"s": testOrder(revision)}
 		return a
 	}
@@ -48,18 +48,18 @@
 			g.storeWatcher.applyResult(now, sourceResult{since: old, revision: old + 1, changes: []Change{RolloutWithdrawn{"s"}}})
 		}, rollout.Order{}, time.Time{}},
 		{"missing in a later list", func(g *Gateway) {
-			g.storeWatcher.applyResult(now.Add(reconcilePeriod+time.Second), listOf(old+5, 1, readyServer("i-1")))
+			g.storeWatcher.applyResult(now.Add(reconcilePeriod+time.Second), listResult(old+5, 1, readyServer("i-1")))
 		}, rollout.Order{}, time.Time{}},
 		{"store restored from a copy that has it", func(g *Gateway) {
 			g.storeWatcher.applyResult(now.Add(time.Second), within(later))
 		}, testOrder(later), now},
 		{"restored from a copy that lacks it, not written again", func(g *Gateway) {
-			g.storeWatcher.applyResult(now, listOf(later, 1, readyServer("i-1")))
+			g.storeWatcher.applyResult(now, listResult(later, 1, readyServer("i-1")))
 			require.Equal(t, testOrder(old), g.view.Load().Rollouts["s"].Order, "kept while the store is reconciled")
 			g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Second))
 		}, rollout.Order{}, time.Time{}},
 		{"restored from a copy that lacks it, written again", func(g *Gateway) {
-			g.storeWatcher.applyResult(now, listOf(later, 1, readyServer("i-1")))
+			g.storeWatcher.applyResult(now, listResult(later, 1, readyServer("i-1")))
 			g.storeWatcher.applyResult(now.Add(time.Second), sourceResult{since: later, revision: later + 1, changes: []Change{RolloutOrdered{testOrder(later + 1)}}})
 			g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Second))
 		}, testOrder(later + 1), now.Add(time.Second)},
@@ -82,7 +82,7 @@
 func TestRolloutHandover(t *testing.T) {
 	now := time.Now()
 	from, to := newIdleGateway(t), newIdleGateway(t)
-	a := listOf(9, 1, readyServer("i-1"))
+	a := listResult(9, 1, readyServer("i-1"))
 	a.snapshot.RolloutOrders = map[string]rollout.Order{"s": testOrder(7)}
 	a.snapshot.RolloutStatuses = map[string]rollout.Status{"s": {State: rollout.InProgress, Target: "v2", Revision: 8}}
 	from.storeWatcher.applyResult(now, a)
--- a/gateway/upstream/upstream.go
+++ b/gateway/upstream/upstream.go
@@ -213,7 +213,7 @@
 	}
 	resp.Body = eofTracker{response.Body, resp}
 	c.idleTimeout = keepAliveTimeout(response.Header)
-	info := p.codec.Answer(response.StatusCode, response.Header)
+	info := p.codec.Response(response.StatusCode, response.Header)
 	RemoveHopByHopHeaders(resp.Header)
 	if sig, ok := serverSignal(s, r, response.StatusCode, info); ok && p.OnSignal != nil {
 		p.OnSignal(s, sig)
