--- a/agent/admission.go
+++ b/agent/admission.go
@@ -19,11 +19,11 @@
 // attempts. Only its goroutine touches them.
 type admission struct {
 	agent    *Agent
-	book     *fair.Book
-	desk     *dispatch.Desk
-	limit    *dispatch.Limit
+	book     *fair.Tracker
+	desk     *dispatch.Scheduler
+	limit    *dispatch.ConcurrencyLimit
 	registry *attempt.Registry
-	keys     *attempt.Keys
+	keys     *attempt.KeyStore
 	peers    map[string]*peerState // by router
 	granted  map[uint64]time.Time
 	pools    map[string]bool
@@ -56,11 +56,11 @@
 func newAdmission(a *Agent) *admission {
 	return &admission{
 		agent:    a,
-		book:     fair.NewBook(fair.Options{Slots: float64(a.options.Slots), Policy: a.options.Policy}),
-		desk:     dispatch.NewDesk(0),
-		limit:    dispatch.NewLimit(a.options.Slots),
+		book:     fair.NewTracker(fair.Options{Slots: float64(a.options.Slots), Policy: a.options.Policy}),
+		desk:     dispatch.NewScheduler(0),
+		limit:    dispatch.NewConcurrencyLimit(a.options.Slots),
 		registry: attempt.NewRegistry(attemptWindow, attemptsKept),
-		keys:     attempt.NewKeys(KeyWindow, keysKept, now()),
+		keys:     attempt.NewKeyStore(KeyWindow, keysKept, now()),
 		peers:    map[string]*peerState{},
 		granted:  map[uint64]time.Time{},
 		pools:    map[string]bool{},
@@ -98,7 +98,7 @@
 // assertBusy holds that no place is free while a request that could have it waits:
 // whatever happened, places were granted before anything else is looked at.
 func (d *admission) assertBusy() {
-	if !d.leaving && d.desk.Room() && d.desk.Waiting() > 0 {
+	if !d.leaving && d.desk.HasFreeSlot() && d.desk.Waiting() > 0 {
 		panic(errors.AssertionFailedf("agent: %d of %d places taken while %d requests wait",
 			d.desk.Running()+d.desk.Granted(), d.desk.Limit(), d.desk.Waiting()))
 	}
@@ -139,7 +139,7 @@
 	case totalsEvent:
 		if d.book.Merge(e.sequence, e.totals) {
 			d.merged = now()
-			d.book.Forgive()
+			d.book.CapDebts()
 		}
 	case loadEvent:
 		d.load(e)
@@ -169,7 +169,7 @@
 	d.settleLeaving()
 	for _, g := range d.desk.DropRouter(p.Hello.Node) {
 		delete(d.granted, g.ID)
-		d.book.Release(g.Key.Account, g.Estimate)
+		d.book.Release(g.Class.Account, g.Estimate)
 	}
 	d.settleWaits()
 }
@@ -177,8 +177,8 @@
 // settleWaits tells the book which accounts wait here no more.
 func (d *admission) settleWaits() {
 	for _, a := range d.agent.holder.Current().Accounts {
-		if id := fair.Account(a.ID); !d.desk.WaitsFor(id) {
-			d.book.Leave(id)
+		if id := fair.Account(a.ID); !d.desk.HasWaiting(id) {
+			d.book.StopWaiting(id)
 		}
 	}
 }
@@ -188,14 +188,14 @@
 	if s == nil || s.peer != e.peer || !d.pools[e.key.Pool] {
 		return
 	}
-	before := d.desk.WaitsFor(e.key.Account)
-	d.desk.SetWant(e.peer.Hello.Node, e.key, e.count, e.estimate)
-	after := d.desk.WaitsFor(e.key.Account)
+	before := d.desk.HasWaiting(e.key.Account)
+	d.desk.SetDemand(e.peer.Hello.Node, e.key, e.count, e.estimate)
+	after := d.desk.HasWaiting(e.key.Account)
 	switch {
 	case after && !before:
-		d.book.Arrive(e.key.Account)
+		d.book.StartWaiting(e.key.Account)
 	case before && !after:
-		d.book.Leave(e.key.Account)
+		d.book.StopWaiting(e.key.Account)
 	}
 }
 
@@ -209,12 +209,12 @@
 		if !ok {
 			return
 		}
-		if !d.desk.WaitsFor(g.Key.Account) {
-			d.book.Leave(g.Key.Account)
+		if !d.desk.HasWaiting(g.Class.Account) {
+			d.book.StopWaiting(g.Class.Account)
 		}
 		d.granted[g.ID] = now()
 		d.peers[g.Router].peer.Send(d.message(&wirepb.Control_Grant{Grant: &wirepb.Grant{
-			Id: g.ID, Account: uint32(g.Key.Account), Pool: g.Key.Pool, Urgent: g.Key.Urgent, Pinned: g.Key.Server != "",
+			Id: g.ID, Account: uint32(g.Class.Account), Pool: g.Class.Pool, Urgent: g.Class.Urgent, Pinned: g.Class.Server != "",
 		}}))
 	}
 }
@@ -223,7 +223,7 @@
 	g, ok := d.desk.Cancel(id)
 	delete(d.granted, id)
 	if ok {
-		d.book.Release(g.Key.Account, g.Estimate)
+		d.book.Release(g.Class.Account, g.Estimate)
 	}
 }
 
@@ -244,21 +244,21 @@
 }
 
 func (d *admission) applyLimit() {
-	d.desk.SetLimit(d.limit.Now())
+	d.desk.SetLimit(d.limit.Current())
 	if d.leaving {
 		d.desk.SetLimit(0)
 	}
-	if d.limit.Now() > 0 {
-		d.book.SetSlots(float64(d.limit.Now()))
+	if d.limit.Current() > 0 {
+		d.book.SetSlots(float64(d.limit.Current()))
 	}
 }
 
 func (d *admission) load(e loadEvent) {
 	if e.slots > 0 {
-		d.limit.SetMost(min(e.slots, d.agent.options.Slots))
+		d.limit.SetMax(min(e.slots, d.agent.options.Slots))
 	}
 	if e.waiting > 0 {
-		d.limit.Queued()
+		d.limit.OnServerQueueing()
 	}
 	d.applyLimit()
 }
@@ -280,7 +280,7 @@
 		if now().Sub(at) <= grantTime {
 			continue
 		}
-		if g, ok := d.desk.Grantee(id); ok && d.desk.SetSilent(g, true) {
+		if g, ok := d.desk.GrantHolder(id); ok && d.desk.SetUnresponsive(g, true) {
 			d.agent.record(explain.Event{Kind: explain.Degrade, Text: g + " left a grant unused: no more until it is heard"})
 			d.settleWaits()
 			d.peers[g].peer.Send(d.message(&wirepb.Control_Ping{Ping: &wirepb.Ping{Sent: now().UnixNano()}}))
@@ -291,13 +291,13 @@
 
 // heard notes that a router spoke.
 func (d *admission) heard(router string) {
-	if !d.desk.SetSilent(router, false) {
+	if !d.desk.SetUnresponsive(router, false) {
 		return
 	}
 	d.agent.record(explain.Event{Kind: explain.Repair, Text: router + " is heard again"})
 	for _, a := range d.agent.holder.Current().Accounts {
-		if id := fair.Account(a.ID); d.desk.WaitsFor(id) {
-			d.book.Arrive(id)
+		if id := fair.Account(a.ID); d.desk.HasWaiting(id) {
+			d.book.StartWaiting(id)
 		}
 	}
 }
--- a/agent/event.go
+++ b/agent/event.go
@@ -24,7 +24,7 @@
 
 type wantEvent struct {
 	peer     *wire.Peer
-	key      dispatch.Key
+	key      dispatch.Class
 	count    int
 	estimate float64
 }
@@ -53,7 +53,7 @@
 type admitted struct {
 	refused  *wirepb.NotRun
 	unknown  string
-	repeat   *attempt.Repeat
+	repeat   *attempt.Duplicate
 	reserved float64
 	standing float64
 }
--- a/agent/leaving.go
+++ b/agent/leaving.go
@@ -21,7 +21,7 @@
 	}
 	if siblings := d.siblingsIn(c); siblings != d.siblings {
 		if d.siblings != "" {
-			d.keys.Moved(now())
+			d.keys.OwnershipChanged(now())
 		}
 		d.siblings = siblings
 	}
--- a/agent/peer.go
+++ b/agent/peer.go
@@ -73,8 +73,8 @@
 
 var errUnexpected = errors.New("agent: message that a router does not send")
 
-func (a *Agent) keyOf(w *wirepb.Want) dispatch.Key {
-	k := dispatch.Key{Account: fair.Account(w.Account), Pool: w.Pool, Urgent: w.Urgent}
+func (a *Agent) keyOf(w *wirepb.Want) dispatch.Class {
+	k := dispatch.Class{Account: fair.Account(w.Account), Pool: w.Pool, Urgent: w.Urgent}
 	if w.Pinned {
 		k.Server = a.options.Name
 	}
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -72,7 +72,7 @@
 
 // serveRepeat answers a caller's retry under the same idempotency key with the
 // answer of the request that ran first.
-func (a *Agent) serveRepeat(ctx context.Context, s *wire.Stream, st *wirepb.Start, r *attempt.Repeat) {
+func (a *Agent) serveRepeat(ctx context.Context, s *wire.Stream, st *wirepb.Start, r *attempt.Duplicate) {
 	a.recordStart(explain.Refuse, st, "the idempotency key was used by request "+r.Request)
 	j := a.jobs.get(attempt.ID{Request: r.Request, Attempt: r.Attempt})
 	if r.Unknown || j == nil || !j.whole() {
@@ -206,7 +206,7 @@
 		v = failed
 	}
 	r.finish(&wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: r.job.count(), Complete: true, Cost: cost}}},
-		attempt.Ran{Complete: true}, v, fmt.Sprintf("the whole answer, status %d, %.0f weighted tokens", answer.Status, cost))
+		attempt.Executed{Complete: true}, v, fmt.Sprintf("the whole answer, status %d, %.0f weighted tokens", answer.Status, cost))
 }
 
 // engine makes the call, as a hop of its own in the trace.
@@ -317,7 +317,7 @@
 func (r *run) failedBefore(ctx context.Context, err error) {
 	if errors.Is(err, engine.ErrNotSent) {
 		r.finish(&wirepb.Piece{Body: &wirepb.Piece_NotRun{NotRun: &wirepb.NotRun{Reason: "the server cannot be reached", Busy: true}}},
-			attempt.NotRun{Reason: err.Error()}, failed, "not run: "+err.Error())
+			attempt.NotExecuted{Reason: err.Error()}, failed, "not run: "+err.Error())
 		return
 	}
 	if ctx.Err() != nil {
@@ -340,7 +340,7 @@
 		}
 	}
 	r.finish(&wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: r.job.count(), Reason: reason, Cost: cost}}},
-		attempt.Ran{Reason: reason}, v, "cut: "+reason+": "+err.Error())
+		attempt.Executed{Reason: reason}, v, "cut: "+reason+": "+err.Error())
 }
 
 func (r *run) finish(last *wirepb.Piece, o attempt.Outcome, v verdict, text string) {
--- a/agent/start.go
+++ b/agent/start.go
@@ -26,29 +26,29 @@
 		return refuse("this server is leaving", true)
 	}
 	switch b := d.registry.Begin(id, now()).(type) {
-	case attempt.Fresh:
+	case attempt.Started:
 	case attempt.Revoked:
 		return refuse("the attempt was revoked", false)
-	case attempt.Seen:
+	case attempt.AlreadyBegun:
 		return admitted{unknown: "the attempt was sent twice"}
-	case attempt.Full:
+	case attempt.RegistryFull:
 		return refuse("this agent remembers too many attempts", true)
 	default:
 		panic(fmt.Sprintf("agent: unknown answer %T", b))
 	}
 	reserved, ok := d.place(s)
 	if !ok {
-		d.registry.NotRun(id, now())
+		d.registry.MarkNotExecuted(id, now())
 		return refuse("this server is full", true)
 	}
 	if a, stop := d.claim(s); stop {
 		d.desk.Done()
 		d.book.Release(fair.Account(s.AccountId), reserved)
-		d.registry.NotRun(id, now())
+		d.registry.MarkNotExecuted(id, now())
 		return a
 	}
 	d.largest = math.Max(d.largest, reserved)
-	return admitted{reserved: reserved, standing: d.book.Standing(fair.Account(s.AccountId))}
+	return admitted{reserved: reserved, standing: d.book.VirtualTime(fair.Account(s.AccountId))}
 }
 
 func refuse(reason string, busy bool) admitted {
@@ -58,12 +58,12 @@
 // place takes the granted place, or a free one when nobody waits.
 func (d *admission) place(s *wirepb.Start) (reserved float64, ok bool) {
 	delete(d.granted, s.Grant)
-	if g, granted := d.desk.Use(s.Grant); granted {
-		d.book.Release(g.Key.Account, g.Estimate)
+	if g, granted := d.desk.StartGranted(s.Grant); granted {
+		d.book.Release(g.Class.Account, g.Estimate)
 		d.book.Reserve(fair.Account(s.AccountId), float64(s.Estimate))
 		return float64(s.Estimate), true
 	}
-	if !d.desk.Take() {
+	if !d.desk.TryStart() {
 		return 0, false
 	}
 	d.book.Reserve(fair.Account(s.AccountId), float64(s.Estimate))
@@ -77,11 +77,11 @@
 	}
 	id := attempt.KeyID{Account: s.AccountId, Key: s.IdempotencyKey}
 	switch c := d.keys.Claim(id, s.Request, s.Attempt, now()).(type) {
-	case attempt.First:
+	case attempt.NewKey:
 		return admitted{}, false
-	case attempt.Repeat:
+	case attempt.Duplicate:
 		return admitted{repeat: &c}, true
-	case attempt.CannotTell:
+	case attempt.Indeterminate:
 		a := refuse("it cannot be told whether this idempotency key was used before", false)
 		a.refused.RetryAfterMs = max(c.RetryAfter, time.Second).Milliseconds()
 		return a, true
@@ -97,15 +97,15 @@
 	key := attempt.KeyID{Account: s.AccountId, Key: s.IdempotencyKey}
 	d.book.Release(fair.Account(s.AccountId), e.reserved)
 	switch o := e.outcome.(type) {
-	case attempt.NotRun:
-		d.registry.NotRun(id, now())
+	case attempt.NotExecuted:
+		d.registry.MarkNotExecuted(id, now())
 		d.keys.Release(key, s.Request)
-	case attempt.Ran:
+	case attempt.Executed:
 		d.registry.End(id, now())
-		d.keys.Settle(key, s.Request, false)
+		d.keys.RecordOutcome(key, s.Request, false)
 	case attempt.Unknown:
 		d.registry.End(id, now())
-		d.keys.Settle(key, s.Request, true)
+		d.keys.RecordOutcome(key, s.Request, true)
 	default:
 		panic(fmt.Sprintf("agent: unknown outcome %T", o))
 	}
--- a/agent/status.go
+++ b/agent/status.go
@@ -35,25 +35,25 @@
 	if waiting < 2 {
 		return 0, 0
 	}
-	reach, share := d.book.Waits()
+	reach, share := d.book.BoundInputs()
 	age := 2 * d.agent.options.Interval
 	if !d.merged.IsZero() {
 		age += now().Sub(d.merged)
 	}
-	b := fair.Bound{
-		Largest:    d.largest,
-		Slots:      reach,
-		Rate:       d.pace.rate,
-		Age:        age.Seconds(),
-		Credit:     float64(d.agent.holder.Current().Limits.WithDefaults().UrgentCredit),
-		LeastShare: share,
+	b := fair.GapBound{
+		MaxCost:      d.largest,
+		Slots:        reach,
+		ServiceRate:  d.pace.rate,
+		TotalsAge:    age.Seconds(),
+		UrgentCredit: float64(d.agent.holder.Current().Limits.WithDefaults().UrgentCredit),
+		MinShare:     share,
 	}
 	return gap, b.Value()
 }
 
 // checkBound asserts the fairness bound; a violation is recorded and counted.
 func (d *admission) checkBound() {
-	d.pace.observe(d.book.Served(), now())
+	d.pace.observe(d.book.TotalServed(), now())
 	gap, bound := d.bound()
 	if gap <= bound {
 		return
@@ -68,7 +68,7 @@
 
 func (d *admission) status() *wirepb.NodeStatus {
 	gap, bound := d.bound()
-	_, totals := d.book.Peek()
+	_, totals := d.book.Snapshot()
 	s := &wirepb.NodeStatus{
 		Node:         d.agent.options.Name,
 		Role:         "agent",
@@ -85,7 +85,7 @@
 		Violations:   uint32(d.agent.Violations()),
 	}
 	for _, t := range totals {
-		s.Counters = append(s.Counters, &wirepb.Counter{Account: uint32(t.Account), Service: uint64(max(0, t.Service)), Reach: uint32(t.Reach)})
+		s.Counters = append(s.Counters, &wirepb.Counter{Account: uint32(t.Account), Service: uint64(max(0, t.Service)), Reach: uint32(t.Slots)})
 	}
 	for what, at := range d.since {
 		s.Degraded = append(s.Degraded, fmt.Sprintf("%s: %s since %s", what, d.limit.Health(), at.UTC().Format(time.RFC3339)))
--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -32,25 +32,25 @@
 
 // The causes.
 const (
-	Refused    Cause = "refused"     // by the agent, for good
-	TooMany    Cause = "too many"    // the account has its full number waiting
-	Deadline   Cause = "deadline"    // it passed, or would
-	CallerLeft Cause = "caller left" // while it waited
-	Stopping   Cause = "stopping"    // the router is
-	Failing    Cause = "failing"     // several attempts did not run
-	Untold     Cause = "untold"      // an idempotency key cannot be told to be new
-	Broken     Cause = "broken"      // a server, agent or connection broke
+	Refused          Cause = "refused"     // by the agent, for good
+	QueueFull        Cause = "too many"    // the account has its full number waiting
+	Deadline         Cause = "deadline"    // it passed, or would
+	CallerClosed     Cause = "caller left" // while it waited
+	ShuttingDown     Cause = "stopping"    // the router is
+	AttemptsFailed   Cause = "failing"     // several attempts did not run
+	KeyIndeterminate Cause = "untold"      // an idempotency key cannot be told to be new
+	Interrupted      Cause = "broken"      // a server, agent or connection broke
 )
 
 // NotRun says that the request did not run and will not.
-type NotRun struct {
+type NotExecuted struct {
 	Cause      Cause
 	Reason     string
 	RetryAfter time.Duration
 }
 
 // Ran says that the request ran, and whether its whole answer arrived.
-type Ran struct {
+type Executed struct {
 	Complete bool
 	Cause    Cause // of an answer that is not complete
 	Reason   string
@@ -62,22 +62,22 @@
 	Reason string
 }
 
-func (NotRun) outcome()  {}
-func (Ran) outcome()     {}
-func (Unknown) outcome() {}
+func (NotExecuted) outcome() {}
+func (Executed) outcome()    {}
+func (Unknown) outcome()     {}
 
 // State is where a request is in its life at the router.
 type State string
 
 // The states.
 const (
-	Waiting   State = "waiting"   // no attempt is under way
-	Sent      State = "sent"      // an attempt is on its way, its fate open
-	Admitted  State = "admitted"  // the agent has begun it
-	Answering State = "answering" // a part of its answer went to the caller
-	Lost      State = "lost"      // the connection broke before the agent's word
-	Severed   State = "severed"   // the connection broke after the agent began it
-	Ended     State = "ended"
+	Waiting             State = "waiting"   // no attempt is under way
+	Sent                State = "sent"      // an attempt is on its way, its fate open
+	Admitted            State = "admitted"  // the agent has begun it
+	Responding          State = "answering" // a part of its answer went to the caller
+	SentDisconnected    State = "lost"      // the connection broke before the agent's word
+	StartedDisconnected State = "severed"   // the connection broke after the agent began it
+	Ended               State = "ended"
 )
 
 // Event is what happened to a request.
@@ -85,80 +85,80 @@
 
 // The events.
 const (
-	Send    Event = "send"    // an attempt is sent
-	Admit   Event = "admit"   // the agent says it has begun
-	Decline Event = "decline" // the agent says not run
-	Answer  Event = "answer"  // a part of the answer goes to the caller
-	Lose    Event = "lose"    // the connection broke
-	Revoke  Event = "revoke"  // the agent says revoked, will never run
-	Found   Event = "found"   // the agent says started
-	Vanish  Event = "vanish"  // that incarnation is gone or cannot tell
-	Resume  Event = "resume"  // the answer goes on over another connection
-	Finish  Event = "finish"  // the whole answer has passed
-	Cut     Event = "cut"     // the answer ended before its end
-	GiveUp  Event = "give up" // deadline or caller gone while nothing runs
+	Send           Event = "send"    // an attempt is sent
+	Admit          Event = "admit"   // the agent says it has begun
+	Decline        Event = "decline" // the agent says not run
+	Respond        Event = "answer"  // a part of the answer goes to the caller
+	Disconnect     Event = "lose"    // the connection broke
+	ConfirmRevoked Event = "revoke"  // the agent says revoked, will never run
+	ConfirmStarted Event = "found"   // the agent says started
+	AgentGone      Event = "vanish"  // that incarnation is gone or cannot tell
+	Resume         Event = "resume"  // the answer goes on over another connection
+	Finish         Event = "finish"  // the whole answer has passed
+	Truncate       Event = "cut"     // the answer ended before its end
+	Abandon        Event = "give up" // deadline or caller gone while nothing runs
 )
 
 // Next is what the router may do after an event: [Proceed], [Ask], [Again],
 // [Rejoin] or [Stop].
-type Next interface{ next() }
+type Action interface{ action() }
 
 // Proceed says to go on as before.
-type Proceed struct{}
+type Continue struct{}
 
 // Ask says to ask the same incarnation to revoke the attempt.
-type Ask struct{}
+type RequestRevoke struct{}
 
 // Again says that another attempt may be made.
-type Again struct{}
+type Retry struct{}
 
 // Rejoin says to resume the answer from the same incarnation.
-type Rejoin struct{}
+type Reattach struct{}
 
 // Stop says that the request has ended.
-type Stop struct{ Outcome Outcome }
+type Done struct{ Outcome Outcome }
 
-func (Proceed) next() {}
-func (Ask) next()     {}
-func (Again) next()   {}
-func (Rejoin) next()  {}
-func (Stop) next()    {}
+func (Continue) action()      {}
+func (RequestRevoke) action() {}
+func (Retry) action()         {}
+func (Reattach) action()      {}
+func (Done) action()          {}
 
 // Life follows one request at a router. It is for one goroutine.
-type Life struct {
+type Lifecycle struct {
 	state      State
 	attempts   uint32
-	repeatable bool
-	passed     bool // a part of an answer went to the caller
-	uncertain  bool // an earlier attempt may have run
-	next       Next
+	retryable  bool
+	responded  bool // a part of an answer went to the caller
+	mayHaveRun bool // an earlier attempt may have run
+	action     Action
 }
 
 // NewLife returns the life of a request that waits.
-func NewLife(repeatable bool) *Life {
-	return &Life{state: Waiting, repeatable: repeatable}
+func NewLifecycle(repeatable bool) *Lifecycle {
+	return &Lifecycle{state: Waiting, retryable: repeatable}
 }
 
 // State returns where the request is.
-func (l *Life) State() State { return l.state }
+func (l *Lifecycle) State() State { return l.state }
 
 // Attempts returns how many attempts were sent.
-func (l *Life) Attempts() uint32 { return l.attempts }
+func (l *Lifecycle) Attempts() uint32 { return l.attempts }
 
 // Fire tells the life of an event and returns what may be done next. An event
 // that cannot happen in the present state is a broken invariant.
-func (l *Life) Fire(e Event) Next {
-	l.next = Proceed{}
-	ctx := context.WithValue(context.Background(), lifeKey{}, l)
+func (l *Lifecycle) Fire(e Event) Action {
+	l.action = Continue{}
+	ctx := context.WithValue(context.Background(), lifecycleKey{}, l)
 	if err := machine.FireCtx(ctx, e); err != nil {
 		panic(errors.NewAssertionErrorWithWrappedErrf(err, "attempt: %s while %s", e, l.state))
 	}
-	return l.next
+	return l.action
 }
 
-type lifeKey struct{}
+type lifecycleKey struct{}
 
-func lifeOf(ctx context.Context) *Life { return ctx.Value(lifeKey{}).(*Life) }
+func lifecycleFrom(ctx context.Context) *Lifecycle { return ctx.Value(lifecycleKey{}).(*Lifecycle) }
 
 // machine holds the transitions for all lives; each life's state is kept in the
 // life itself, which travels in the context.
@@ -167,115 +167,115 @@
 func newMachine() *stateless.StateMachine {
 	m := stateless.NewStateMachineWithExternalStorage(readState, writeState, stateless.FiringImmediate)
 	m.Configure(Waiting).
-		OnEntryFrom(Decline, decide(Again{})).
-		OnEntryFrom(Revoke, decide(Again{})).
-		OnEntryFrom(Vanish, doubt).
+		OnEntryFrom(Decline, setAction(Retry{})).
+		OnEntryFrom(ConfirmRevoked, setAction(Retry{})).
+		OnEntryFrom(AgentGone, retryUncertain).
 		Permit(Send, Sent).
-		Permit(GiveUp, Ended)
+		Permit(Abandon, Ended)
 	m.Configure(Sent).
-		OnEntryFrom(Send, count).
+		OnEntryFrom(Send, countAttempt).
 		Permit(Admit, Admitted).
 		Permit(Decline, Waiting).
-		Permit(Lose, Lost)
-	m.Configure(Lost).
-		OnEntry(decide(Ask{})).
-		Permit(Revoke, Waiting).
-		Permit(Found, Severed).
-		Permit(Vanish, Waiting, mayRepeat).
-		Permit(Vanish, Ended, mayNotRepeat)
+		Permit(Disconnect, SentDisconnected)
+	m.Configure(SentDisconnected).
+		OnEntry(setAction(RequestRevoke{})).
+		Permit(ConfirmRevoked, Waiting).
+		Permit(ConfirmStarted, StartedDisconnected).
+		Permit(AgentGone, Waiting, canRetry).
+		Permit(AgentGone, Ended, cannotRetry)
 	m.Configure(Admitted).
-		Permit(Decline, Waiting, nothingPassed).
-		Permit(Answer, Answering).
-		Permit(Lose, Severed).
-		Permit(Vanish, Waiting, mayRepeat).
-		Permit(Vanish, Ended, mayNotRepeat).
+		Permit(Decline, Waiting, notResponded).
+		Permit(Respond, Responding).
+		Permit(Disconnect, StartedDisconnected).
+		Permit(AgentGone, Waiting, canRetry).
+		Permit(AgentGone, Ended, cannotRetry).
 		Permit(Finish, Ended).
-		Permit(Cut, Ended)
-	m.Configure(Answering).
-		OnEntryFrom(Answer, pass).
-		PermitReentry(Answer).
-		Permit(Lose, Severed).
-		Permit(Vanish, Ended).
+		Permit(Truncate, Ended)
+	m.Configure(Responding).
+		OnEntryFrom(Respond, markResponded).
+		PermitReentry(Respond).
+		Permit(Disconnect, StartedDisconnected).
+		Permit(AgentGone, Ended).
 		Permit(Finish, Ended).
-		Permit(Cut, Ended)
-	m.Configure(Severed).
-		OnEntry(decide(Rejoin{})).
-		Permit(Resume, Answering, somethingPassed).
-		Permit(Resume, Admitted, nothingPassed).
-		Permit(Decline, Waiting, nothingPassed).
-		Permit(Vanish, Waiting, mayRepeat).
-		Permit(Vanish, Ended, mayNotRepeat).
-		Permit(Cut, Ended)
+		Permit(Truncate, Ended)
+	m.Configure(StartedDisconnected).
+		OnEntry(setAction(Reattach{})).
+		Permit(Resume, Responding, hasResponded).
+		Permit(Resume, Admitted, notResponded).
+		Permit(Decline, Waiting, notResponded).
+		Permit(AgentGone, Waiting, canRetry).
+		Permit(AgentGone, Ended, cannotRetry).
+		Permit(Truncate, Ended)
 	m.Configure(Ended).
-		OnEntryFrom(Finish, decide(Stop{Outcome: Ran{Complete: true}})).
-		OnEntryFrom(Cut, decide(Stop{Outcome: Ran{Cause: Broken, Reason: "the answer was cut"}})).
-		OnEntryFrom(GiveUp, gaveUp).
-		OnEntryFrom(Vanish, vanished)
+		OnEntryFrom(Finish, setAction(Done{Outcome: Executed{Complete: true}})).
+		OnEntryFrom(Truncate, setAction(Done{Outcome: Executed{Cause: Interrupted, Reason: "the answer was cut"}})).
+		OnEntryFrom(Abandon, abandonRequest).
+		OnEntryFrom(AgentGone, handleAgentGone)
 	return m
 }
 
-func readState(ctx context.Context) (stateless.State, error) { return lifeOf(ctx).state, nil }
+func readState(ctx context.Context) (stateless.State, error) { return lifecycleFrom(ctx).state, nil }
 
 func writeState(ctx context.Context, s stateless.State) error {
-	lifeOf(ctx).state = s.(State)
+	lifecycleFrom(ctx).state = s.(State)
 	return nil
 }
 
-func decide(n Next) stateless.ActionFunc {
+func setAction(n Action) stateless.ActionFunc {
 	return func(ctx context.Context, _ ...any) error {
-		lifeOf(ctx).next = n
+		lifecycleFrom(ctx).action = n
 		return nil
 	}
 }
 
-func count(ctx context.Context, _ ...any) error {
-	lifeOf(ctx).attempts++
+func countAttempt(ctx context.Context, _ ...any) error {
+	lifecycleFrom(ctx).attempts++
 	return nil
 }
 
-func pass(ctx context.Context, _ ...any) error {
-	lifeOf(ctx).passed = true
+func markResponded(ctx context.Context, _ ...any) error {
+	lifecycleFrom(ctx).responded = true
 	return nil
 }
 
 // doubt lets a repeatable request be tried again, and remembers that it may have
 // run: it can never be called not run any more.
-func doubt(ctx context.Context, _ ...any) error {
-	l := lifeOf(ctx)
-	l.uncertain = true
-	l.next = Again{}
+func retryUncertain(ctx context.Context, _ ...any) error {
+	l := lifecycleFrom(ctx)
+	l.mayHaveRun = true
+	l.action = Retry{}
 	return nil
 }
 
-func gaveUp(ctx context.Context, _ ...any) error {
-	l := lifeOf(ctx)
-	if l.uncertain {
-		l.next = Stop{Outcome: Unknown{Cause: Broken, Reason: "an earlier attempt may have run"}}
+func abandonRequest(ctx context.Context, _ ...any) error {
+	l := lifecycleFrom(ctx)
+	if l.mayHaveRun {
+		l.action = Done{Outcome: Unknown{Cause: Interrupted, Reason: "an earlier attempt may have run"}}
 		return nil
 	}
-	l.next = Stop{Outcome: NotRun{}}
+	l.action = Done{Outcome: NotExecuted{}}
 	return nil
 }
 
 // vanished ends a request whose agent incarnation is gone. What has partly been
 // passed on did run; what has not may have.
-func vanished(ctx context.Context, _ ...any) error {
-	l := lifeOf(ctx)
-	if l.passed {
-		l.next = Stop{Outcome: Ran{Cause: Broken, Reason: "the answer was cut: its agent is gone"}}
+func handleAgentGone(ctx context.Context, _ ...any) error {
+	l := lifecycleFrom(ctx)
+	if l.responded {
+		l.action = Done{Outcome: Executed{Cause: Interrupted, Reason: "the answer was cut: its agent is gone"}}
 		return nil
 	}
-	l.next = Stop{Outcome: Unknown{Cause: Broken, Reason: "the agent that had it is gone"}}
+	l.action = Done{Outcome: Unknown{Cause: Interrupted, Reason: "the agent that had it is gone"}}
 	return nil
 }
 
-func mayRepeat(ctx context.Context, _ ...any) bool {
-	l := lifeOf(ctx)
-	return l.repeatable && !l.passed
+func canRetry(ctx context.Context, _ ...any) bool {
+	l := lifecycleFrom(ctx)
+	return l.retryable && !l.responded
 }
 
-func mayNotRepeat(ctx context.Context, a ...any) bool { return !mayRepeat(ctx, a...) }
+func cannotRetry(ctx context.Context, a ...any) bool { return !canRetry(ctx, a...) }
 
-func nothingPassed(ctx context.Context, _ ...any) bool { return !lifeOf(ctx).passed }
+func notResponded(ctx context.Context, _ ...any) bool { return !lifecycleFrom(ctx).responded }
 
-func somethingPassed(ctx context.Context, _ ...any) bool { return lifeOf(ctx).passed }
+func hasResponded(ctx context.Context, _ ...any) bool { return lifecycleFrom(ctx).responded }
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -10,31 +10,31 @@
 	"opalbridge.dev/attempt"
 )
 
-func TestLifeAfterALostAttempt(t *testing.T) {
+func TestLifecycleAfterLostAttempt(t *testing.T) {
 	tests := []struct {
 		name       string
 		repeatable bool
 		events     []attempt.Event
-		want       attempt.Next
+		want       attempt.Action
 	}{
-		{"declined", false, []attempt.Event{attempt.Send, attempt.Decline}, attempt.Again{}},
-		{"lost", false, []attempt.Event{attempt.Send, attempt.Lose}, attempt.Ask{}},
-		{"revoked", false, []attempt.Event{attempt.Send, attempt.Lose, attempt.Revoke}, attempt.Again{}},
-		{"found", false, []attempt.Event{attempt.Send, attempt.Lose, attempt.Found}, attempt.Rejoin{}},
-		{"gone, not repeatable", false, []attempt.Event{attempt.Send, attempt.Lose, attempt.Vanish},
-			attempt.Stop{Outcome: attempt.Unknown{Cause: attempt.Broken, Reason: "the agent that had it is gone"}}},
-		{"gone, repeatable", true, []attempt.Event{attempt.Send, attempt.Lose, attempt.Vanish}, attempt.Again{}},
-		{"gone after a part of the answer", true, []attempt.Event{attempt.Send, attempt.Admit, attempt.Answer, attempt.Lose, attempt.Vanish},
-			attempt.Stop{Outcome: attempt.Ran{Cause: attempt.Broken, Reason: "the answer was cut: its agent is gone"}}},
-		{"given up after it may have run", true, []attempt.Event{attempt.Send, attempt.Lose, attempt.Vanish, attempt.GiveUp},
-			attempt.Stop{Outcome: attempt.Unknown{Cause: attempt.Broken, Reason: "an earlier attempt may have run"}}},
-		{"given up after a proven not run", true, []attempt.Event{attempt.Send, attempt.Decline, attempt.GiveUp},
-			attempt.Stop{Outcome: attempt.NotRun{}}},
+		{"declined", false, []attempt.Event{attempt.Send, attempt.Decline}, attempt.Retry{}},
+		{"lost", false, []attempt.Event{attempt.Send, attempt.Disconnect}, attempt.RequestRevoke{}},
+		{"revoked", false, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.ConfirmRevoked}, attempt.Retry{}},
+		{"found", false, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.ConfirmStarted}, attempt.Reattach{}},
+		{"gone, not repeatable", false, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.AgentGone},
+			attempt.Done{Outcome: attempt.Unknown{Cause: attempt.Interrupted, Reason: "the agent that had it is gone"}}},
+		{"gone, repeatable", true, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.AgentGone}, attempt.Retry{}},
+		{"gone after a part of the answer", true, []attempt.Event{attempt.Send, attempt.Admit, attempt.Respond, attempt.Disconnect, attempt.AgentGone},
+			attempt.Done{Outcome: attempt.Executed{Cause: attempt.Interrupted, Reason: "the answer was cut: its agent is gone"}}},
+		{"given up after it may have run", true, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.AgentGone, attempt.Abandon},
+			attempt.Done{Outcome: attempt.Unknown{Cause: attempt.Interrupted, Reason: "an earlier attempt may have run"}}},
+		{"given up after a proven not run", true, []attempt.Event{attempt.Send, attempt.Decline, attempt.Abandon},
+			attempt.Done{Outcome: attempt.NotExecuted{}}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			l := attempt.NewLife(test.repeatable)
-			var got attempt.Next
+			l := attempt.NewLifecycle(test.repeatable)
+			var got attempt.Action
 			for _, e := range test.events {
 				got = l.Fire(e)
 			}
@@ -43,17 +43,17 @@
 	}
 }
 
-func TestImpossibleEventIsABrokenInvariant(t *testing.T) {
-	require.Panics(t, func() { attempt.NewLife(true).Fire(attempt.Finish) })
+func TestInvalidEventPanics(t *testing.T) {
+	require.Panics(t, func() { attempt.NewLifecycle(true).Fire(attempt.Finish) })
 }
 
 // TestEveryLifeKeepsItsPromise walks every sequence of events to a depth and holds
 // each to the promises: not run is said only if no attempt can have run, and what
 // is not repeatable is sent again only after a proven not run.
-func TestEveryLifeKeepsItsPromise(t *testing.T) {
+func TestLifecycleExhaustive(t *testing.T) {
 	const depth = 9
-	events := []attempt.Event{attempt.Send, attempt.Admit, attempt.Decline, attempt.Answer, attempt.Lose, attempt.Revoke,
-		attempt.Found, attempt.Vanish, attempt.Resume, attempt.Finish, attempt.Cut, attempt.GiveUp}
+	events := []attempt.Event{attempt.Send, attempt.Admit, attempt.Decline, attempt.Respond, attempt.Disconnect, attempt.ConfirmRevoked,
+		attempt.ConfirmStarted, attempt.AgentGone, attempt.Resume, attempt.Finish, attempt.Truncate, attempt.Abandon}
 	for _, repeatable := range []bool{false, true} {
 		states := 0
 		var walk func(path []attempt.Event)
@@ -64,7 +64,7 @@
 			}
 			for _, e := range events {
 				next := append(path[:len(path):len(path)], e)
-				if checkLife(t, repeatable, next) {
+				if checkLifecycle(t, repeatable, next) {
 					walk(next)
 				}
 			}
@@ -75,25 +75,25 @@
 }
 
 // checkLife replays a path and reports whether it can go on.
-func checkLife(t *testing.T, repeatable bool, path []attempt.Event) bool {
-	l := attempt.NewLife(repeatable)
+func checkLifecycle(t *testing.T, repeatable bool, path []attempt.Event) bool {
+	l := attempt.NewLifecycle(repeatable)
 	mayHaveRun := false
 	for i, e := range path {
-		var next attempt.Next
-		possible := fires(l, e, &next)
+		var next attempt.Action
+		possible := tryFire(l, e, &next)
 		if !possible {
 			return false
 		}
 		switch e {
 		case attempt.Send:
 			require.False(t, mayHaveRun && !repeatable, "sent again although it may have run: %v", path)
-		case attempt.Admit, attempt.Found, attempt.Vanish:
+		case attempt.Admit, attempt.ConfirmStarted, attempt.AgentGone:
 			mayHaveRun = true
-		case attempt.Decline, attempt.Revoke:
-			mayHaveRun = vanishedBefore(path[:i])
+		case attempt.Decline, attempt.ConfirmRevoked:
+			mayHaveRun = agentGoneBefore(path[:i])
 		}
-		if stop, ended := next.(attempt.Stop); ended {
-			if _, notRun := stop.Outcome.(attempt.NotRun); notRun {
+		if stop, ended := next.(attempt.Done); ended {
+			if _, notRun := stop.Outcome.(attempt.NotExecuted); notRun {
 				require.False(t, mayHaveRun, "called not run although it may have run: %v", path)
 			}
 			return false
@@ -102,16 +102,16 @@
 	return true
 }
 
-func vanishedBefore(path []attempt.Event) bool {
+func agentGoneBefore(path []attempt.Event) bool {
 	for _, e := range path {
-		if e == attempt.Vanish {
+		if e == attempt.AgentGone {
 			return true
 		}
 	}
 	return false
 }
 
-func fires(l *attempt.Life, e attempt.Event, next *attempt.Next) (ok bool) {
+func tryFire(l *attempt.Lifecycle, e attempt.Event, next *attempt.Action) (ok bool) {
 	defer func() {
 		if recover() != nil {
 			ok = false
@@ -121,7 +121,7 @@
 	return true
 }
 
-func TestRegistryRevokesOrFinds(t *testing.T) {
+func TestRegistryRevoke(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := attempt.NewRegistry(time.Minute, 10)
 	id := attempt.ID{Request: "r", Attempt: 1}
@@ -129,9 +129,9 @@
 	require.Equal(t, attempt.Revoked{}, r.Begin(id, now), "a revoked attempt never begins")
 
 	other := attempt.ID{Request: "r", Attempt: 2}
-	require.Equal(t, attempt.Fresh{}, r.Begin(other, now))
+	require.Equal(t, attempt.Started{}, r.Begin(other, now))
 	require.False(t, r.Revoke(other, now), "what has begun cannot be revoked")
-	require.Equal(t, attempt.Seen{}, r.Begin(other, now), "nothing begins twice")
+	require.Equal(t, attempt.AlreadyBegun{}, r.Begin(other, now), "nothing begins twice")
 	r.End(other, now)
 	require.False(t, r.Revoke(other, now.Add(time.Second)))
 }
@@ -140,14 +140,14 @@
 	now := time.Unix(1000, 0)
 	r := attempt.NewRegistry(time.Minute, 2)
 	for i := range uint32(2) {
-		require.Equal(t, attempt.Fresh{}, r.Begin(attempt.ID{Request: "r", Attempt: i}, now))
+		require.Equal(t, attempt.Started{}, r.Begin(attempt.ID{Request: "r", Attempt: i}, now))
 		r.End(attempt.ID{Request: "r", Attempt: i}, now)
 	}
-	require.Equal(t, attempt.Full{}, r.Begin(attempt.ID{Request: "r", Attempt: 9}, now))
-	require.Equal(t, attempt.Fresh{}, r.Begin(attempt.ID{Request: "r", Attempt: 9}, now.Add(2*time.Minute)))
+	require.Equal(t, attempt.RegistryFull{}, r.Begin(attempt.ID{Request: "r", Attempt: 9}, now))
+	require.Equal(t, attempt.Started{}, r.Begin(attempt.ID{Request: "r", Attempt: 9}, now.Add(2*time.Minute)))
 }
 
-func TestKeys(t *testing.T) {
+func TestKeyStoreClaim(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	const window = 10 * time.Minute
 	timed := func(at time.Time) string {
@@ -162,24 +162,24 @@
 		name string
 		key  string
 		at   time.Duration // after the owner's start
-		want attempt.Claimed
+		want attempt.ClaimResult
 	}{
-		{"opaque key before a whole window", "k", time.Minute, attempt.CannotTell{RetryAfter: 9 * time.Minute}},
-		{"opaque key after a whole window", "k", 11 * time.Minute, attempt.First{}},
-		{"timed key made after the start", timed(start.Add(3 * time.Minute)), 3 * time.Minute, attempt.First{}},
-		{"timed key made before the start", timed(start.Add(-time.Minute)), 3 * time.Minute, attempt.CannotTell{RetryAfter: 7 * time.Minute}},
-		{"timed key within the skew of the start", timed(start.Add(time.Minute)), 3 * time.Minute, attempt.CannotTell{RetryAfter: 7 * time.Minute}},
-		{"timed key from the future", timed(start.Add(time.Hour)), 3 * time.Minute, attempt.CannotTell{RetryAfter: 7 * time.Minute}},
+		{"opaque key before a whole window", "k", time.Minute, attempt.Indeterminate{RetryAfter: 9 * time.Minute}},
+		{"opaque key after a whole window", "k", 11 * time.Minute, attempt.NewKey{}},
+		{"timed key made after the start", timed(start.Add(3 * time.Minute)), 3 * time.Minute, attempt.NewKey{}},
+		{"timed key made before the start", timed(start.Add(-time.Minute)), 3 * time.Minute, attempt.Indeterminate{RetryAfter: 7 * time.Minute}},
+		{"timed key within the skew of the start", timed(start.Add(time.Minute)), 3 * time.Minute, attempt.Indeterminate{RetryAfter: 7 * time.Minute}},
+		{"timed key from the future", timed(start.Add(time.Hour)), 3 * time.Minute, attempt.Indeterminate{RetryAfter: 7 * time.Minute}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			k := attempt.NewKeys(window, 100, start)
+			k := attempt.NewKeyStore(window, 100, start)
 			id := attempt.KeyID{Account: 1, Key: test.key}
 			require.Equal(t, test.want, k.Claim(id, "r1", 1, start.Add(test.at)))
-			if _, first := test.want.(attempt.First); first {
-				require.Equal(t, attempt.Repeat{Request: "r1", Attempt: 1, Running: true}, k.Claim(id, "r2", 1, start.Add(test.at)))
+			if _, first := test.want.(attempt.NewKey); first {
+				require.Equal(t, attempt.Duplicate{Request: "r1", Attempt: 1, Running: true}, k.Claim(id, "r2", 1, start.Add(test.at)))
 				other := attempt.KeyID{Account: 2, Key: test.key}
-				require.Equal(t, attempt.First{}, k.Claim(other, "r3", 1, start.Add(test.at)), "another account's key is another key")
+				require.Equal(t, attempt.NewKey{}, k.Claim(other, "r3", 1, start.Add(test.at)), "another account's key is another key")
 			}
 		})
 	}
--- a/attempt/keys.go
+++ b/attempt/keys.go
@@ -8,13 +8,13 @@
 
 // Claimed is what an agent says to a caller's idempotency key: [First], [Repeat]
 // or [CannotTell].
-type Claimed interface{ claimed() }
+type ClaimResult interface{ claimResult() }
 
 // First says that the key was not used in the window; the request may run.
-type First struct{}
+type NewKey struct{}
 
 // Repeat says that an earlier request used the key, and where it stands.
-type Repeat struct {
+type Duplicate struct {
 	Request string // id of the earlier request
 	Attempt uint32
 	Running bool
@@ -22,15 +22,15 @@
 }
 
 // CannotTell says that an earlier owner of the key may have run it.
-type CannotTell struct{ RetryAfter time.Duration }
+type Indeterminate struct{ RetryAfter time.Duration }
 
-func (First) claimed()      {}
-func (Repeat) claimed()     {}
-func (CannotTell) claimed() {}
+func (NewKey) claimResult()        {}
+func (Duplicate) claimResult()     {}
+func (Indeterminate) claimResult() {}
 
 // Skew is how far the clocks of callers and hosts may be apart, and how long a
 // change of configuration may take to be in force at every agent.
-const Skew = 2 * time.Minute
+const MaxClockSkew = 2 * time.Minute
 
 // KeyID names a caller's idempotency key; accounts cannot meet in one.
 type KeyID struct {
@@ -42,12 +42,12 @@
 // that carries its own time (a version 7 UUID) can be told to be new from its
 // first moment; any other only when the owner has watched for a whole window. It
 // is for one goroutine.
-type Keys struct {
-	window  time.Duration
-	most    int
-	since   time.Time // from when on every use of a key was seen here
-	entries map[KeyID]*claim
-	order   []KeyID // oldest first
+type KeyStore struct {
+	window       time.Duration
+	maxEntries   int
+	watchedSince time.Time // from when on every use of a key was seen here
+	entries      map[KeyID]*claim
+	order        []KeyID // oldest first
 }
 
 type claim struct {
@@ -59,38 +59,38 @@
 }
 
 // NewKeys returns an empty memory that has watched since now.
-func NewKeys(window time.Duration, most int, now time.Time) *Keys {
-	return &Keys{window: window, most: most, since: now, entries: map[KeyID]*claim{}}
+func NewKeyStore(window time.Duration, most int, now time.Time) *KeyStore {
+	return &KeyStore{window: window, maxEntries: most, watchedSince: now, entries: map[KeyID]*claim{}}
 }
 
 // Moved tells that keys owned by others until now may be owned here from now on.
-func (k *Keys) Moved(now time.Time) { k.since = now }
+func (k *KeyStore) OwnershipChanged(now time.Time) { k.watchedSince = now }
 
 // Claim asks whether a request with this key may run, and if so remembers it.
-func (k *Keys) Claim(id KeyID, request string, attempt uint32, now time.Time) Claimed {
+func (k *KeyStore) Claim(id KeyID, request string, attempt uint32, now time.Time) ClaimResult {
 	k.expire(now)
 	if c, known := k.entries[id]; known {
-		return Repeat{Request: c.request, Attempt: c.attempt, Running: c.running, Unknown: c.unknown}
+		return Duplicate{Request: c.request, Attempt: c.attempt, Running: c.running, Unknown: c.unknown}
 	}
-	if !k.canTell(id.Key, now) {
-		return CannotTell{RetryAfter: k.since.Add(k.window).Sub(now)}
+	if !k.isProvablyNew(id.Key, now) {
+		return Indeterminate{RetryAfter: k.watchedSince.Add(k.window).Sub(now)}
 	}
-	if len(k.entries) >= k.most {
-		return CannotTell{RetryAfter: k.window}
+	if len(k.entries) >= k.maxEntries {
+		return Indeterminate{RetryAfter: k.window}
 	}
 	k.entries[id] = &claim{request: request, attempt: attempt, at: now, running: true}
 	k.order = append(k.order, id)
-	return First{}
+	return NewKey{}
 }
 
 // canTell reports whether a key not remembered here was never used in the window.
-func (k *Keys) canTell(key string, now time.Time) bool {
+func (k *KeyStore) isProvablyNew(key string, now time.Time) bool {
 	made, timed := keyTime(key)
 	if timed {
-		inTime := made.After(now.Add(-k.window+Skew)) && made.Before(now.Add(Skew))
-		return inTime && made.After(k.since.Add(Skew))
+		inTime := made.After(now.Add(-k.window+MaxClockSkew)) && made.Before(now.Add(MaxClockSkew))
+		return inTime && made.After(k.watchedSince.Add(MaxClockSkew))
 	}
-	return now.Sub(k.since) > k.window
+	return now.Sub(k.watchedSince) > k.window
 }
 
 func keyTime(key string) (time.Time, bool) {
@@ -103,21 +103,21 @@
 }
 
 // Release forgets a key whose request did not run.
-func (k *Keys) Release(id KeyID, request string) {
+func (k *KeyStore) Release(id KeyID, request string) {
 	if c, known := k.entries[id]; known && c.request == request {
 		delete(k.entries, id)
 	}
 }
 
 // Settle tells how the request of a key ended.
-func (k *Keys) Settle(id KeyID, request string, unknown bool) {
+func (k *KeyStore) RecordOutcome(id KeyID, request string, unknown bool) {
 	if c, known := k.entries[id]; known && c.request == request {
 		c.running = false
 		c.unknown = unknown
 	}
 }
 
-func (k *Keys) expire(now time.Time) {
+func (k *KeyStore) expire(now time.Time) {
 	for len(k.order) > 0 {
 		id := k.order[0]
 		c, known := k.entries[id]
--- a/attempt/registry.go
+++ b/attempt/registry.go
@@ -10,32 +10,32 @@
 
 // Begun is what an agent's registry says to an attempt that wants to start:
 // [Fresh], [Revoked], [Seen] or [Full].
-type Begun interface{ begun() }
+type BeginResult interface{ beginResult() }
 
 // Fresh says that the attempt may run.
-type Fresh struct{}
+type Started struct{}
 
 // Revoked says that the attempt was revoked and must not run.
 type Revoked struct{}
 
 // Seen says that the attempt began before.
-type Seen struct{}
+type AlreadyBegun struct{}
 
 // Full says that the registry can remember no more; the attempt must not run.
-type Full struct{}
+type RegistryFull struct{}
 
-func (Fresh) begun()   {}
-func (Revoked) begun() {}
-func (Seen) begun()    {}
-func (Full) begun()    {}
+func (Started) beginResult()      {}
+func (Revoked) beginResult()      {}
+func (AlreadyBegun) beginResult() {}
+func (RegistryFull) beginResult() {}
 
 // Registry remembers the attempts of one agent incarnation, for as long as a
 // router may ask about them. It is for one goroutine.
 type Registry struct {
-	window  time.Duration
-	most    int
-	entries map[ID]entry
-	order   []expiry // by time of end, oldest first
+	window     time.Duration
+	maxEntries int
+	entries    map[ID]entry
+	order      []expiry // by time of end, oldest first
 }
 
 type entry struct {
@@ -52,28 +52,28 @@
 // NewRegistry returns a registry that remembers an attempt for the given time
 // after it ended, and at most so many.
 func NewRegistry(window time.Duration, most int) *Registry {
-	return &Registry{window: window, most: most, entries: map[ID]entry{}}
+	return &Registry{window: window, maxEntries: most, entries: map[ID]entry{}}
 }
 
 // Begin asks whether an attempt may run and remembers that it does.
-func (r *Registry) Begin(id ID, now time.Time) Begun {
+func (r *Registry) Begin(id ID, now time.Time) BeginResult {
 	r.expire(now)
 	e, known := r.entries[id]
 	switch {
 	case known && e.revoked:
 		return Revoked{}
 	case known:
-		return Seen{}
-	case len(r.entries) >= r.most:
-		return Full{}
+		return AlreadyBegun{}
+	case len(r.entries) >= r.maxEntries:
+		return RegistryFull{}
 	}
 	r.entries[id] = entry{running: true}
-	return Fresh{}
+	return Started{}
 }
 
 // NotRun tells that an attempt that Begin let through did not run after all. It
 // is remembered as revoked: it must never run later.
-func (r *Registry) NotRun(id ID, now time.Time) {
+func (r *Registry) MarkNotExecuted(id ID, now time.Time) {
 	r.entries[id] = entry{revoked: true, ended: now}
 	r.order = append(r.order, expiry{id: id, ended: now})
 }
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -114,7 +114,7 @@
 func reportBytes(accounts int) float64 {
 	var totals []fair.Total
 	for a := range accounts {
-		totals = append(totals, fair.Total{Account: fair.Account(a + 1), Service: 4e8 / float64(accounts), Pending: 3000, Reach: 64})
+		totals = append(totals, fair.Total{Account: fair.Account(a + 1), Service: 4e8 / float64(accounts), Pending: 3000, Slots: 64})
 	}
 	m := wire.Control(900_000, &wirepb.Control_Report{Report: &wirepb.Report{Sequence: 40_000, Counters: wire.Counters(totals)}})
 	return float64(proto.Size(m))
@@ -169,17 +169,17 @@
 	return r.Control
 }
 
-func book(accounts, waiting int) (*fair.Book, []fair.Total, []fair.Candidate) {
-	b := fair.NewBook(fair.Options{Slots: 64, DebtCap: 60000})
+func book(accounts, waiting int) (*fair.Tracker, []fair.Total, []fair.Candidate) {
+	b := fair.NewTracker(fair.Options{Slots: 64, DebtCap: 60000})
 	var totals []fair.Total
 	var candidates []fair.Candidate
 	for a := range accounts {
 		id := fair.Account(a)
 		b.SetShare(id, 1)
 		if a < waiting {
-			b.Arrive(id)
+			b.StartWaiting(id)
 			candidates = append(candidates, fair.Candidate{Account: id})
-			totals = append(totals, fair.Total{Account: id, Service: float64(a), Reach: 640})
+			totals = append(totals, fair.Total{Account: id, Service: float64(a), Slots: 640})
 		}
 	}
 	return b, totals, candidates
@@ -208,7 +208,7 @@
 	return timeOf(func() {
 		sequence, _ := b.Report(false)
 		b.Merge(sequence, totals)
-		b.Forgive()
+		b.CapDebts()
 	})
 }
 
@@ -223,7 +223,7 @@
 func hallReport(accounts int) []fair.Total {
 	var totals []fair.Total
 	for i := range accounts {
-		totals = append(totals, fair.Total{Account: fair.Account(i), Service: 1e6, Reach: 64})
+		totals = append(totals, fair.Total{Account: fair.Account(i), Service: 1e6, Slots: 64})
 	}
 	return totals
 }
@@ -241,8 +241,8 @@
 	return timeOf(func() {
 		sequence++
 		h.Report("agent-0", "x", sequence, report)
-		f.Update(ledger.HallSum{Hall: "0", Source: "r", Sequence: sequence, Totals: h.Touched()})
-		f.Without(h.Own("agent-0"))
+		f.Update(ledger.HallSum{Hall: "0", Source: "r", Sequence: sequence, Totals: h.Changed()})
+		f.Excluding(h.LastReport("agent-0"))
 	})
 }
 
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -24,7 +24,7 @@
 )
 
 // Key names a line of waiting requests.
-type Key struct {
+type Class struct {
 	Account fair.Account
 	Pool    string
 	Urgent  bool
@@ -34,7 +34,7 @@
 // Request is one that waits.
 type Request struct {
 	ID       string
-	Key      Key
+	Class    Class
 	Estimate float64   // weighted tokens
 	Prefix   uint64    // hash of the prompt's beginning; zero: none
 	Deadline time.Time // when the caller has no more use for the answer
@@ -42,19 +42,19 @@
 }
 
 // Offered is what became of a request offered to a queue: [Waiting] or [Refused].
-type Offered interface{ offered() }
+type EnqueueResult interface{ enqueueResult() }
 
 // Waiting says that the request waits in the queue.
-type Waiting struct{ Ahead int }
+type Queued struct{ Ahead int }
 
 // Refused says that the request does not wait; it was not run.
-type Refused struct {
+type Rejected struct {
 	Reason     string
 	RetryAfter time.Duration
 }
 
-func (Waiting) offered() {}
-func (Refused) offered() {}
+func (Queued) enqueueResult()   {}
+func (Rejected) enqueueResult() {}
 
 // affinityWindow is how far from the head a request may be bound ahead of its
 // turn because the agent has seen its prefix.
@@ -62,7 +62,7 @@
 
 // Queue holds the requests that wait at one router. Its zero value is empty.
 type Queue struct {
-	lines    map[Key][]*Request
+	classes  map[Class][]*Request
 	accounts map[fair.Account]int
 	length   int
 }
@@ -74,12 +74,12 @@
 func (q *Queue) Waiting(a fair.Account) int { return q.accounts[a] }
 
 // Count returns how many requests wait in one line.
-func (q *Queue) Count(k Key) int { return len(q.lines[k]) }
+func (q *Queue) Count(k Class) int { return len(q.classes[k]) }
 
 // Keys returns the lines that are not empty, in no order.
-func (q *Queue) Keys() []Key {
-	keys := make([]Key, 0, len(q.lines))
-	for k := range q.lines {
+func (q *Queue) Classes() []Class {
+	keys := make([]Class, 0, len(q.classes))
+	for k := range q.classes {
 		keys = append(keys, k)
 	}
 	return keys
@@ -88,19 +88,19 @@
 // Offer adds a request unless the account has as many waiting as it may. The
 // account's drain is the time in which one of its requests leaves the queue at
 // present; it sets when a refused caller should try again.
-func (q *Queue) Offer(r *Request, most int, drain time.Duration) Offered {
-	if q.accounts[r.Key.Account] >= most {
-		return Refused{Reason: "the account has its full number of requests waiting", RetryAfter: retryAfter(drain)}
+func (q *Queue) Enqueue(r *Request, most int, drain time.Duration) EnqueueResult {
+	if q.accounts[r.Class.Account] >= most {
+		return Rejected{Reason: "the account has its full number of requests waiting", RetryAfter: retryAfter(drain)}
 	}
-	if q.lines == nil {
-		q.lines = map[Key][]*Request{}
+	if q.classes == nil {
+		q.classes = map[Class][]*Request{}
 		q.accounts = map[fair.Account]int{}
 	}
-	ahead := len(q.lines[r.Key])
-	q.lines[r.Key] = append(q.lines[r.Key], r)
-	q.accounts[r.Key.Account]++
+	ahead := len(q.classes[r.Class])
+	q.classes[r.Class] = append(q.classes[r.Class], r)
+	q.accounts[r.Class.Account]++
 	q.length++
-	return Waiting{Ahead: ahead}
+	return Queued{Ahead: ahead}
 }
 
 func retryAfter(drain time.Duration) time.Duration {
@@ -108,21 +108,21 @@
 }
 
 // PutBack returns a bound request that was not run to the head of its line.
-func (q *Queue) PutBack(r *Request) {
-	if q.lines == nil {
-		q.lines = map[Key][]*Request{}
+func (q *Queue) Requeue(r *Request) {
+	if q.classes == nil {
+		q.classes = map[Class][]*Request{}
 		q.accounts = map[fair.Account]int{}
 	}
-	q.lines[r.Key] = slices.Insert(q.lines[r.Key], 0, r)
-	q.accounts[r.Key.Account]++
+	q.classes[r.Class] = slices.Insert(q.classes[r.Class], 0, r)
+	q.accounts[r.Class.Account]++
 	q.length++
 }
 
 // Bind takes the request that a grant is used for: one whose prefix the agent
 // has seen if it is among the first, else the oldest. It returns nil when none
 // waits.
-func (q *Queue) Bind(k Key, seen func(prefix uint64) bool) *Request {
-	line := q.lines[k]
+func (q *Queue) Dequeue(k Class, seen func(prefix uint64) bool) *Request {
+	line := q.classes[k]
 	if len(line) == 0 {
 		return nil
 	}
@@ -134,34 +134,34 @@
 		}
 	}
 	r := line[at]
-	q.cut(k, at)
+	q.removeAt(k, at)
 	return r
 }
 
 // Peek returns the oldest request of a line, or nil.
-func (q *Queue) Peek(k Key) *Request {
-	if len(q.lines[k]) == 0 {
+func (q *Queue) Peek(k Class) *Request {
+	if len(q.classes[k]) == 0 {
 		return nil
 	}
-	return q.lines[k][0]
+	return q.classes[k][0]
 }
 
 // Remove takes a request out, and reports whether it was waiting.
 func (q *Queue) Remove(r *Request) bool {
-	at := slices.Index(q.lines[r.Key], r)
+	at := slices.Index(q.classes[r.Class], r)
 	if at < 0 {
 		return false
 	}
-	q.cut(r.Key, at)
+	q.removeAt(r.Class, at)
 	return true
 }
 
-func (q *Queue) cut(k Key, at int) {
-	line := slices.Delete(q.lines[k], at, at+1)
+func (q *Queue) removeAt(k Class, at int) {
+	line := slices.Delete(q.classes[k], at, at+1)
 	if len(line) == 0 {
-		delete(q.lines, k)
+		delete(q.classes, k)
 	} else {
-		q.lines[k] = line
+		q.classes[k] = line
 	}
 	q.accounts[k.Account]--
 	if q.accounts[k.Account] == 0 {
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -37,9 +37,9 @@
 
 // The ways: the design, its variants, and the baselines.
 var (
-	Design     = Way{"design", fair.Fleet, router.LateBinding}
-	StaleTotal = Way{"least fleet total", fair.Stale, router.LateBinding}
-	AgentAlone = Way{"fair at each agent", fair.Alone, router.LateBinding}
+	Design     = Way{"design", fair.Corrected, router.LateBinding}
+	StaleTotal = Way{"least fleet total", fair.Uncorrected, router.LateBinding}
+	AgentAlone = Way{"fair at each agent", fair.LocalOnly, router.LateBinding}
 	RouterFair = Way{"fair at each router", fair.Unordered, router.RouterFair}
 	FirstCome  = Way{"first come first served", fair.Unordered, router.FirstCome}
 )
@@ -382,9 +382,9 @@
 	if interval == 0 {
 		interval = 2 * time.Second
 	}
-	e.result.Bound = fair.Bound{
-		Largest: largest, Slots: e.places(), Rate: total / length.Seconds(), Age: 3 * interval.Seconds(),
-		Credit: float64(e.weights.UrgentCredit), LeastShare: least,
+	e.result.Bound = fair.GapBound{
+		MaxCost: largest, Slots: e.places(), ServiceRate: total / length.Seconds(), TotalsAge: 3 * interval.Seconds(),
+		UrgentCredit: float64(e.weights.UrgentCredit), MinShare: least,
 	}.Value()
 	for _, a := range e.fleet.Agents {
 		if a.Node != nil {
--- a/fair/lift.go
+++ b/fair/adjust.go
@@ -12,87 +12,87 @@
 // with the account picked last, not before; an account that waited nowhere in the
 // fleet is also lifted to the account furthest behind among those that wait, so
 // that idling saves nothing up.
-func (b *Book) Arrive(a Account) {
-	s := b.at(a)
-	if s.waits || b.options.Policy == Unordered {
-		s.waits = true
+func (b *Tracker) StartWaiting(a Account) {
+	s := b.state(a)
+	if s.waiting || b.options.Policy == Unordered {
+		s.waiting = true
 		return
 	}
-	least, found := b.leastWaiting()
-	s.waits = true
-	if early := b.turn - b.key(s); early > 0 && b.options.Policy == Fleet {
-		s.credit -= early
+	least, found := b.minWaiting()
+	s.waiting = true
+	if early := b.lastKey - b.schedulingKey(s); early > 0 && b.options.Policy == Corrected {
+		s.correction -= early
 	}
-	if s.reach > 0 {
+	if s.slots > 0 {
 		return
 	}
 	if !found {
-		least = b.floor
+		least = b.lastVirtualTime
 	}
-	if v := b.standing(s); v < least {
-		b.raise(s, least-v)
+	if v := b.virtualTime(s); v < least {
+		b.adjust(s, least-v)
 	}
 }
 
-func (b *Book) leastWaiting() (float64, bool) {
+func (b *Tracker) minWaiting() (float64, bool) {
 	least, found := math.Inf(1), false
 	for i := range b.accounts {
-		if s := &b.accounts[i]; s.waits {
-			least = math.Min(least, b.standing(s))
+		if s := &b.accounts[i]; s.waiting {
+			least = math.Min(least, b.virtualTime(s))
 			found = true
 		}
 	}
 	return least, found
 }
 
-func (b *Book) raise(s *standing, by float64) {
-	s.lift.Value += by
-	s.lifted = true
+func (b *Tracker) adjust(s *accountState, by float64) {
+	s.adjustment.Value += by
+	s.adjusted = true
 }
 
 // Leave tells that no request of the account waits here any more.
-func (b *Book) Leave(a Account) { b.at(a).waits = false }
+func (b *Tracker) StopWaiting(a Account) { b.state(a).waiting = false }
 
 // Forgive caps what accounts that wait here owe and are owed: each is brought to
 // within half the debt cap of their median, so that no two are further apart than
 // the cap. An account that only a few servers can serve stays behind without
 // piling up a claim on the others, and a healed partition is not paid back at the
 // cost of starving anyone. It returns how many standings it changed.
-func (b *Book) Forgive() int {
+func (b *Tracker) CapDebts() int {
 	half := b.options.DebtCap / 2
 	if half <= 0 || b.options.Policy == Unordered {
 		return 0
 	}
-	b.sorted = b.sorted[:0]
+	b.sortBuf = b.sortBuf[:0]
 	for i := range b.accounts {
-		if s := &b.accounts[i]; s.waits {
-			b.sorted = append(b.sorted, b.standing(s))
+		if s := &b.accounts[i]; s.waiting {
+			b.sortBuf = append(b.sortBuf, b.virtualTime(s))
 		}
 	}
-	if len(b.sorted) < 2 {
+	if len(b.sortBuf) < 2 {
 		return 0
 	}
-	slices.Sort(b.sorted)
-	n := len(b.sorted)
-	median := (b.sorted[(n-1)/2] + b.sorted[n/2]) / 2
+	slices.Sort(b.sortBuf)
+	n := len(b.sortBuf)
+	median := (b.sortBuf[(n-1)/2] + b.sortBuf[n/2]) / 2
 	changed := 0
 	for i := range b.accounts {
 		s := &b.accounts[i]
-		if s.waits && b.clamp(s, median-half, median+half) {
+		if s.waiting && b.clamp(s, median-half, median+half) {
 			changed++
 		}
 	}
 	return changed
 }
 
-func (b *Book) clamp(s *standing, low, high float64) bool {
-	v := b.standing(s)
+func (b *Tracker) clamp(s *accountState, low, high float64) bool {
+	v := b.virtualTime(s)
 	switch {
 	case v < low:
-		b.raise(s, low-v)
+		b.adjust(s, low-v)
 	case v > high:
-		s.lift.Version++
-		b.raise(s, high-v)
+		s.adjustment.Version++
+		b.adjust(s, high-v)
 	default:
 		return false
 	}
--- a/fair/charge.go
+++ b/fair/charge.go
@@ -6,22 +6,22 @@
 
 // Reserve counts a place given to the account, with the expected cost in
 // weighted tokens.
-func (b *Book) Reserve(a Account, estimate float64) {
-	s := b.at(a)
+func (b *Tracker) Reserve(a Account, estimate float64) {
+	s := b.state(a)
 	s.pending += estimate / s.share
 }
 
 // Charge counts service of the given cost and takes the given part of a
 // reservation back. Both are in weighted tokens.
-func (b *Book) Charge(a Account, cost, reserved float64) {
-	s := b.at(a)
-	s.own += cost / s.share
+func (b *Tracker) Charge(a Account, cost, reserved float64) {
+	s := b.state(a)
+	s.local += cost / s.share
 	b.unreserve(s, reserved)
 }
 
 // Release takes the rest of a reservation back.
-func (b *Book) Release(a Account, reserved float64) { b.unreserve(b.at(a), reserved) }
+func (b *Tracker) Release(a Account, reserved float64) { b.unreserve(b.state(a), reserved) }
 
-func (b *Book) unreserve(s *standing, reserved float64) {
+func (b *Tracker) unreserve(s *accountState, reserved float64) {
 	s.pending = math.Max(0, s.pending-reserved/s.share)
 }
--- a/fair/fair.go
+++ b/fair/fair.go
@@ -37,13 +37,13 @@
 // being idle or has fallen behind by more than the debt cap, down when it is
 // ahead by more than the cap. Of two lifts the higher version wins, then the
 // higher value.
-type Lift struct {
+type Adjustment struct {
 	Version uint64
 	Value   float64 // service
 }
 
 // After reports whether l replaces o.
-func (l Lift) After(o Lift) bool {
+func (l Adjustment) Supersedes(o Adjustment) bool {
 	if l.Version != o.Version {
 		return l.Version > o.Version
 	}
@@ -52,11 +52,11 @@
 
 // Total is what a Book learns or tells of one account.
 type Total struct {
-	Account Account
-	Service float64 // cumulative
-	Pending float64 // reserved for what runs, and not yet served
-	Reach   float64 // slots of the servers at which the account waits
-	Lift    Lift
+	Account    Account
+	Service    float64 // cumulative
+	Pending    float64 // reserved for what runs, and not yet served
+	Slots      float64 // slots of the servers at which the account waits
+	Adjustment Adjustment
 }
 
 // Candidate is an account that waits for a place.
@@ -70,10 +70,10 @@
 
 // The policies.
 const (
-	Fleet     Policy = iota // this server's own service, corrected by fleet totals
-	Stale                   // fleet totals as they were last heard, uncorrected
-	Alone                   // this server's own counters only
-	Unordered               // the first candidate
+	Corrected   Policy = iota // this server's own service, corrected by fleet totals
+	Uncorrected               // fleet totals as they were last heard, uncorrected
+	LocalOnly                 // this server's own counters only
+	Unordered                 // the first candidate
 )
 
 // Options set up a Book.
@@ -85,122 +85,122 @@
 }
 
 // Book is one agent's view of every account's service. It is for one goroutine.
-type Book struct {
-	options  Options
-	index    map[Account]int
-	accounts []standing
-	sequence uint64
-	floor    float64 // standing of the account picked last
-	turn     float64 // key of the account picked last
-	steered  uint64  // report whose totals were last used to correct
-	widest   float64 // largest reach of any account seen; zero: no totals yet
-	picks    uint64
-	spare    []Total
-	sorted   []float64
+type Tracker struct {
+	options           Options
+	index             map[Account]int
+	accounts          []accountState
+	sequence          uint64
+	lastVirtualTime   float64 // standing of the account picked last
+	lastKey           float64 // key of the account picked last
+	correctedSequence uint64  // report whose totals were last used to correct
+	maxSlots          float64 // largest reach of any account seen; zero: no totals yet
+	pickCount         uint64
+	reportBuf         []Total
+	sortBuf           []float64
 }
 
 const (
 	// lateReports is how many reports old an answer may be.
-	lateReports = 16
+	maxReportLag = 16
 	// gain is the part of a difference that is made good with each report. What
 	// runs and has not been served yet blurs the totals; a larger gain follows
 	// that noise, a smaller one takes longer to correct a bad set of servers.
-	gain = 0.08
+	correctionGain = 0.08
 )
 
-type standing struct {
-	account  Account
-	share    float64
-	own      float64 // served here
-	pending  float64 // reserved here and not yet served
-	others   float64 // served and reserved elsewhere, as last heard
-	reach    float64
-	credit   float64 // what is taken off its service here to correct the fleet's
-	lift     Lift
-	waits    bool
-	reported float64
-	lifted   bool   // since the last report
-	picked   uint64 // when it was picked last, in picks
+type accountState struct {
+	account      Account
+	share        float64
+	local        float64 // served here
+	pending      float64 // reserved here and not yet served
+	remote       float64 // served and reserved elsewhere, as last heard
+	slots        float64
+	correction   float64 // what is taken off its service here to correct the fleet's
+	adjustment   Adjustment
+	waiting      bool
+	lastReported float64
+	adjusted     bool   // since the last report
+	lastPick     uint64 // when it was picked last, in picks
 }
 
 // NewBook returns an empty book.
-func NewBook(o Options) *Book {
-	return &Book{options: o, index: map[Account]int{}}
+func NewTracker(o Options) *Tracker {
+	return &Tracker{options: o, index: map[Account]int{}}
 }
 
 // SetLimits replaces the credit and the cap.
-func (b *Book) SetLimits(urgentCredit, debtCap float64) {
+func (b *Tracker) SetLimits(urgentCredit, debtCap float64) {
 	b.options.UrgentCredit = urgentCredit
 	b.options.DebtCap = debtCap
 }
 
 // SetSlots tells how many requests the server takes at once now.
-func (b *Book) SetSlots(slots float64) { b.options.Slots = slots }
+func (b *Tracker) SetSlots(slots float64) { b.options.Slots = slots }
 
 // SetShare sets an account's share of capacity; it counts from now on. A share
 // of zero or less counts as one.
-func (b *Book) SetShare(a Account, share float64) {
+func (b *Tracker) SetShare(a Account, share float64) {
 	if share <= 0 {
 		share = 1
 	}
-	b.at(a).share = share
+	b.state(a).share = share
 }
 
-func (b *Book) at(a Account) *standing {
+func (b *Tracker) state(a Account) *accountState {
 	i, known := b.index[a]
 	if !known {
 		i = len(b.accounts)
 		b.index[a] = i
-		b.accounts = append(b.accounts, standing{account: a, share: 1})
+		b.accounts = append(b.accounts, accountState{account: a, share: 1})
 	}
 	return &b.accounts[i]
 }
 
 // Standing returns the account's service over the fleet, as known here, with what
 // is reserved for it and its lift.
-func (b *Book) Standing(a Account) float64 { return b.standing(b.at(a)) }
+func (b *Tracker) VirtualTime(a Account) float64 { return b.virtualTime(b.state(a)) }
 
-func (b *Book) standing(s *standing) float64 {
-	if b.options.Policy == Alone {
-		return s.own + s.pending + s.lift.Value
+func (b *Tracker) virtualTime(s *accountState) float64 {
+	if b.options.Policy == LocalOnly {
+		return s.local + s.pending + s.adjustment.Value
 	}
-	return s.others + s.own + s.pending + s.lift.Value
+	return s.remote + s.local + s.pending + s.adjustment.Value
 }
 
 // key orders accounts for a place here: the least is served next.
-func (b *Book) key(s *standing) float64 {
-	if b.options.Policy == Fleet {
-		return s.own + s.pending - s.credit
+func (b *Tracker) schedulingKey(s *accountState) float64 {
+	if b.options.Policy == Corrected {
+		return s.local + s.pending - s.correction
 	}
-	return b.standing(s)
+	return b.virtualTime(s)
 }
 
 // part is this server's part of what is done for an account over the fleet.
-func (b *Book) part(s *standing) float64 {
-	if b.options.Policy != Fleet || b.options.Slots <= 0 {
+func (b *Tracker) serverFraction(s *accountState) float64 {
+	if b.options.Policy != Corrected || b.options.Slots <= 0 {
 		return 1
 	}
-	return b.options.Slots / math.Max(s.reach, b.options.Slots)
+	return b.options.Slots / math.Max(s.slots, b.options.Slots)
 }
 
 // credit is this server's part of what the account may borrow for urgent work. An
 // account that has just begun to wait is not yet known to wait elsewhere, and
 // would get the whole credit at every server; the widest reach seen stands in.
-func (b *Book) credit(s *standing) float64 {
+func (b *Tracker) urgentCredit(s *accountState) float64 {
 	whole := b.options.UrgentCredit / s.share
-	if b.options.Policy != Fleet {
+	if b.options.Policy != Corrected {
 		return whole
 	}
-	if b.widest == 0 {
+	if b.maxSlots == 0 {
 		return 0
 	}
-	return whole * b.options.Slots / max(b.options.Slots, s.reach, b.widest)
+	return whole * b.options.Slots / max(b.options.Slots, s.slots, b.maxSlots)
 }
 
 // Pick returns the index of the candidate to serve next: the account furthest
 // behind, an urgent candidate counting as further behind by the credit. Of equals
 // the one picked longest ago wins. It returns -1 when there is no candidate.
-func (b *Book) Pick(candidates []Candidate) int {
+func (b *Tracker) Pick(candidates []Candidate) int {
 	if len(candidates) == 0 {
 		return -1
 	}
@@ -209,34 +209,34 @@
 	}
 	best, least, oldest := -1, math.Inf(1), uint64(0)
 	for i, c := range candidates {
-		s := b.at(c.Account)
-		v := b.key(s)
+		s := b.state(c.Account)
+		v := b.schedulingKey(s)
 		if c.Urgent {
-			v -= b.credit(s)
+			v -= b.urgentCredit(s)
 		}
-		older := s.picked < oldest || (s.picked == oldest && c.Urgent)
+		older := s.lastPick < oldest || (s.lastPick == oldest && c.Urgent)
 		if best < 0 || v < least || (v == least && older) {
-			best, least, oldest = i, v, s.picked
+			best, least, oldest = i, v, s.lastPick
 		}
 	}
-	b.picks++
-	s := b.at(candidates[best].Account)
-	s.picked = b.picks
-	b.floor = b.standing(s)
-	b.turn = b.key(s)
+	b.pickCount++
+	s := b.state(candidates[best].Account)
+	s.lastPick = b.pickCount
+	b.lastVirtualTime = b.virtualTime(s)
+	b.lastKey = b.schedulingKey(s)
 	return best
 }
 
 // Gap returns the largest difference in standing between accounts that wait
 // here, and how many there are.
-func (b *Book) Gap() (gap float64, waiting int) {
+func (b *Tracker) Gap() (gap float64, waiting int) {
 	least, most := math.Inf(1), math.Inf(-1)
 	for i := range b.accounts {
 		s := &b.accounts[i]
-		if !s.waits {
+		if !s.waiting {
 			continue
 		}
-		v := b.standing(s)
+		v := b.virtualTime(s)
 		least, most = math.Min(least, v), math.Max(most, v)
 		waiting++
 	}
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -11,8 +11,8 @@
 	"opalbridge.dev/fair"
 )
 
-func ExampleBook_Pick() {
-	b := fair.NewBook(fair.Options{Slots: 8})
+func ExampleTracker_Pick() {
+	b := fair.NewTracker(fair.Options{Slots: 8})
 	b.SetShare(1, 2)
 	b.SetShare(2, 1)
 	b.Charge(1, 100, 0) // 50 for each of its two shares
@@ -37,9 +37,9 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := fair.NewBook(fair.Options{Slots: 1, UrgentCredit: 20})
+			b := fair.NewTracker(fair.Options{Slots: 1, UrgentCredit: 20})
 			sequence, _ := b.Report(true)
-			b.Merge(sequence, []fair.Total{{Account: 9, Reach: 1}})
+			b.Merge(sequence, []fair.Total{{Account: 9, Slots: 1}})
 			for a, cost := range test.served {
 				b.Charge(a, cost, 0)
 			}
@@ -48,8 +48,8 @@
 	}
 }
 
-func TestEqualsAreServedInTurn(t *testing.T) {
-	b := fair.NewBook(fair.Options{Slots: 1})
+func TestPickRotatesEqualAccounts(t *testing.T) {
+	b := fair.NewTracker(fair.Options{Slots: 1})
 	candidates := []fair.Candidate{{Account: 1}, {Account: 2}, {Account: 3}}
 	seen := map[int]int{}
 	for range 9 {
@@ -60,73 +60,73 @@
 
 // TestCreditIsOneForTheWholeFleet holds that an account which begins to wait at all
 // servers at once borrows its credit once and not at each of them.
-func TestCreditIsOneForTheWholeFleet(t *testing.T) {
-	b := fair.NewBook(fair.Options{Slots: 8, UrgentCredit: 4000})
+func TestUrgentCreditIsFleetWide(t *testing.T) {
+	b := fair.NewTracker(fair.Options{Slots: 8, UrgentCredit: 4000})
 	candidates := []fair.Candidate{{Account: 1, Urgent: true}, {Account: 2}}
 	b.Charge(1, 500, 0)
 	require.Equal(t, 1, b.Pick(candidates), "before any totals nothing is lent")
 	sequence, _ := b.Report(true)
-	b.Merge(sequence, []fair.Total{{Account: 3, Reach: 80}})
+	b.Merge(sequence, []fair.Total{{Account: 3, Slots: 80}})
 	require.Equal(t, 1, b.Pick(candidates), "500 is more than a tenth of the credit")
 	b.Charge(2, 101, 0)
 	require.Equal(t, 0, b.Pick(candidates))
 }
 
-func TestIdleAccountSavesNothingUp(t *testing.T) {
-	b := fair.NewBook(fair.Options{Slots: 1})
-	b.Arrive(1)
+func TestIdleAccountGainsNoCredit(t *testing.T) {
+	b := fair.NewTracker(fair.Options{Slots: 1})
+	b.StartWaiting(1)
 	b.Charge(1, 1000, 0)
-	b.Arrive(2)
-	require.InDelta(t, b.Standing(1), b.Standing(2), 0.001)
+	b.StartWaiting(2)
+	require.InDelta(t, b.VirtualTime(1), b.VirtualTime(2), 0.001)
 }
 
-func TestAccountBackloggedElsewhereKeepsItsDebt(t *testing.T) {
-	b := fair.NewBook(fair.Options{Slots: 1})
-	b.Arrive(1)
+func TestAccountWaitingElsewhereIsNotAdjusted(t *testing.T) {
+	b := fair.NewTracker(fair.Options{Slots: 1})
+	b.StartWaiting(1)
 	b.Charge(1, 1000, 0)
 	sequence, _ := b.Report(true)
-	require.True(t, b.Merge(sequence, []fair.Total{{Account: 2, Service: 10, Reach: 4}}))
-	b.Arrive(2)
-	require.InDelta(t, 10, b.Standing(2), 0.001)
+	require.True(t, b.Merge(sequence, []fair.Total{{Account: 2, Service: 10, Slots: 4}}))
+	b.StartWaiting(2)
+	require.InDelta(t, 10, b.VirtualTime(2), 0.001)
 }
 
-func TestForgiveCapsDebtsAndStarvesNobody(t *testing.T) {
-	b := fair.NewBook(fair.Options{Slots: 1, DebtCap: 100})
+func TestCapDebts(t *testing.T) {
+	b := fair.NewTracker(fair.Options{Slots: 1, DebtCap: 100})
 	costs := []float64{0, 5000, 5010, 9000}
 	for i := range costs {
-		b.Arrive(fair.Account(i + 1))
+		b.StartWaiting(fair.Account(i + 1))
 	}
 	for i, cost := range costs {
 		b.Charge(fair.Account(i+1), cost, 0)
 	}
-	before := b.Standing(3) - b.Standing(2)
-	require.Positive(t, b.Forgive())
+	before := b.VirtualTime(3) - b.VirtualTime(2)
+	require.Positive(t, b.CapDebts())
 	gap, waiting := b.Gap()
 	require.Equal(t, 4, waiting)
 	require.LessOrEqual(t, gap, 100.0)
-	require.InDelta(t, before, b.Standing(3)-b.Standing(2), 0.001, "those near the median keep their difference")
+	require.InDelta(t, before, b.VirtualTime(3)-b.VirtualTime(2), 0.001, "those near the median keep their difference")
 }
 
 // TestMergeIgnoresRepeats shows that a late or repeated answer changes nothing.
-func TestMergeIgnoresRepeats(t *testing.T) {
-	b := fair.NewBook(fair.Options{Slots: 1})
+func TestMergeRejectsInvalidSequence(t *testing.T) {
+	b := fair.NewTracker(fair.Options{Slots: 1})
 	sequence, _ := b.Report(true)
 	require.False(t, b.Merge(sequence+1, nil), "totals for a report that was not made")
 	for range 20 {
 		b.Report(true)
 	}
 	require.False(t, b.Merge(sequence, []fair.Total{{Account: 1, Service: 5}}), "totals that are too late")
-	require.Zero(t, b.Standing(1))
+	require.Zero(t, b.VirtualTime(1))
 }
 
 // TestAgentsTogetherStayFair runs several agents' books against each other with
 // totals that are old, and holds the gap in true service to the stated bound.
-func TestAgentsTogetherStayFair(t *testing.T) {
+func TestFleetGapWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		agents := rapid.IntRange(1, 6).Draw(t, "agents")
 		accounts := rapid.IntRange(2, 6).Draw(t, "accounts")
 		age := rapid.IntRange(1, 10).Draw(t, "rounds between reports")
-		m := newModel(agents, accounts, rapid.Uint64().Draw(t, "seed"))
+		m := newFleetModel(agents, accounts, rapid.Uint64().Draw(t, "seed"))
 		for a := range accounts {
 			m.share[a] = float64(rapid.IntRange(1, 4).Draw(t, "share"))
 		}
@@ -142,56 +142,56 @@
 }
 
 // model is a fleet of books, each with one place, whose requests take a round.
-type model struct {
-	books   []*fair.Book
-	share   []float64
-	service []float64
-	seed    uint64
+type fleetModel struct {
+	trackers []*fair.Tracker
+	share    []float64
+	service  []float64
+	seed     uint64
 }
 
-const largestRequest = 100
+const maxCost = 100
 
-func newModel(agents, accounts int, seed uint64) *model {
-	m := &model{share: make([]float64, accounts), service: make([]float64, accounts), seed: seed}
+func newFleetModel(agents, accounts int, seed uint64) *fleetModel {
+	m := &fleetModel{share: make([]float64, accounts), service: make([]float64, accounts), seed: seed}
 	for range agents {
-		m.books = append(m.books, fair.NewBook(fair.Options{Slots: 1}))
+		m.trackers = append(m.trackers, fair.NewTracker(fair.Options{Slots: 1}))
 	}
 	return m
 }
 
-func (m *model) random(n uint64) uint64 {
+func (m *fleetModel) random(n uint64) uint64 {
 	m.seed = m.seed*6364136223846793005 + 1442695040888963407
 	return (m.seed >> 33) % n
 }
 
-func (m *model) start() {
-	for _, b := range m.books {
+func (m *fleetModel) start() {
+	for _, b := range m.trackers {
 		for a, share := range m.share {
 			b.SetShare(fair.Account(a), share)
-			b.Arrive(fair.Account(a))
+			b.StartWaiting(fair.Account(a))
 		}
 	}
 	m.exchange()
 }
 
-func (m *model) round() {
+func (m *fleetModel) round() {
 	candidates := make([]fair.Candidate, len(m.share))
 	for a := range candidates {
 		candidates[a].Account = fair.Account(a)
 	}
-	for _, b := range m.books {
+	for _, b := range m.trackers {
 		a := b.Pick(candidates)
-		cost := 1 + float64(m.random(largestRequest))
-		b.Reserve(fair.Account(a), largestRequest/2)
-		b.Charge(fair.Account(a), cost, largestRequest/2)
+		cost := 1 + float64(m.random(maxCost))
+		b.Reserve(fair.Account(a), maxCost/2)
+		b.Charge(fair.Account(a), cost, maxCost/2)
 		m.service[a] += cost / m.share[a]
 	}
 }
 
-func (m *model) exchange() {
-	reports := make([]map[fair.Account]float64, len(m.books))
-	sequences := make([]uint64, len(m.books))
-	for i, b := range m.books {
+func (m *fleetModel) exchange() {
+	reports := make([]map[fair.Account]float64, len(m.trackers))
+	sequences := make([]uint64, len(m.trackers))
+	for i, b := range m.trackers {
 		sequence, totals := b.Report(true)
 		sequences[i] = sequence
 		reports[i] = map[fair.Account]float64{}
@@ -199,7 +199,7 @@
 			reports[i][total.Account] = total.Service
 		}
 	}
-	for i, b := range m.books {
+	for i, b := range m.trackers {
 		var others []fair.Total
 		for a := range m.share {
 			sum := 0.0
@@ -208,13 +208,13 @@
 					sum += reports[j][fair.Account(a)]
 				}
 			}
-			others = append(others, fair.Total{Account: fair.Account(a), Service: sum, Reach: float64(len(m.books))})
+			others = append(others, fair.Total{Account: fair.Account(a), Service: sum, Slots: float64(len(m.trackers))})
 		}
 		b.Merge(sequences[i], others)
 	}
 }
 
-func (m *model) gap() float64 {
+func (m *fleetModel) gap() float64 {
 	least, most := math.Inf(1), 0.0
 	for _, s := range m.service {
 		least, most = math.Min(least, s), math.Max(most, s)
@@ -222,18 +222,18 @@
 	return most - least
 }
 
-func (m *model) bound(age int) float64 {
+func (m *fleetModel) bound(age int) float64 {
 	least := math.Inf(1)
 	for _, s := range m.share {
 		least = math.Min(least, s)
 	}
-	n := float64(len(m.books))
-	return fair.Bound{Largest: largestRequest, Slots: n, Rate: n * largestRequest, Age: float64(age), LeastShare: least}.Value()
+	n := float64(len(m.trackers))
+	return fair.GapBound{MaxCost: maxCost, Slots: n, ServiceRate: n * maxCost, TotalsAge: float64(age), MinShare: least}.Value()
 }
 
 func BenchmarkPick(b *testing.B) {
 	const accounts, backlogged = 400, 40
-	book := fair.NewBook(fair.Options{Slots: 64, UrgentCredit: 4000})
+	book := fair.NewTracker(fair.Options{Slots: 64, UrgentCredit: 4000})
 	for a := range accounts {
 		book.SetShare(fair.Account(a), 1)
 		book.Charge(fair.Account(a), float64(a%backlogged), 0)
@@ -252,19 +252,19 @@
 
 func BenchmarkMerge(b *testing.B) {
 	const accounts, backlogged = 400, 40
-	book := fair.NewBook(fair.Options{Slots: 64, DebtCap: 60000})
+	book := fair.NewTracker(fair.Options{Slots: 64, DebtCap: 60000})
 	var totals []fair.Total
 	for a := range accounts {
 		book.SetShare(fair.Account(a), 1)
 		if a < backlogged {
-			book.Arrive(fair.Account(a))
-			totals = append(totals, fair.Total{Account: fair.Account(a), Service: float64(a), Reach: 640})
+			book.StartWaiting(fair.Account(a))
+			totals = append(totals, fair.Total{Account: fair.Account(a), Service: float64(a), Slots: 640})
 		}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		sequence, _ := book.Report(false)
 		book.Merge(sequence, totals)
-		book.Forgive()
+		book.CapDebts()
 	}
 }
--- a/fair/merge.go
+++ b/fair/merge.go
@@ -7,37 +7,37 @@
 // Report returns a sequence number and the totals that changed since the last
 // report, or all: this server's own service, its slots where the account waits,
 // and the lift if it moved. The slice is valid until the next call.
-func (b *Book) Report(all bool) (uint64, []Total) {
+func (b *Tracker) Report(all bool) (uint64, []Total) {
 	b.sequence++
-	b.spare = b.spare[:0]
+	b.reportBuf = b.reportBuf[:0]
 	for i := range b.accounts {
 		s := &b.accounts[i]
-		if !all && s.own == s.reported && s.pending == 0 && !s.lifted && !s.waits {
+		if !all && s.local == s.lastReported && s.pending == 0 && !s.adjusted && !s.waiting {
 			continue
 		}
-		t := Total{Account: s.account, Service: s.own, Pending: s.pending}
-		if s.lifted || all {
-			t.Lift = s.lift
+		t := Total{Account: s.account, Service: s.local, Pending: s.pending}
+		if s.adjusted || all {
+			t.Adjustment = s.adjustment
 		}
-		if s.waits {
-			t.Reach = b.options.Slots
+		if s.waiting {
+			t.Slots = b.options.Slots
 		}
-		s.reported = s.own
-		s.lifted = false
-		b.spare = append(b.spare, t)
+		s.lastReported = s.local
+		s.adjusted = false
+		b.reportBuf = append(b.reportBuf, t)
 	}
-	return b.sequence, b.spare
+	return b.sequence, b.reportBuf
 }
 
 // Peek returns the standing of every account: fleet service as known here, and
 // where the account waits here its reach.
-func (b *Book) Peek() (uint64, []Total) {
+func (b *Tracker) Snapshot() (uint64, []Total) {
 	totals := make([]Total, len(b.accounts))
 	for i := range b.accounts {
 		s := &b.accounts[i]
-		totals[i] = Total{Account: s.account, Service: b.standing(s), Lift: s.lift}
-		if s.waits {
-			totals[i].Reach = math.Max(s.reach, b.options.Slots)
+		totals[i] = Total{Account: s.account, Service: b.virtualTime(s), Adjustment: s.adjustment}
+		if s.waiting {
+			totals[i].Slots = math.Max(s.slots, b.options.Slots)
 		}
 	}
 	return b.sequence, totals
@@ -47,25 +47,25 @@
 // that sequence number had been counted. Accounts that are not named keep their
 // service and count as waiting nowhere else. Answers that are too late are
 // dropped, and Merge reports false.
-func (b *Book) Merge(sequence uint64, totals []Total) bool {
-	if sequence+lateReports <= b.sequence || sequence > b.sequence {
+func (b *Tracker) Merge(sequence uint64, totals []Total) bool {
+	if sequence+maxReportLag <= b.sequence || sequence > b.sequence {
 		return false
 	}
 	for i := range b.accounts {
-		b.accounts[i].reach = 0
+		b.accounts[i].slots = 0
 	}
 	for _, t := range totals {
-		s := b.at(t.Account)
-		s.others = t.Service + t.Pending
-		s.reach = t.Reach
-		b.widest = max(b.widest, t.Reach)
-		if t.Lift.After(s.lift) {
-			s.lift = t.Lift
+		s := b.state(t.Account)
+		s.remote = t.Service + t.Pending
+		s.slots = t.Slots
+		b.maxSlots = max(b.maxSlots, t.Slots)
+		if t.Adjustment.Supersedes(s.adjustment) {
+			s.adjustment = t.Adjustment
 		}
 	}
-	if sequence > b.steered {
-		b.steered = sequence
-		b.steer()
+	if sequence > b.correctedSequence {
+		b.correctedSequence = sequence
+		b.applyCorrection()
 	}
 	return true
 }
@@ -74,12 +74,12 @@
 // totals put them: as far from the mean turn as this server's part of what they
 // are ahead of the mean over the fleet. A turn already moved and not yet taken is
 // not moved again.
-func (b *Book) steer() {
+func (b *Tracker) applyCorrection() {
 	meanStanding, meanKey, n := 0.0, 0.0, 0.0
 	for i := range b.accounts {
-		if s := &b.accounts[i]; s.waits {
-			meanStanding += b.standing(s)
-			meanKey += b.key(s)
+		if s := &b.accounts[i]; s.waiting {
+			meanStanding += b.virtualTime(s)
+			meanKey += b.schedulingKey(s)
 			n++
 		}
 	}
@@ -90,28 +90,28 @@
 	meanKey /= n
 	for i := range b.accounts {
 		s := &b.accounts[i]
-		if !s.waits {
+		if !s.waiting {
 			continue
 		}
-		target := meanKey + (b.standing(s)-meanStanding)*b.part(s)
-		s.credit += gain * (b.key(s) - target)
-		b.holdNear(s)
+		target := meanKey + (b.virtualTime(s)-meanStanding)*b.serverFraction(s)
+		s.correction += correctionGain * (b.schedulingKey(s) - target)
+		b.clampCorrection(s)
 	}
 }
 
 // holdNear keeps an account's turn here within this server's part of the debt cap
 // of the present one: a difference that lasts, because the servers an account can
 // use differ, must not pile up.
-func (b *Book) holdNear(s *standing) {
-	limit := b.options.DebtCap * b.part(s)
+func (b *Tracker) clampCorrection(s *accountState) {
+	limit := b.options.DebtCap * b.serverFraction(s)
 	if limit <= 0 {
 		return
 	}
-	k := b.key(s)
+	k := b.schedulingKey(s)
 	switch {
-	case k > b.turn+limit:
-		s.credit += k - b.turn - limit
-	case k < b.turn-limit:
-		s.credit -= b.turn - limit - k
+	case k > b.lastKey+limit:
+		s.correction += k - b.lastKey - limit
+	case k < b.lastKey-limit:
+		s.correction -= b.lastKey - limit - k
 	}
 }
--- a/fleettest/chunks_test.go
+++ b/fleettest/chunks_test.go
@@ -86,17 +86,17 @@
 
 func TestWholeChunksPass(t *testing.T) {
 	a := answerOf(t, chunk(0, "one "), chunk(1, "two"), endOf(2))
-	require.Equal(t, attempt.Ran{Complete: true}, a.Outcome)
+	require.Equal(t, attempt.Executed{Complete: true}, a.Outcome)
 	require.Equal(t, "one two", string(a.Body))
 }
 
 func TestDroppedChunkIsNotAWholeAnswer(t *testing.T) {
 	a := answerOf(t, chunk(0, "one "), endOf(2))
-	require.NotEqual(t, attempt.Ran{Complete: true}, a.Outcome)
+	require.NotEqual(t, attempt.Executed{Complete: true}, a.Outcome)
 }
 
 func TestRepeatedChunkDoesNotPass(t *testing.T) {
 	a := answerOf(t, chunk(0, "one "), chunk(0, "one "), endOf(2))
-	require.NotEqual(t, attempt.Ran{Complete: true}, a.Outcome)
+	require.NotEqual(t, attempt.Executed{Complete: true}, a.Outcome)
 	require.Equal(t, "one ", string(a.Body))
 }
--- a/fleettest/fleet.go
+++ b/fleettest/fleet.go
@@ -341,7 +341,7 @@
 func (f *Fleet) Do(ctx context.Context, c Call) Answer {
 	node := f.Routers[c.Router].running()
 	if node == nil {
-		return Answer{Outcome: attempt.NotRun{Reason: "the router is down"}}
+		return Answer{Outcome: attempt.NotExecuted{Reason: "the router is down"}}
 	}
 	q := f.request(c)
 	s := &sink{begun: time.Now()}
--- a/fleettest/matrix_test.go
+++ b/fleettest/matrix_test.go
@@ -84,7 +84,7 @@
 	if c.NoRepeat {
 		require.LessOrEqual(t, runs, 1, "a request that may not be repeated ran %d times", runs)
 	}
-	if _, notRun := a.Outcome.(attempt.NotRun); notRun {
+	if _, notRun := a.Outcome.(attempt.NotExecuted); notRun {
 		require.Zero(t, runs, "called not run and ran")
 		require.Empty(t, a.Body)
 	}
@@ -96,7 +96,7 @@
 	for i, token := range tokens {
 		require.Equal(t, fmt.Sprintf("%s.%d", a.ID, i), token, "a piece of another answer, or out of order")
 	}
-	if ran, ok := a.Outcome.(attempt.Ran); ok && ran.Complete {
+	if ran, ok := a.Outcome.(attempt.Executed); ok && ran.Complete {
 		require.True(t, whole && len(tokens) == answerTokens, "called whole with %d tokens", len(tokens))
 	} else {
 		require.False(t, ok && whole && ran.Complete)
@@ -134,7 +134,7 @@
 	f.WaitReady()
 	time.Sleep(30 * time.Second)
 	a := f.Do(context.Background(), call(false))
-	require.Equal(t, attempt.Ran{Complete: true}, a.Outcome, "not recovered")
+	require.Equal(t, attempt.Executed{Complete: true}, a.Outcome, "not recovered")
 }
 
 // row is a line of the matrix.
@@ -144,11 +144,11 @@
 
 func outcomeText(a fleettest.Answer) string {
 	switch o := a.Outcome.(type) {
-	case attempt.NotRun:
+	case attempt.NotExecuted:
 		return "not run"
 	case attempt.Unknown:
 		return "unknown"
-	case attempt.Ran:
+	case attempt.Executed:
 		switch {
 		case o.Complete && a.Status >= 400:
 			return "the server's error"
--- a/fleettest/pairs_test.go
+++ b/fleettest/pairs_test.go
@@ -28,7 +28,7 @@
 						f := matrixFleet(t)
 						c := call(noRepeat)
 						a := runWith(t, f, c, map[time.Duration]fleettest.Fault{s.at: x, s.at + secondAfter: y})
-						if _, notRun := a.Outcome.(attempt.NotRun); notRun && (x.Router || y.Router) {
+						if _, notRun := a.Outcome.(attempt.NotExecuted); notRun && (x.Router || y.Router) {
 							a.Outcome = attempt.Unknown{} // the caller's connection broke: it saw nothing
 						}
 						checkPromises(t, f, c, a)
--- a/fleettest/random_test.go
+++ b/fleettest/random_test.go
@@ -158,7 +158,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	text := outcomeText(a)
-	if o, notRun := a.Outcome.(attempt.NotRun); notRun {
+	if o, notRun := a.Outcome.(attempt.NotExecuted); notRun {
 		text += " (" + string(o.Cause) + ")"
 	}
 	s.outcomes[text]++
--- a/fleettest/stop_test.go
+++ b/fleettest/stop_test.go
@@ -40,7 +40,7 @@
 						stopping <- stop.stop(f)
 					}()
 					a := f.Do(context.Background(), call(true))
-					require.Equal(t, attempt.Ran{Complete: true}, a.Outcome, "cut off by a planned stop")
+					require.Equal(t, attempt.Executed{Complete: true}, a.Outcome, "cut off by a planned stop")
 					checkPromises(t, f, call(true), a)
 					if drained := <-stopping; drained != nil {
 						<-drained
--- a/ledger/fleet.go
+++ b/ledger/fleet.go
@@ -10,18 +10,18 @@
 
 // Fleet merges the sums of all halls.
 type Fleet struct {
-	halls map[string]*hallView
-	total []fair.Total // of all halls, sorted; nil: to be added up anew
+	halls  map[string]*hallView
+	totals []fair.Total // of all halls, sorted; nil: to be added up anew
 }
 
 type hallView struct {
-	service map[fair.Account]float64
-	lifts   map[fair.Account]fair.Lift
-	latest  map[string]*latest // by summing router
+	service     map[fair.Account]float64
+	adjustments map[fair.Account]fair.Adjustment
+	reports     map[string]*routerReport // by summing router
 }
 
 // latest is what only the latest word of a summing router tells.
-type latest struct {
+type routerReport struct {
 	sequence uint64
 	totals   map[fair.Account]fair.Total
 	age      int // ticks since it was heard
@@ -42,50 +42,50 @@
 // they come in; reach and what is pending count only if the source's sequence
 // number is new.
 func (f *Fleet) Merge(s HallSum) {
-	f.total = nil
-	v := f.view(s.Hall)
+	f.totals = nil
+	v := f.hall(s.Hall)
 	v.mergeService(s.Totals)
-	v.mergeLatest(s)
+	v.mergeReport(s)
 }
 
 // Update takes in the totals of some accounts of a hall that is summed here, and
 // leaves its other accounts as they are.
 func (f *Fleet) Update(s HallSum) {
-	v := f.view(s.Hall)
+	v := f.hall(s.Hall)
 	v.mergeService(s.Totals)
-	l := v.latest[s.Source]
+	l := v.reports[s.Source]
 	if l == nil {
-		l = &latest{totals: map[fair.Account]fair.Total{}}
-		v.latest[s.Source] = l
+		l = &routerReport{totals: map[fair.Account]fair.Total{}}
+		v.reports[s.Source] = l
 	}
 	l.sequence, l.age = s.Sequence, 0
 	for _, t := range s.Totals {
 		l.totals[t.Account] = t
-		f.refresh(t.Account)
+		f.recompute(t.Account)
 	}
 }
 
 // refresh adds one account up anew in the total that is kept.
-func (f *Fleet) refresh(a fair.Account) {
-	at, known := slices.BinarySearchFunc(f.total, a, func(t fair.Total, a fair.Account) int { return cmp.Compare(t.Account, a) })
+func (f *Fleet) recompute(a fair.Account) {
+	at, known := slices.BinarySearchFunc(f.totals, a, func(t fair.Total, a fair.Account) int { return cmp.Compare(t.Account, a) })
 	if !known {
-		f.total = nil
+		f.totals = nil
 		return
 	}
 	total := fair.Total{Account: a}
 	for _, v := range f.halls {
 		v.add(a, &total)
 	}
-	f.total[at] = total
+	f.totals[at] = total
 }
 
-func (f *Fleet) view(hall string) *hallView {
+func (f *Fleet) hall(hall string) *hallView {
 	v := f.halls[hall]
 	if v == nil {
 		v = &hallView{
-			service: map[fair.Account]float64{},
-			lifts:   map[fair.Account]fair.Lift{},
-			latest:  map[string]*latest{},
+			service:     map[fair.Account]float64{},
+			adjustments: map[fair.Account]fair.Adjustment{},
+			reports:     map[string]*routerReport{},
 		}
 		f.halls[hall] = v
 	}
@@ -95,42 +95,42 @@
 func (v *hallView) mergeService(totals []fair.Total) {
 	for _, t := range totals {
 		v.service[t.Account] = math.Max(v.service[t.Account], t.Service)
-		if t.Lift.After(v.lifts[t.Account]) {
-			v.lifts[t.Account] = t.Lift
+		if t.Adjustment.Supersedes(v.adjustments[t.Account]) {
+			v.adjustments[t.Account] = t.Adjustment
 		}
 	}
 }
 
-func (v *hallView) mergeLatest(s HallSum) {
-	l := v.latest[s.Source]
+func (v *hallView) mergeReport(s HallSum) {
+	l := v.reports[s.Source]
 	if l != nil && s.Sequence <= l.sequence {
 		return
 	}
-	l = &latest{sequence: s.Sequence, totals: map[fair.Account]fair.Total{}}
+	l = &routerReport{sequence: s.Sequence, totals: map[fair.Account]fair.Total{}}
 	for _, t := range s.Totals {
-		if t.Reach > 0 || t.Pending > 0 {
+		if t.Slots > 0 || t.Pending > 0 {
 			l.totals[t.Account] = t
 		}
 	}
-	v.latest[s.Source] = l
+	v.reports[s.Source] = l
 }
 
 // Tick tells that one interval has passed; reach not heard again for several is
 // dropped.
 func (f *Fleet) Tick() {
-	f.total = nil
+	f.totals = nil
 	for _, v := range f.halls {
-		for n, l := range v.latest {
+		for n, l := range v.reports {
 			l.age++
-			if l.age > silentTicks {
-				delete(v.latest, n)
+			if l.age > maxSilentTicks {
+				delete(v.reports, n)
 			}
 		}
 	}
 }
 
 // Hall returns what is known of one hall.
-func (f *Fleet) Hall(name string) []fair.Total {
+func (f *Fleet) HallTotals(name string) []fair.Total {
 	v := f.halls[name]
 	if v == nil {
 		return nil
@@ -151,14 +151,14 @@
 }
 
 // Sum returns the fleet's totals.
-func (f *Fleet) Sum() []fair.Total { return f.Without(nil) }
+func (f *Fleet) Sum() []fair.Total { return f.Excluding(nil) }
 
 // Without returns the fleet's totals less one agent's own.
-func (f *Fleet) Without(own map[fair.Account]fair.Total) []fair.Total {
-	if f.total == nil {
-		f.total = f.addUp()
+func (f *Fleet) Excluding(own map[fair.Account]fair.Total) []fair.Total {
+	if f.totals == nil {
+		f.totals = f.sumHalls()
 	}
-	totals := slices.Clone(f.total)
+	totals := slices.Clone(f.totals)
 	for i := range totals {
 		t := &totals[i]
 		o := own[t.Account]
@@ -168,7 +168,7 @@
 	return totals
 }
 
-func (f *Fleet) addUp() []fair.Total {
+func (f *Fleet) sumHalls() []fair.Total {
 	m := map[fair.Account]fair.Total{}
 	for _, v := range f.halls {
 		v.addTo(m)
@@ -187,18 +187,18 @@
 
 // add adds the hall's part of one account to a total.
 func (v *hallView) add(a fair.Account, t *fair.Total) {
-	reach, pending := v.latestOf(a)
+	reach, pending := v.maxReported(a)
 	t.Service += v.service[a]
-	t.Reach += reach
+	t.Slots += reach
 	t.Pending += pending
-	if l := v.lifts[a]; l.After(t.Lift) {
-		t.Lift = l
+	if l := v.adjustments[a]; l.Supersedes(t.Adjustment) {
+		t.Adjustment = l
 	}
 }
 
-func (v *hallView) latestOf(a fair.Account) (reach, pending float64) {
-	for _, l := range v.latest {
-		reach = math.Max(reach, l.totals[a].Reach)
+func (v *hallView) maxReported(a fair.Account) (reach, pending float64) {
+	for _, l := range v.reports {
+		reach = math.Max(reach, l.totals[a].Slots)
 		pending = math.Max(pending, l.totals[a].Pending)
 	}
 	return reach, pending
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -27,104 +27,104 @@
 
 // Hall sums the counters of one hall's agents.
 type Hall struct {
-	sources map[string]*source
+	agents map[string]*agentState
 	// sum is kept up to date with every report, so that a report costs what it
 	// names and not what the hall holds.
 	sum map[fair.Account]fair.Total
 	// touched are the accounts that the latest report changed.
-	touched []fair.Account
+	changed []fair.Account
 }
 
-type source struct {
-	incarnation string
-	sequence    uint64
-	totals      map[fair.Account]fair.Total
-	waiting     []fair.Account // named last with a reach or something pending
-	gone        []string       // earlier incarnations, latest last
-	silent      int            // ticks without a report
+type agentState struct {
+	incarnation      string
+	sequence         uint64
+	totals           map[fair.Account]fair.Total
+	active           []fair.Account // named last with a reach or something pending
+	pastIncarnations []string       // earlier incarnations, latest last
+	silentTicks      int            // ticks without a report
 }
 
 const (
 	// goneKept is how many earlier incarnations of an agent are remembered so
 	// that their late reports are told from a new one's.
-	goneKept = 8
+	maxPastIncarnations = 8
 	// silentTicks is after how many ticks without a report an agent's reach no
 	// longer counts; its service does.
-	silentTicks = 5
+	maxSilentTicks = 5
 )
 
 // NewHall returns a hall without agents.
 func NewHall() *Hall {
 	return &Hall{
-		sources: map[string]*source{},
-		sum:     map[fair.Account]fair.Total{},
+		agents: map[string]*agentState{},
+		sum:    map[fair.Account]fair.Total{},
 	}
 }
 
 // Report takes in an agent's cumulative counters and reports whether they were
 // new. Accounts that are not named keep their service and have no reach.
 func (h *Hall) Report(agent, incarnation string, sequence uint64, totals []fair.Total) bool {
-	s := h.sources[agent]
+	s := h.agents[agent]
 	if s == nil {
-		s = &source{incarnation: incarnation, totals: map[fair.Account]fair.Total{}}
-		h.sources[agent] = s
+		s = &agentState{incarnation: incarnation, totals: map[fair.Account]fair.Total{}}
+		h.agents[agent] = s
 	}
-	if slices.Contains(s.gone, incarnation) {
+	if slices.Contains(s.pastIncarnations, incarnation) {
 		return false
 	}
 	if s.incarnation != incarnation {
-		h.retire(s, incarnation)
+		h.startIncarnation(s, incarnation)
 	}
 	if sequence <= s.sequence {
 		return false
 	}
 	s.sequence = sequence
-	s.silent = 0
-	h.touched = h.touched[:0]
-	h.settle(s)
+	s.silentTicks = 0
+	h.changed = h.changed[:0]
+	h.clearPending(s)
 	for _, t := range totals {
 		t.Service = math.Max(t.Service, s.totals[t.Account].Service)
-		h.replace(s, t)
-		if t.Reach > 0 || t.Pending > 0 {
-			s.waiting = append(s.waiting, t.Account)
+		h.replaceTotal(s, t)
+		if t.Slots > 0 || t.Pending > 0 {
+			s.active = append(s.active, t.Account)
 		}
 	}
 	return true
 }
 
 // replace puts an agent's new total of an account in place of its old one.
-func (h *Hall) replace(s *source, t fair.Total) {
+func (h *Hall) replaceTotal(s *agentState, t fair.Total) {
 	old := s.totals[t.Account]
 	sum := h.sum[t.Account]
 	sum.Account = t.Account
 	sum.Service += t.Service - old.Service
 	sum.Pending += t.Pending - old.Pending
-	sum.Reach += t.Reach - old.Reach
-	if t.Lift.After(sum.Lift) {
-		sum.Lift = t.Lift
+	sum.Slots += t.Slots - old.Slots
+	if t.Adjustment.Supersedes(sum.Adjustment) {
+		sum.Adjustment = t.Adjustment
 	}
 	h.sum[t.Account] = sum
 	s.totals[t.Account] = t
-	h.touched = append(h.touched, t.Account)
+	h.changed = append(h.changed, t.Account)
 }
 
 // settle takes away an agent's reach and what is pending there.
-func (h *Hall) settle(s *source) {
-	for _, a := range s.waiting {
+func (h *Hall) clearPending(s *agentState) {
+	for _, a := range s.active {
 		t := s.totals[a]
-		t.Reach, t.Pending = 0, 0
-		h.replace(s, t)
+		t.Slots, t.Pending = 0, 0
+		h.replaceTotal(s, t)
 	}
-	s.waiting = s.waiting[:0]
+	s.active = s.active[:0]
 }
 
 // retire begins a new incarnation of an agent; what the old one served stays in
 // the sum.
-func (h *Hall) retire(s *source, incarnation string) {
-	h.settle(s)
-	s.gone = append(s.gone, s.incarnation)
-	if extra := len(s.gone) - goneKept; extra > 0 {
-		s.gone = slices.Delete(s.gone, 0, extra)
+func (h *Hall) startIncarnation(s *agentState, incarnation string) {
+	h.clearPending(s)
+	s.pastIncarnations = append(s.pastIncarnations, s.incarnation)
+	if extra := len(s.pastIncarnations) - maxPastIncarnations; extra > 0 {
+		s.pastIncarnations = slices.Delete(s.pastIncarnations, 0, extra)
 	}
 	s.incarnation = incarnation
 	s.sequence = 0
@@ -134,17 +134,17 @@
 // Tick tells that one reporting interval has passed. Agents that were silent for
 // several lose their reach.
 func (h *Hall) Tick() {
-	for _, s := range h.sources {
-		s.silent++
-		if s.silent == silentTicks {
-			h.settle(s)
+	for _, s := range h.agents {
+		s.silentTicks++
+		if s.silentTicks == maxSilentTicks {
+			h.clearPending(s)
 		}
 	}
 }
 
 // Own returns what the agent reported last, by account.
-func (h *Hall) Own(agent string) map[fair.Account]fair.Total {
-	s := h.sources[agent]
+func (h *Hall) LastReport(agent string) map[fair.Account]fair.Total {
+	s := h.agents[agent]
 	if s == nil {
 		return nil
 	}
@@ -152,10 +152,10 @@
 }
 
 // Silent returns the agents that have not reported for several ticks, sorted.
-func (h *Hall) Silent() []string {
+func (h *Hall) SilentAgents() []string {
 	var names []string
-	for n, s := range h.sources {
-		if s.silent >= silentTicks {
+	for n, s := range h.agents {
+		if s.silentTicks >= maxSilentTicks {
 			names = append(names, n)
 		}
 	}
@@ -164,11 +164,11 @@
 }
 
 // Touched returns the hall's totals of the accounts that the latest report changed.
-func (h *Hall) Touched() []fair.Total {
-	slices.Sort(h.touched)
-	h.touched = slices.Compact(h.touched)
-	totals := make([]fair.Total, len(h.touched))
-	for i, a := range h.touched {
+func (h *Hall) Changed() []fair.Total {
+	slices.Sort(h.changed)
+	h.changed = slices.Compact(h.changed)
+	totals := make([]fair.Total, len(h.changed))
+	for i, a := range h.changed {
 		totals[i] = h.sum[a]
 	}
 	return totals
@@ -180,7 +180,7 @@
 // Adopt raises the sum to at least what others know of this hall: a router that
 // begins to sum after a restart has not seen the incarnations that are gone. It
 // is to be called once, when every live agent has reported.
-func (h *Hall) Adopt(known []fair.Total) {
+func (h *Hall) RaiseTo(known []fair.Total) {
 	for _, t := range known {
 		sum := h.sum[t.Account]
 		sum.Account = t.Account
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -11,7 +11,7 @@
 )
 
 func total(a fair.Account, service float64) []fair.Total {
-	return []fair.Total{{Account: a, Service: service, Reach: 8}}
+	return []fair.Total{{Account: a, Service: service, Slots: 8}}
 }
 
 func serviceOf(totals []fair.Total, a fair.Account) float64 {
@@ -23,7 +23,7 @@
 	return 0
 }
 
-func TestRestartKeepsWhatWasServed(t *testing.T) {
+func TestAgentRestartKeepsService(t *testing.T) {
 	h := ledger.NewHall()
 	require.True(t, h.Report("agent-1", "first", 1, total(1, 100)))
 	require.True(t, h.Report("agent-1", "second", 1, total(1, 7)))
@@ -32,28 +32,28 @@
 	require.InDelta(t, 107, serviceOf(h.Sum(), 1), 0.001)
 }
 
-func TestNewSummerAdoptsOnce(t *testing.T) {
+func TestRaiseToAfterRouterRestart(t *testing.T) {
 	h := ledger.NewHall()
 	h.Report("agent-1", "second", 1, total(1, 7))
-	h.Adopt([]fair.Total{{Account: 1, Service: 107}})
+	h.RaiseTo([]fair.Total{{Account: 1, Service: 107}})
 	require.InDelta(t, 107, serviceOf(h.Sum(), 1), 0.001)
 	h.Report("agent-1", "second", 2, total(1, 10))
 	require.InDelta(t, 110, serviceOf(h.Sum(), 1), 0.001)
 }
 
-func TestSilentAgentLosesItsReach(t *testing.T) {
+func TestSilentAgentLosesSlots(t *testing.T) {
 	h := ledger.NewHall()
 	h.Report("agent-1", "a", 1, total(1, 7))
 	for range 5 {
 		h.Tick()
 	}
-	require.Zero(t, h.Sum()[0].Reach)
-	require.Equal(t, []string{"agent-1"}, h.Silent())
+	require.Zero(t, h.Sum()[0].Slots)
+	require.Equal(t, []string{"agent-1"}, h.SilentAgents())
 }
 
 // TestFleetBearsAnyDelivery delivers the sums of two summing routers with losses,
 // repeats and in any order, and compares with the truth.
-func TestFleetBearsAnyDelivery(t *testing.T) {
+func TestFleetMergeAnyDelivery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sent []ledger.HallSum
 		service := 0.0
@@ -72,21 +72,21 @@
 	})
 }
 
-func TestWithoutLeavesOutOneAgent(t *testing.T) {
+func TestExcludingOneAgent(t *testing.T) {
 	h := ledger.NewHall()
 	h.Report("agent-1", "a", 1, total(1, 30))
 	h.Report("agent-2", "b", 1, total(1, 12))
 	f := ledger.NewFleet()
 	f.Merge(ledger.HallSum{Hall: "x", Source: "r", Sequence: 1, Totals: h.Sum()})
 	f.Merge(ledger.HallSum{Hall: "y", Source: "s", Sequence: 1, Totals: total(1, 100)})
-	require.InDelta(t, 112, serviceOf(f.Without(h.Own("agent-1")), 1), 0.001)
-	require.InDelta(t, 24, f.Sum()[0].Reach, 0.001)
+	require.InDelta(t, 112, serviceOf(f.Excluding(h.LastReport("agent-1")), 1), 0.001)
+	require.InDelta(t, 24, f.Sum()[0].Slots, 0.001)
 }
 
 // TestTotalsWithoutAnAgentAreTheOthers keeps a fleet up to date report by report
 // and holds what an agent is told to what the others reported, at every moment. A
 // total older than the agent's own report would understate the others.
-func TestTotalsWithoutAnAgentAreTheOthers(t *testing.T) {
+func TestExcludingMatchesOtherAgents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, f := ledger.NewHall(), ledger.NewFleet()
 		f.Merge(ledger.HallSum{Hall: "far", Source: "s", Sequence: 1, Totals: total(1, 1000)})
@@ -101,15 +101,15 @@
 				named = []fair.Total{{Account: 1, Service: served[agent]}}
 			}
 			require.True(t, h.Report(agent, "x", i+1, named))
-			f.Update(ledger.HallSum{Hall: "near", Source: "r", Sequence: i + 1, Totals: h.Touched()})
+			f.Update(ledger.HallSum{Hall: "near", Source: "r", Sequence: i + 1, Totals: h.Changed()})
 			others := 1000.0
 			for name, v := range served {
 				if name != agent {
 					others += v
 				}
 			}
-			require.InDelta(t, others, serviceOf(f.Without(h.Own(agent)), 1), 0.001)
-			require.InDelta(t, f.Sum()[0].Reach, h.Sum()[0].Reach+8, 0.001)
+			require.InDelta(t, others, serviceOf(f.Excluding(h.LastReport(agent)), 1), 0.001)
+			require.InDelta(t, f.Sum()[0].Slots, h.Sum()[0].Slots+8, 0.001)
 		}
 	})
 }
--- a/mutants/main.go
+++ b/mutants/main.go
@@ -30,12 +30,12 @@
 }
 
 var mutants = []mutant{
-	{"retry after unknown", "attempt/attempt.go", "return l.repeatable && !l.passed", "return !l.passed", "./attempt", "TestEveryLife"},
-	{"skip the revoke", "attempt/attempt.go", "OnEntry(decide(Ask{})).", "OnEntry(decide(Again{})).", "./attempt", "TestLifeAfterALostAttempt"},
-	{"call not run what may have run", "attempt/attempt.go", "	l.uncertain = true\n", "", "./attempt", "TestEveryLife"},
-	{"revoke what has begun", "attempt/registry.go", "		return e.revoked\n", "		return e.revoked || true\n", "./attempt", "TestRegistryRevokes"},
-	{"forget a revoked attempt", "attempt/registry.go", "	case known && e.revoked:\n		return Revoked{}\n", "	case known && e.revoked:\n		return Fresh{}\n", "./attempt", "TestRegistryRevokes"},
-	{"take an unknown attempt for revoked", "router/recover.go", "		next = f.life.Fire(attempt.Vanish)\n	}\n	f.router.record", "		next = f.life.Fire(attempt.Revoke)\n	}\n	f.router.record", "./fleettest", "TestFaultMatrix"},
+	{"retry after unknown", "attempt/attempt.go", "return l.retryable && !l.responded", "return !l.responded", "./attempt", "TestLifecycleExhaustive"},
+	{"skip the revoke", "attempt/attempt.go", "OnEntry(setAction(RequestRevoke{})).", "OnEntry(setAction(Retry{})).", "./attempt", "TestLifecycleAfterLostAttempt"},
+	{"call not run what may have run", "attempt/attempt.go", "	l.mayHaveRun = true\n", "", "./attempt", "TestLifecycleExhaustive"},
+	{"revoke what has begun", "attempt/registry.go", "		return e.revoked\n", "		return e.revoked || true\n", "./attempt", "TestRegistryRevoke"},
+	{"forget a revoked attempt", "attempt/registry.go", "	case known && e.revoked:\n		return Revoked{}\n", "	case known && e.revoked:\n		return Started{}\n", "./attempt", "TestRegistryRevoke"},
+	{"take an unknown attempt for revoked", "router/recover.go", "		next = f.life.Fire(attempt.AgentGone)\n	}\n	f.router.record", "		next = f.life.Fire(attempt.ConfirmRevoked)\n	}\n	f.router.record", "./fleettest", "TestFaultMatrix"},
 	{"accept a lower revision", "config/holder.go", "d.Revision <= h.current.Revision", "d.Revision == h.current.Revision", "./config", "TestHolder"},
 	{"write a lost change twice", "config/store.go", "		case slices.Contains(current.Recent, next.Change):\n", "		case false:\n", "./config", "TestLostAnswer"},
 	{"drop the last chunk", "router/attempt.go", "!e.Complete || e.Chunks != f.next ||", "!e.Complete ||", "./fleettest", "TestDroppedChunk"},
@@ -43,11 +43,11 @@
 	{"resume from the beginning", "router/recover.go", "Attempt: f.life.Attempts(), Next: f.next,", "Attempt: f.life.Attempts(), Next: 0,", "./fleettest", "TestFaultMatrix"},
 	{"go on while leaving", "agent/leaving.go", "	d.leaving = leaving\n", "", "./fleettest", "TestLeavingServer"},
 	{"cut off requests at a stop", "agent/agent.go", "		a.tell(drainEvent{})\n", "		a.tell(drainEvent{})\n		for _, j := range a.jobs.list() {\n			j.cancel(errAbandoned)\n		}\n", "./fleettest", "TestPlannedStop"},
-	{"let a key be used again", "attempt/keys.go", "	if c, known := k.entries[id]; known {\n		return Repeat", "	if c, known := k.entries[id]; known && false {\n		return Repeat", "./attempt", "TestKeys"},
+	{"let a key be used again", "attempt/keys.go", "	if c, known := k.entries[id]; known {\n		return Duplicate", "	if c, known := k.entries[id]; known && false {\n		return Duplicate", "./attempt", "TestKeyStoreClaim"},
 	{"let the transport repeat", "engine/client.go", "body := &singleUse{reader: bytes.NewReader(call.Content)}", "body := bytes.NewReader(call.Content)", "./engine", "TestTransportRepeats"},
-	{"pick the account ahead", "fair/fair.go", "if best < 0 || v < least ||", "if best < 0 || v > least ||", "./fair", "TestPickOrder|TestAgentsTogether"},
-	{"forget what a dead incarnation served", "ledger/ledger.go", "	h.settle(s)\n	s.gone = append", "	h.settle(s)\n	for _, t := range s.totals {\n		h.replace(s, fair.Total{Account: t.Account})\n	}\n	s.gone = append", "./ledger", "TestRestart"},
-	{"lend the credit at every server", "fair/fair.go", "max(b.options.Slots, s.reach, b.widest)", "b.options.Slots", "./fair", "TestCreditIsOne"},
+	{"pick the account ahead", "fair/fair.go", "if best < 0 || v < least ||", "if best < 0 || v > least ||", "./fair", "TestPickOrder|TestFleetGap"},
+	{"forget what a dead incarnation served", "ledger/ledger.go", "	h.clearPending(s)\n	s.pastIncarnations = append", "	h.clearPending(s)\n	for _, t := range s.totals {\n		h.replaceTotal(s, fair.Total{Account: t.Account})\n	}\n	s.pastIncarnations = append", "./ledger", "TestAgentRestart"},
+	{"lend the credit at every server", "fair/fair.go", "max(b.options.Slots, s.slots, b.maxSlots)", "b.options.Slots", "./fair", "TestUrgentCredit"},
 }
 
 const pageHead = `# Deliberate breaks, and what catches them
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -18,7 +18,7 @@
 )
 
 // try makes one attempt at the agent of the placement.
-func (f *flight) try(ctx context.Context, p placement) attempt.Next {
+func (f *flight) try(ctx context.Context, p placement) attempt.Action {
 	ctx, span := f.router.options.Tracer.Start(ctx, "router.dispatch", trace.WithAttributes(attribute.String("agent", p.peer.Hello.Node)))
 	defer span.End()
 	f.lastBusy = false
@@ -30,21 +30,21 @@
 		return f.life.Fire(attempt.Decline) // nothing was sent
 	}
 	err = s.Write(&wirepb.Call{Body: &wirepb.Call_Start{Start: f.start(ctx, p)}})
-	var next attempt.Next
+	var next attempt.Action
 	if err == nil {
 		next = f.read(ctx, p, s)
 	} else {
-		next = f.life.Fire(attempt.Lose)
+		next = f.life.Fire(attempt.Disconnect)
 	}
 	s.Close()
 	for {
 		switch next.(type) {
-		case attempt.Ask:
+		case attempt.RequestRevoke:
 			next = f.revoke(ctx, p)
-		case attempt.Rejoin:
+		case attempt.Reattach:
 			next = f.resume(ctx, p)
 		default:
-			if _, again := next.(attempt.Again); !again {
+			if _, again := next.(attempt.Retry); !again {
 				f.router.dispatcher.tell(endEvent{ticket: f.ticket, agent: p.peer.Hello.Node, cost: f.cost})
 			}
 			return next
@@ -80,7 +80,7 @@
 
 // read takes the answer from a stream. When the caller leaves or the deadline
 // passes it tells the agent to stop.
-func (f *flight) read(ctx context.Context, p placement, s *wire.Stream) attempt.Next {
+func (f *flight) read(ctx context.Context, p placement, s *wire.Stream) attempt.Action {
 	release := context.AfterFunc(ctx, func() {
 		_ = s.Write(&wirepb.Call{Body: &wirepb.Call_Cancel{Cancel: &wirepb.Cancel{Reason: context.Cause(ctx).Error()}}})
 		s.Expire(cancelTime)
@@ -101,7 +101,7 @@
 			head = b.Head
 			if f.mayTryElsewhere(head) {
 				_ = s.Write(&wirepb.Call{Body: &wirepb.Call_Cancel{Cancel: &wirepb.Cancel{Reason: "tried elsewhere"}}})
-				return f.life.Fire(attempt.Vanish)
+				return f.life.Fire(attempt.AgentGone)
 			}
 		case *wirepb.Piece_Chunk:
 			if next, stop := f.chunk(ctx, p, s, head, b.Chunk); stop {
@@ -126,17 +126,17 @@
 }
 
 // chunk passes one piece of the answer on, if it is the next one.
-func (f *flight) chunk(ctx context.Context, p placement, s *wire.Stream, head *wirepb.Head, c *wirepb.Chunk) (attempt.Next, bool) {
+func (f *flight) chunk(ctx context.Context, p placement, s *wire.Stream, head *wirepb.Head, c *wirepb.Chunk) (attempt.Action, bool) {
 	if c.Number != f.next || f.life.State() == attempt.Sent {
 		p.peer.Close(errUnexpected)
 		return f.lost(ctx, p, errUnexpected), true
 	}
 	f.pass(head)
 	f.next++
-	f.life.Fire(attempt.Answer)
+	f.life.Fire(attempt.Respond)
 	if err := f.sink.Write(c.Content); err != nil {
 		_ = s.Write(&wirepb.Call{Body: &wirepb.Call_Cancel{Cancel: &wirepb.Cancel{Reason: err.Error()}}})
-		return f.life.Fire(attempt.Cut), true
+		return f.life.Fire(attempt.Truncate), true
 	}
 	return nil, false
 }
@@ -150,19 +150,19 @@
 	f.sink.Head(int(head.Status), head.Headers)
 }
 
-func (f *flight) end(head *wirepb.Head, e *wirepb.End) attempt.Next {
+func (f *flight) end(head *wirepb.Head, e *wirepb.End) attempt.Action {
 	f.cost = e.Cost
 	if !e.Complete || e.Chunks != f.next || (head == nil && !f.headed) {
-		return f.because(f.life.Fire(attempt.Cut), e.Reason)
+		return f.because(f.life.Fire(attempt.Truncate), e.Reason)
 	}
 	f.pass(head)
 	return f.life.Fire(attempt.Finish)
 }
 
 // because gives the outcome of a cut answer its reason.
-func (f *flight) because(n attempt.Next, reason string) attempt.Next {
-	stop, stopped := n.(attempt.Stop)
-	if ran, cut := stop.Outcome.(attempt.Ran); stopped && cut && reason != "" {
+func (f *flight) because(n attempt.Action, reason string) attempt.Action {
+	stop, stopped := n.(attempt.Done)
+	if ran, cut := stop.Outcome.(attempt.Executed); stopped && cut && reason != "" {
 		ran.Reason = reason
 		ran.Cause = causeOf(reason)
 		stop.Outcome = ran
@@ -176,13 +176,13 @@
 	case wire.ReasonDeadline:
 		return attempt.Deadline
 	case wire.ReasonCallerLeft:
-		return attempt.CallerLeft
+		return attempt.CallerClosed
 	default:
-		return attempt.Broken
+		return attempt.Interrupted
 	}
 }
 
-func (f *flight) declined(n *wirepb.NotRun) attempt.Next {
+func (f *flight) declined(n *wirepb.NotRun) attempt.Action {
 	f.lastBusy = n.Busy
 	if !n.Busy {
 		f.refused = refusal{cause: attempt.Refused, reason: n.Reason, retryAfter: time.Duration(n.RetryAfterMs) * time.Millisecond}
@@ -191,15 +191,15 @@
 }
 
 // unknown ends an attempt of which the agent itself cannot tell.
-func (f *flight) unknown(u *wirepb.Unknown) attempt.Next {
+func (f *flight) unknown(u *wirepb.Unknown) attempt.Action {
 	if f.life.State() == attempt.Sent {
-		f.life.Fire(attempt.Lose)
+		f.life.Fire(attempt.Disconnect)
 	}
-	n := f.life.Fire(attempt.Vanish)
-	if stop, stopped := n.(attempt.Stop); stopped {
+	n := f.life.Fire(attempt.AgentGone)
+	if stop, stopped := n.(attempt.Done); stopped {
 		if o, open := stop.Outcome.(attempt.Unknown); open {
 			o.Reason = u.Reason
-			return attempt.Stop{Outcome: o}
+			return attempt.Done{Outcome: o}
 		}
 	}
 	return n
@@ -207,10 +207,10 @@
 
 // lost follows a broken stream. When the caller is gone anyway nobody asks
 // further.
-func (f *flight) lost(ctx context.Context, p placement, err error) attempt.Next {
+func (f *flight) lost(ctx context.Context, p placement, err error) attempt.Action {
 	f.router.record(explain.Event{Kind: explain.Lose, Request: f.request.ID, Account: f.request.Account, Attempt: f.life.Attempts(),
 		Text: fmt.Sprintf("lost sight of the attempt at %s: %v", p.peer.Hello.Node, err)})
-	next := f.life.Fire(attempt.Lose)
+	next := f.life.Fire(attempt.Disconnect)
 	if ctx.Err() == nil {
 		return next
 	}
@@ -219,14 +219,14 @@
 
 // abandoned ends a request whose caller has left, or whose time is up, while an
 // attempt may run.
-func (f *flight) abandoned(ctx context.Context) attempt.Next {
-	cause, reason := attempt.CallerLeft, "the caller left"
+func (f *flight) abandoned(ctx context.Context) attempt.Action {
+	cause, reason := attempt.CallerClosed, "the caller left"
 	if errors.Is(context.Cause(ctx), errDeadline) {
 		cause, reason = attempt.Deadline, "the deadline passed while it ran"
 	}
-	if f.life.State() == attempt.Severed {
-		f.life.Fire(attempt.Cut)
-		return attempt.Stop{Outcome: attempt.Ran{Cause: cause, Reason: reason}}
+	if f.life.State() == attempt.StartedDisconnected {
+		f.life.Fire(attempt.Truncate)
+		return attempt.Done{Outcome: attempt.Executed{Cause: cause, Reason: reason}}
 	}
-	return attempt.Stop{Outcome: attempt.Unknown{Cause: cause, Reason: reason}}
+	return attempt.Done{Outcome: attempt.Unknown{Cause: cause, Reason: reason}}
 }
--- a/router/baseline.go
+++ b/router/baseline.go
@@ -27,7 +27,7 @@
 }
 
 func (d *dispatcher) baselineOne() bool {
-	keys := d.queue.Keys()
+	keys := d.queue.Classes()
 	slices.SortFunc(keys, d.baselineOrder)
 	for _, k := range keys {
 		request := d.queue.Peek(k)
@@ -45,7 +45,7 @@
 	return false
 }
 
-func (d *dispatcher) baselineOrder(a, b dispatch.Key) int {
+func (d *dispatcher) baselineOrder(a, b dispatch.Class) int {
 	if d.router.options.Queueing == RouterFair {
 		if c := cmp.Compare(d.baseline.served[a.Account], d.baseline.served[b.Account]); c != 0 {
 			return c
--- a/router/dispatcher.go
+++ b/router/dispatcher.go
@@ -23,9 +23,9 @@
 	queue    dispatch.Queue
 	tickets  map[*dispatch.Request]*ticket
 	agents   map[string]*agentView
-	dirty    map[dispatch.Key]bool
+	dirty    map[dispatch.Class]bool
 	drain    map[fair.Account]*drainRate
-	costs    map[dispatch.Key]float64
+	costs    map[dispatch.Class]float64
 	baseline baseline
 }
 
@@ -38,7 +38,7 @@
 	waiting  int
 	leaving  bool
 	sick     bool
-	told     map[dispatch.Key]int
+	told     map[dispatch.Class]int
 	prefixes []uint64 // prompt beginnings it has served, latest last
 }
 
@@ -52,9 +52,9 @@
 		stopped: make(chan struct{}),
 		tickets: map[*dispatch.Request]*ticket{},
 		agents:  map[string]*agentView{},
-		dirty:   map[dispatch.Key]bool{},
+		dirty:   map[dispatch.Class]bool{},
 		drain:   map[fair.Account]*drainRate{},
-		costs:   map[dispatch.Key]float64{},
+		costs:   map[dispatch.Class]float64{},
 	}
 }
 
@@ -115,7 +115,7 @@
 
 // offer places a request at once where there is room, or lets it wait.
 func (d *dispatcher) offer(t *ticket) {
-	k := t.request.Key
+	k := t.request.Class
 	if d.router.options.Queueing == LateBinding && d.queue.Count(k) == 0 {
 		if v, why := d.free(t); v != nil {
 			d.bind(t, v, 0, why)
@@ -127,14 +127,14 @@
 		t.answer <- refusal{cause: attempt.Deadline, reason: "the deadline would pass while it waits", retryAfter: wait}
 		return
 	}
-	switch o := d.queue.Offer(t.request, t.most, rate.expect(1)).(type) {
-	case dispatch.Waiting:
+	switch o := d.queue.Enqueue(t.request, t.most, rate.expect(1)).(type) {
+	case dispatch.Queued:
 		d.tickets[t.request] = t
 		d.dirty[k] = true
 		d.router.record(explain.Event{Kind: explain.Wait, Request: t.request.ID, Account: t.account,
 			Text: fmt.Sprintf("no room at %d agents of pool %s; %d requests of the account ahead of it here", d.serving(k.Pool), k.Pool, o.Ahead)})
-	case dispatch.Refused:
-		t.answer <- refusal{cause: attempt.TooMany, reason: o.Reason, retryAfter: o.RetryAfter}
+	case dispatch.Rejected:
+		t.answer <- refusal{cause: attempt.QueueFull, reason: o.Reason, retryAfter: o.RetryAfter}
 	}
 }
 
@@ -145,9 +145,9 @@
 func (d *dispatcher) bind(t *ticket, v *agentView, grant uint64, why string) {
 	v.running++
 	v.remember(t.request.Prefix)
-	t.estimate = d.estimate(t.request.Key, t.request.Estimate)
+	t.estimate = d.estimate(t.request.Class, t.request.Estimate)
 	t.waited = time.Since(t.request.Arrived)
-	d.rate(t.request.Key.Account).left(time.Now())
+	d.rate(t.request.Class.Account).left(time.Now())
 	t.answer <- placement{peer: v.peer, grant: grant, why: why}
 }
 
@@ -174,14 +174,14 @@
 			return
 		}
 	}
-	d.queue.PutBack(e.ticket.request)
+	d.queue.Requeue(e.ticket.request)
 	d.tickets[e.ticket.request] = e.ticket
-	d.dirty[e.ticket.request.Key] = true
+	d.dirty[e.ticket.request.Class] = true
 }
 
 func (d *dispatcher) leave(t *ticket) bool {
 	delete(d.tickets, t.request)
-	d.dirty[t.request.Key] = true
+	d.dirty[t.request.Class] = true
 	return d.queue.Remove(t.request)
 }
 
@@ -195,7 +195,7 @@
 	if e.cost <= 0 {
 		return
 	}
-	k := e.ticket.request.Key
+	k := e.ticket.request.Class
 	if c, known := d.costs[k]; known {
 		d.costs[k] = c + costPart*(e.cost-c)
 	} else {
@@ -213,13 +213,13 @@
 }
 
 func (d *dispatcher) up(p *wire.Peer) {
-	v := &agentView{peer: p, pools: p.Hello.Pools, limit: 0, told: map[dispatch.Key]int{}}
+	v := &agentView{peer: p, pools: p.Hello.Pools, limit: 0, told: map[dispatch.Class]int{}}
 	if s := d.router.holder.Current().Server(p.Hello.Node); s != nil {
 		v.pools = s.Pools
 		v.leaving = s.Leaving
 	}
 	d.agents[p.Hello.Node] = v
-	for _, k := range d.queue.Keys() {
+	for _, k := range d.queue.Classes() {
 		d.dirty[k] = true
 	}
 }
@@ -234,7 +234,7 @@
 		v.pools = s.Pools
 		v.leaving = s.Leaving
 	}
-	for _, k := range d.queue.Keys() {
+	for _, k := range d.queue.Classes() {
 		d.dirty[k] = true
 	}
 }
@@ -248,7 +248,7 @@
 
 func (d *dispatcher) view() view {
 	v := view{waiting: map[fair.Account]int{}, agents: len(d.agents), queued: d.queue.Len()}
-	for _, k := range d.queue.Keys() {
+	for _, k := range d.queue.Classes() {
 		v.waiting[k.Account] = d.queue.Waiting(k.Account)
 	}
 	return v
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -204,7 +204,7 @@
 			Name:       a.Name,
 			Share:      a.Share,
 			Service:    totals[id].Service,
-			Backlogged: totals[id].Reach > 0 || waiting[id] > 0,
+			Backlogged: totals[id].Slots > 0 || waiting[id] > 0,
 			Waiting:    waiting[id],
 		})
 	}
--- a/router/http.go
+++ b/router/http.go
@@ -117,7 +117,7 @@
 	defer stop()
 	s := &httpSink{writer: w, control: http.NewResponseController(w), request: q.ID}
 	o := r.Serve(ctx, q, s)
-	if ran, ok := o.(attempt.Ran); ok && ran.Complete {
+	if ran, ok := o.(attempt.Executed); ok && ran.Complete {
 		return
 	}
 	if s.begun {
--- a/router/recover.go
+++ b/router/recover.go
@@ -11,22 +11,22 @@
 )
 
 // revoke asks the same incarnation of the agent that the attempt never runs.
-func (f *flight) revoke(ctx context.Context, p placement) attempt.Next {
+func (f *flight) revoke(ctx context.Context, p placement) attempt.Action {
 	answer, reason := f.ask(ctx, p, &wirepb.Call{Body: &wirepb.Call_Revoke{Revoke: &wirepb.Revoke{
 		Request: f.request.ID, Attempt: f.life.Attempts(), Incarnation: p.peer.Hello.Incarnation,
 	}}})
 	text := reason
-	var next attempt.Next
+	var next attempt.Action
 	switch answer.GetBody().(type) {
 	case *wirepb.Piece_Revoked:
-		next, text = f.life.Fire(attempt.Revoke), "it was revoked and never ran"
+		next, text = f.life.Fire(attempt.ConfirmRevoked), "it was revoked and never ran"
 	case *wirepb.Piece_Started:
-		next, text = f.life.Fire(attempt.Found), "it has begun there"
+		next, text = f.life.Fire(attempt.ConfirmStarted), "it has begun there"
 	default:
 		if ctx.Err() != nil {
 			return f.abandoned(ctx)
 		}
-		next = f.life.Fire(attempt.Vanish)
+		next = f.life.Fire(attempt.AgentGone)
 	}
 	f.router.record(explain.Event{Kind: explain.Revoke, Request: f.request.ID, Account: f.request.Account, Attempt: f.life.Attempts(),
 		Text: fmt.Sprintf("asked %s to revoke the attempt: %s", p.peer.Hello.Node, text)})
@@ -91,7 +91,7 @@
 }
 
 // resume goes on with the answer from the next chunk.
-func (f *flight) resume(ctx context.Context, p placement) attempt.Next {
+func (f *flight) resume(ctx context.Context, p placement) attempt.Action {
 	find, cancel := context.WithTimeout(ctx, recoverTime)
 	defer cancel()
 	s, reason := f.reopen(find, p, &wirepb.Call{Body: &wirepb.Call_Resume{Resume: &wirepb.Resume{
@@ -103,7 +103,7 @@
 		if ctx.Err() != nil {
 			return f.abandoned(ctx)
 		}
-		return f.life.Fire(attempt.Vanish)
+		return f.life.Fire(attempt.AgentGone)
 	}
 	defer s.Close()
 	f.life.Fire(attempt.Resume)
--- a/router/refuse.go
+++ b/router/refuse.go
@@ -24,10 +24,10 @@
 	name, reason := describe(o)
 	f.message = reason
 	switch o := o.(type) {
-	case attempt.NotRun:
+	case attempt.NotExecuted:
 		f.status, f.code = statusOf(o.Cause)
 		f.retry = max(o.RetryAfter, time.Second)
-	case attempt.Ran:
+	case attempt.Executed:
 		f.status, f.code = http.StatusBadGateway, "answer_cut"
 	case attempt.Unknown:
 		f.status, f.code = http.StatusBadGateway, "outcome_unknown"
@@ -38,11 +38,11 @@
 // statusOf gives a cause its status and code.
 func statusOf(c attempt.Cause) (status int, code string) {
 	switch c {
-	case attempt.TooMany:
+	case attempt.QueueFull:
 		return http.StatusTooManyRequests, "too_many_waiting"
 	case attempt.Deadline:
 		return http.StatusGatewayTimeout, "deadline"
-	case attempt.Untold:
+	case attempt.KeyIndeterminate:
 		return http.StatusServiceUnavailable, "key_untold"
 	default:
 		return http.StatusServiceUnavailable, "not_run"
--- a/router/serve.go
+++ b/router/serve.go
@@ -49,7 +49,7 @@
 	cancelTime = 500 * time.Millisecond
 	// keyFreshness is how lately the service must have confirmed the revision for
 	// a request with an idempotency key: see docs/design/attempts.md.
-	keyFreshness = attempt.Skew / 2
+	keyFreshness = attempt.MaxClockSkew / 2
 	// deadlineReserve of a caller's time is kept to carry the answer back.
 	deadlineReserve = 20 * time.Millisecond
 )
@@ -69,7 +69,7 @@
 	defer span.End()
 	r.retries.earn()
 	arrived := time.Now()
-	f := &flight{router: r, request: q, sink: sink, life: attempt.NewLife(q.Repeatable)}
+	f := &flight{router: r, request: q, sink: sink, life: attempt.NewLifecycle(q.Repeatable)}
 	r.record(explain.Event{Kind: explain.Arrive, Request: q.ID, Account: q.Account, Text: q.describe()})
 	o := f.run(ctx)
 	name, text := describe(o)
@@ -99,9 +99,9 @@
 // describe names an outcome and tells its reason.
 func describe(o attempt.Outcome) (name, text string) {
 	switch o := o.(type) {
-	case attempt.NotRun:
+	case attempt.NotExecuted:
 		return "not-run", o.Reason
-	case attempt.Ran:
+	case attempt.Executed:
 		if o.Complete {
 			return "ran", "the whole answer was passed on"
 		}
@@ -116,9 +116,9 @@
 // causeIn returns why a request did not get its whole answer; empty: it did.
 func causeIn(o attempt.Outcome) attempt.Cause {
 	switch o := o.(type) {
-	case attempt.NotRun:
+	case attempt.NotExecuted:
 		return o.Cause
-	case attempt.Ran:
+	case attempt.Executed:
 		return o.Cause
 	case attempt.Unknown:
 		return o.Cause
@@ -132,7 +132,7 @@
 	router  *Router
 	request *Request
 	sink    Sink
-	life    *attempt.Life
+	life    *attempt.Lifecycle
 	ticket  *ticket
 	refused refusal
 	next    uint64 // number of the next chunk to pass on
@@ -152,7 +152,7 @@
 
 func (f *flight) run(ctx context.Context) attempt.Outcome {
 	if f.request.Key != "" && f.router.confirmedAge() > keyFreshness {
-		return attempt.NotRun{Cause: attempt.Untold, Reason: "the configuration is not confirmed lately, so that idempotency keys cannot be told apart", RetryAfter: longestPause}
+		return attempt.NotExecuted{Cause: attempt.KeyIndeterminate, Reason: "the configuration is not confirmed lately, so that idempotency keys cannot be told apart", RetryAfter: longestPause}
 	}
 	f.ticket = f.newTicket()
 	f.router.dispatcher.tell(offerEvent{ticket: f.ticket})
@@ -162,11 +162,11 @@
 			return f.giveUp(ctx)
 		}
 		switch n := f.try(ctx, p).(type) {
-		case attempt.Again:
+		case attempt.Retry:
 			if o, stop := f.again(ctx, p); stop {
 				return o
 			}
-		case attempt.Stop:
+		case attempt.Done:
 			return n.Outcome
 		default:
 			panic(fmt.Sprintf("router: attempt ended with %T", n))
@@ -176,13 +176,13 @@
 
 func (f *flight) newTicket() *ticket {
 	q := f.request
-	k := dispatch.Key{Account: fair.Account(q.AccountID), Pool: q.Pool, Urgent: q.Urgent}
+	k := dispatch.Class{Account: fair.Account(q.AccountID), Pool: q.Pool, Urgent: q.Urgent}
 	if q.Key != "" {
 		k.Server = f.router.ownerOf(q)
 	}
 	return &ticket{
 		request: &dispatch.Request{
-			ID: q.ID, Key: k, Estimate: q.Estimate, Prefix: q.Prefix, Deadline: q.Deadline, Arrived: time.Now(),
+			ID: q.ID, Class: k, Estimate: q.Estimate, Prefix: q.Prefix, Deadline: q.Deadline, Arrived: time.Now(),
 		},
 		account: q.Account,
 		most:    q.MaxWaiting,
@@ -252,8 +252,8 @@
 
 // giveUp ends a request of which no attempt is under way.
 func (f *flight) giveUp(ctx context.Context) attempt.Outcome {
-	stop := f.life.Fire(attempt.GiveUp).(attempt.Stop)
-	o, notRun := stop.Outcome.(attempt.NotRun)
+	stop := f.life.Fire(attempt.Abandon).(attempt.Done)
+	o, notRun := stop.Outcome.(attempt.NotExecuted)
 	if !notRun {
 		return stop.Outcome
 	}
@@ -265,9 +265,9 @@
 	case errors.Is(context.Cause(ctx), errDeadline):
 		o.Cause, o.Reason = attempt.Deadline, "the deadline passed while it waited"
 	case ctx.Err() != nil:
-		o.Cause, o.Reason = attempt.CallerLeft, "the caller left while it waited"
+		o.Cause, o.Reason = attempt.CallerClosed, "the caller left while it waited"
 	default:
-		o.Cause, o.Reason, o.RetryAfter = attempt.Stopping, "this router is stopping", time.Second
+		o.Cause, o.Reason, o.RetryAfter = attempt.ShuttingDown, "this router is stopping", time.Second
 	}
 	return o
 }
@@ -283,7 +283,7 @@
 	if f.refused.reason != "" || f.retries > mostRetries || !f.router.retries.take() {
 		f.router.dispatcher.tell(endEvent{ticket: f.ticket, agent: p.peer.Hello.Node})
 		if f.refused.reason == "" {
-			f.refused = refusal{cause: attempt.Failing, reason: "several attempts did not run", retryAfter: time.Second}
+			f.refused = refusal{cause: attempt.AttemptsFailed, reason: "several attempts did not run", retryAfter: time.Second}
 		}
 		return f.giveUp(ctx), true
 	}
--- a/router/suits.go
+++ b/router/suits.go
@@ -14,10 +14,10 @@
 	var best *agentView
 	most := math.Inf(-1)
 	for name, v := range d.agents {
-		if !v.serves(t.request.Key.Pool) || v.waiting > 0 || v.running >= v.limit {
+		if !v.serves(t.request.Class.Pool) || v.waiting > 0 || v.running >= v.limit {
 			continue
 		}
-		if only := t.request.Key.Server; only != "" && only != name {
+		if only := t.request.Class.Server; only != "" && only != name {
 			continue
 		}
 		s := d.suits(v, t.request.Prefix)
--- a/router/summing.go
+++ b/router/summing.go
@@ -130,7 +130,7 @@
 		return
 	}
 	s.sequence++
-	s.fleet.Update(ledger.HallSum{Hall: s.router.options.Hall, Source: s.source(), Sequence: s.sequence, Totals: s.hall.Touched()})
+	s.fleet.Update(ledger.HallSum{Hall: s.router.options.Hall, Source: s.source(), Sequence: s.sequence, Totals: s.hall.Changed()})
 	if !s.answers(agent, e.report.Sequence) {
 		return
 	}
@@ -159,15 +159,15 @@
 func (s *summing) news(agent string) []fair.Total {
 	told := s.told[agent]
 	var news []fair.Total
-	for _, t := range s.fleet.Without(s.hall.Own(agent)) {
+	for _, t := range s.fleet.Excluding(s.hall.LastReport(agent)) {
 		last, known := told[t.Account]
-		moved := t.Lift.After(last.Lift)
-		if known && last.Service == t.Service && t.Reach == 0 && t.Pending == 0 && !moved {
+		moved := t.Adjustment.Supersedes(last.Adjustment)
+		if known && last.Service == t.Service && t.Slots == 0 && t.Pending == 0 && !moved {
 			continue
 		}
 		told[t.Account] = t
 		if !moved {
-			t.Lift = fair.Lift{}
+			t.Adjustment = fair.Adjustment{}
 		}
 		news = append(news, t)
 	}
@@ -193,7 +193,7 @@
 		return nil
 	}
 	own := &wirepb.HallTotals{Hall: s.router.options.Hall, Source: s.source(), Sequence: s.sequence}
-	own.Counters = wire.Counters(s.fleet.Hall(s.router.options.Hall))
+	own.Counters = wire.Counters(s.fleet.HallTotals(s.router.options.Hall))
 	return []*wirepb.HallTotals{own}
 }
 
@@ -211,7 +211,7 @@
 	}
 	s.ticks++
 	if s.ticks >= adoptTicks {
-		s.hall.Adopt(s.fleet.Hall(s.router.options.Hall))
+		s.hall.RaiseTo(s.fleet.HallTotals(s.router.options.Hall))
 		s.adopted = true
 	}
 }
--- a/router/wants.go
+++ b/router/wants.go
@@ -16,13 +16,13 @@
 	if v == nil || v.peer != e.peer {
 		return
 	}
-	k := dispatch.Key{Account: fair.Account(e.grant.Account), Pool: e.grant.Pool, Urgent: e.grant.Urgent}
+	k := dispatch.Class{Account: fair.Account(e.grant.Account), Pool: e.grant.Pool, Urgent: e.grant.Urgent}
 	if e.grant.Pinned {
 		k.Server = e.peer.Hello.Node
 	}
 	v.told[k]--
 	d.dirty[k] = true
-	request := d.queue.Bind(k, v.seen)
+	request := d.queue.Dequeue(k, v.seen)
 	if request == nil {
 		e.peer.Send(d.router.message(&wirepb.Control_Decline{Decline: &wirepb.Decline{Grant: e.grant.Id}}))
 		return
@@ -44,7 +44,7 @@
 	v.sick = e.load.Sick
 	if e.load.Leaving != v.leaving || !hadRoom {
 		v.leaving = e.load.Leaving
-		for _, k := range d.queue.Keys() {
+		for _, k := range d.queue.Classes() {
 			d.dirty[k] = true
 		}
 	}
@@ -69,7 +69,7 @@
 // told. Believing too much costs nothing as long as one waits.
 const understated = 4
 
-func (d *dispatcher) want(v *agentView, k dispatch.Key, count int) {
+func (d *dispatcher) want(v *agentView, k dispatch.Class, count int) {
 	if !v.serves(k.Pool) || (k.Server != "" && k.Server != v.peer.Hello.Node) {
 		count = 0
 	}
@@ -98,7 +98,7 @@
 
 // estimate returns what a request of the line is expected to cost: what others of
 // the account cost of late, or the hint when none is known.
-func (d *dispatcher) estimate(k dispatch.Key, hint float64) float64 {
+func (d *dispatcher) estimate(k dispatch.Class, hint float64) float64 {
 	if c, known := d.costs[k]; known {
 		return c
 	}
--- a/wire/control.go
+++ b/wire/control.go
@@ -56,9 +56,9 @@
 			Account:     uint32(t.Account),
 			Service:     uint64(t.Service),
 			Pending:     uint32(t.Pending),
-			Reach:       uint32(t.Reach),
-			LiftVersion: t.Lift.Version,
-			Lift:        t.Lift.Value,
+			Reach:       uint32(t.Slots),
+			LiftVersion: t.Adjustment.Version,
+			Lift:        t.Adjustment.Value,
 		}
 	}
 	return counters
@@ -69,11 +69,11 @@
 	totals := make([]fair.Total, len(counters))
 	for i, c := range counters {
 		totals[i] = fair.Total{
-			Account: fair.Account(c.Account),
-			Service: float64(c.Service),
-			Pending: float64(c.Pending),
-			Reach:   float64(c.Reach),
-			Lift:    fair.Lift{Version: c.LiftVersion, Value: c.Lift},
+			Account:    fair.Account(c.Account),
+			Service:    float64(c.Service),
+			Pending:    float64(c.Pending),
+			Slots:      float64(c.Reach),
+			Adjustment: fair.Adjustment{Version: c.LiftVersion, Value: c.Lift},
 		}
 	}
 	return totals
