--- a/fair/adjust.go
+++ b/fair/adjust.go
@@ -5,94 +5,100 @@
 	"slices"
 )
 
-// This file moves standings without service: of accounts that come back, and of those too
-// far behind.
+// This file adjusts virtual times without service: of accounts that return from
+// idleness and of accounts that are too far behind or ahead.
 
-// Arrive tells that the account's first request waits here. It takes its turn here
-// with the account picked last, not before; an account that waited nowhere in the
-// fleet is also lifted to the account furthest behind among those that wait, so
-// that idling saves nothing up.
-func (b *Tracker) StartWaiting(a Account) {
-	s := b.state(a)
-	if s.waiting || b.options.Policy == Unordered {
+// StartWaiting records that the account has a request waiting at this server. Its
+// scheduling key is raised to that of the account picked last, so that it is not
+// served before. An account that waited nowhere in the fleet is also raised to the
+// least virtual time among the waiting accounts, so that being idle earns no credit.
+func (tr *Tracker) StartWaiting(a Account) {
+	s := tr.state(a)
+	if s.waiting || tr.options.Policy == Unordered {
 		s.waiting = true
 		return
 	}
-	least, found := b.minWaiting()
+	lowest, found := tr.minWaiting()
 	s.waiting = true
-	if early := b.lastKey - b.schedulingKey(s); early > 0 && b.options.Policy == Corrected {
-		s.correction -= early
+	if lag := tr.lastKey - tr.schedulingKey(s); lag > 0 && tr.options.Policy == Corrected {
+		s.correction -= lag
 	}
 	if s.slots > 0 {
 		return
 	}
 	if !found {
-		least = b.lastVirtualTime
+		lowest = tr.lastVirtualTime
 	}
-	if v := b.virtualTime(s); v < least {
-		b.adjust(s, least-v)
+	if v := tr.virtualTime(s); v < lowest {
+		tr.adjust(s, lowest-v)
 	}
 }
 
-func (b *Tracker) minWaiting() (float64, bool) {
-	least, found := math.Inf(1), false
-	for i := range b.accounts {
-		if s := &b.accounts[i]; s.waiting {
-			least = math.Min(least, b.virtualTime(s))
+// minWaiting returns the least virtual time of the waiting accounts, and false if
+// there are none.
+func (tr *Tracker) minWaiting() (float64, bool) {
+	lowest, found := math.Inf(1), false
+	for i := range tr.accounts {
+		if s := &tr.accounts[i]; s.waiting {
+			lowest = math.Min(lowest, tr.virtualTime(s))
 			found = true
 		}
 	}
-	return least, found
+	return lowest, found
 }
 
-func (b *Tracker) adjust(s *accountState, by float64) {
-	s.adjustment.Value += by
+// adjust adds to the virtual time of an account.
+func (tr *Tracker) adjust(s *accountState, delta float64) {
+	s.adjustment.Value += delta
 	s.adjusted = true
 }
 
-// Leave tells that no request of the account waits here any more.
-func (b *Tracker) StopWaiting(a Account) { b.state(a).waiting = false }
+// StopWaiting records that no request of the account waits at this server any more.
+func (tr *Tracker) StopWaiting(a Account) { tr.state(a).waiting = false }
 
-// Forgive caps what accounts that wait here owe and are owed: each is brought to
-// within half the debt cap of their median, so that no two are further apart than
-// the cap. An account that only a few servers can serve stays behind without
-// piling up a claim on the others, and a healed partition is not paid back at the
-// cost of starving anyone. It returns how many standings it changed.
-func (b *Tracker) CapDebts() int {
-	half := b.options.DebtCap / 2
-	if half <= 0 || b.options.Policy == Unordered {
+// CapDebts limits how far the accounts that wait at this server are apart: each is
+// brought to within half the debt cap of their median, so that no two differ by more
+// than the cap. An account that only a few servers can serve stays behind without
+// accumulating a claim on the others, and after a network partition heals, the
+// difference is not repaid by starving an account. CapDebts returns the number of
+// virtual times it changed.
+func (tr *Tracker) CapDebts() int {
+	half := tr.options.DebtCap / 2
+	if half <= 0 || tr.options.Policy == Unordered {
 		return 0
 	}
-	b.sortBuf = b.sortBuf[:0]
-	for i := range b.accounts {
-		if s := &b.accounts[i]; s.waiting {
-			b.sortBuf = append(b.sortBuf, b.virtualTime(s))
+	tr.sortBuf = tr.sortBuf[:0]
+	for i := range tr.accounts {
+		if s := &tr.accounts[i]; s.waiting {
+			tr.sortBuf = append(tr.sortBuf, tr.virtualTime(s))
 		}
 	}
-	if len(b.sortBuf) < 2 {
+	if len(tr.sortBuf) < 2 {
 		return 0
 	}
-	slices.Sort(b.sortBuf)
-	n := len(b.sortBuf)
-	median := (b.sortBuf[(n-1)/2] + b.sortBuf[n/2]) / 2
+	slices.Sort(tr.sortBuf)
+	n := len(tr.sortBuf)
+	median := (tr.sortBuf[(n-1)/2] + tr.sortBuf[n/2]) / 2
 	changed := 0
-	for i := range b.accounts {
-		s := &b.accounts[i]
-		if s.waiting && b.clamp(s, median-half, median+half) {
+	for i := range tr.accounts {
+		s := &tr.accounts[i]
+		if s.waiting && tr.clamp(s, median-half, median+half) {
 			changed++
 		}
 	}
 	return changed
 }
 
-func (b *Tracker) clamp(s *accountState, low, high float64) bool {
-	v := b.virtualTime(s)
+// clamp adjusts an account's virtual time into the given range and reports whether
+// it had to.
+func (tr *Tracker) clamp(s *accountState, low, high float64) bool {
+	v := tr.virtualTime(s)
 	switch {
 	case v < low:
-		b.adjust(s, low-v)
+		tr.adjust(s, low-v)
 	case v > high:
 		s.adjustment.Version++
-		b.adjust(s, high-v)
+		tr.adjust(s, high-v)
 	default:
 		return false
 	}
--- a/fair/bound.go
+++ b/fair/bound.go
@@ -1,22 +1,23 @@
 package fair
 
-// Bound is what the largest difference in standing between two backlogged
-// accounts rests on.
+// GapBound holds the quantities that bound the difference in virtual time between
+// two backlogged accounts.
 //
-// Whoever was picked was least by its agent's estimate. The estimate errs by what
-// the rest of the fleet served since the totals were made (Rate times Age), and by
-// what is in flight and not yet charged (Largest times Slots); the one ahead and
-// the one behind may both err; urgent work may borrow its credit on top.
+// Each agent picks the account with the least virtual time by its own estimate.
+// The estimate is off by what the rest of the fleet has served since the totals
+// were computed (ServiceRate times TotalsAge) and by what is in flight and not yet
+// charged (MaxCost times Slots). The error can apply to both accounts compared, and
+// urgent requests may borrow UrgentCredit on top.
 type GapBound struct {
-	MaxCost      float64 // weighted tokens of the largest request
-	Slots        float64 // requests the fleet runs at once for the accounts compared
-	ServiceRate  float64 // weighted tokens a second that the fleet serves
-	TotalsAge    float64 // seconds, of the totals in use
-	UrgentCredit float64 // weighted tokens an account may borrow
+	MaxCost      float64 // weighted tokens of the most expensive request
+	Slots        float64 // concurrent requests of the accounts compared, over the fleet
+	ServiceRate  float64 // weighted tokens that the fleet serves per second
+	TotalsAge    float64 // seconds since the totals in use were computed
+	UrgentCredit float64 // weighted tokens that an account may borrow
 	MinShare     float64 // the smallest share among the accounts compared
 }
 
-// Value returns the bound, in service: weighted tokens divided by share.
+// Value returns the bound as normalized service: weighted tokens divided by share.
 func (b GapBound) Value() float64 {
 	share := b.MinShare
 	if share <= 0 {
@@ -25,29 +26,29 @@
 	return (2*(b.ServiceRate*b.TotalsAge+b.MaxCost*b.Slots) + b.UrgentCredit) / share
 }
 
-// Waits returns the largest reach and the smallest share among the accounts that
-// wait here.
-func (b *Tracker) BoundInputs() (reach, leastShare float64) {
-	reach = b.options.Slots
-	for i := range b.accounts {
-		s := &b.accounts[i]
+// BoundInputs returns the largest slot count and the smallest share among the
+// accounts that wait at this server, for use in a [GapBound].
+func (tr *Tracker) BoundInputs() (slots, minShare float64) {
+	slots = tr.options.Slots
+	for i := range tr.accounts {
+		s := &tr.accounts[i]
 		if !s.waiting {
 			continue
 		}
-		reach = max(reach, s.slots)
-		if leastShare == 0 || s.share < leastShare {
-			leastShare = s.share
+		slots = max(slots, s.slots)
+		if minShare == 0 || s.share < minShare {
+			minShare = s.share
 		}
 	}
-	return reach, leastShare
+	return slots, minShare
 }
 
-// Served returns the weighted tokens served over the fleet, as far as is known
-// here.
-func (b *Tracker) TotalServed() float64 {
+// TotalServed returns the weighted tokens served by the whole fleet, as far as this
+// agent knows.
+func (tr *Tracker) TotalServed() float64 {
 	sum := 0.0
-	for i := range b.accounts {
-		s := &b.accounts[i]
+	for i := range tr.accounts {
+		s := &tr.accounts[i]
 		sum += (s.local + s.remote) * s.share
 	}
 	return sum
--- a/fair/charge.go
+++ b/fair/charge.go
@@ -2,26 +2,27 @@
 
 import "math"
 
-// This file charges service: what is reserved at a start, corrected and released.
+// This file accounts for service: reservations at the start of a request, charges
+// as it runs, and the release of what is left at its end.
 
-// Reserve counts a place given to the account, with the expected cost in
-// weighted tokens.
-func (b *Tracker) Reserve(a Account, estimate float64) {
-	s := b.state(a)
+// Reserve records that the account got a slot, with the expected cost of its
+// request in weighted tokens.
+func (tr *Tracker) Reserve(a Account, estimate float64) {
+	s := tr.state(a)
 	s.pending += estimate / s.share
 }
 
-// Charge counts service of the given cost and takes the given part of a
-// reservation back. Both are in weighted tokens.
-func (b *Tracker) Charge(a Account, cost, reserved float64) {
-	s := b.state(a)
+// Charge adds the cost of completed service to the account and releases the given
+// part of its reservation. Both are in weighted tokens.
+func (tr *Tracker) Charge(a Account, cost, reserved float64) {
+	s := tr.state(a)
 	s.local += cost / s.share
-	b.unreserve(s, reserved)
+	tr.unreserve(s, reserved)
 }
 
-// Release takes the rest of a reservation back.
-func (b *Tracker) Release(a Account, reserved float64) { b.unreserve(b.state(a), reserved) }
+// Release drops what is left of a reservation.
+func (tr *Tracker) Release(a Account, reserved float64) { tr.unreserve(tr.state(a), reserved) }
 
-func (b *Tracker) unreserve(s *accountState, reserved float64) {
+func (tr *Tracker) unreserve(s *accountState, reserved float64) {
 	s.pending = math.Max(0, s.pending-reserved/s.share)
 }
--- a/fair/fair.go
+++ b/fair/fair.go
@@ -1,247 +1,259 @@
-// Package fair decides which client account a backend server serves next, so
-// that service divided by share stays close between all backlogged accounts of
-// the fleet, although each server's agent decides alone.
+// Package fair implements weighted fair queueing of client accounts over a fleet of
+// backend servers. It decides which account a server serves next so that service
+// divided by share stays close between all backlogged accounts of the fleet,
+// although each server's agent decides alone.
 //
-// An agent keeps one [Book]. Between two reports it is fair by itself: it picks
-// the account that has had least here. With every answer from a summing router it
-// sees how far each account that waits here is behind or ahead of the others over
-// the fleet, and gives it a credit or a debit here for this server's part of a
-// fraction of that. The servers together then make good the whole difference in a
-// few reports, no server needs to know what the others pick, and they do not all
-// turn to the same account at once, which they would if they picked by the
-// fleet's totals (docs/design/fairness.md has the figures).
+// An agent keeps one [Tracker]. Between two reports it is fair by itself: it picks
+// the account that got the least normalized service at its server. With every
+// answer from a summing router it learns how far each waiting account is behind or
+// ahead of the others over the fleet, and corrects the account's local priority by
+// this server's fraction of a part of that difference. Together the servers
+// compensate the whole difference within a few reports. No server needs to know
+// what the others pick, and they do not all pick the same account at once, as they
+// would if they picked by the fleet's totals (docs/design/fairness.md has the
+// figures).
 //
 // # Usage
 //
-//	b := fair.NewBook(fair.Options{Slots: 8, UrgentCredit: 4000, DebtCap: 60000})
-//	b.SetShare(account, 2)
-//	b.Arrive(account)                   // its first request waits here
-//	i := b.Pick(candidates)             // whom to serve now
-//	b.Reserve(account, estimate)        // a place is taken
-//	b.Charge(account, tokens, estimate) // it was served some of it
-//	b.Release(account, rest)            // the attempt ended
-//	b.Merge(totals)                     // the rest of the fleet
+//	t := fair.NewTracker(fair.Options{Slots: 8, UrgentCredit: 4000, DebtCap: 60000})
+//	t.SetShare(account, 2)
+//	t.StartWaiting(account)             // its first request is queued
+//	i := t.Pick(candidates)             // the account to serve next
+//	t.Reserve(account, estimate)        // a slot is taken
+//	t.Charge(account, tokens, estimate) // some of the request was served
+//	t.Release(account, rest)            // the attempt ended
+//	t.Merge(sequence, totals)           // totals of the rest of the fleet
 //
-// Everything is pure: no clock, lock or I/O. Costs are weighted tokens; service
-// is weighted tokens divided by share.
+// The package uses no clock, lock or I/O. Costs are weighted tokens. Service is
+// normalized: weighted tokens divided by share. The virtual time of an account is
+// its service, what is reserved for its running requests, and its adjustment.
 package fair
 
 import (
 	"math"
 )
 
-// Account is the number that the configuration gave a client account.
+// Account is the number that identifies a client account in the configuration.
 type Account uint32
 
-// Lift moves an account's standing without service: up when it comes back after
-// being idle or has fallen behind by more than the debt cap, down when it is
-// ahead by more than the cap. Of two lifts the higher version wins, then the
-// higher value.
+// Adjustment changes an account's virtual time without service: up when the account
+// returns after being idle or is behind by more than the debt cap, down when it is
+// ahead by more than the cap. Of two adjustments the one with the higher version
+// wins, then the one with the higher value.
 type Adjustment struct {
 	Version uint64
-	Value   float64 // service
+	Value   float64 // normalized service
 }
 
-// After reports whether l replaces o.
-func (l Adjustment) Supersedes(o Adjustment) bool {
-	if l.Version != o.Version {
-		return l.Version > o.Version
+// Supersedes reports whether a replaces o.
+func (a Adjustment) Supersedes(o Adjustment) bool {
+	if a.Version != o.Version {
+		return a.Version > o.Version
 	}
-	return l.Value > o.Value
+	return a.Value > o.Value
 }
 
-// Total is what a Book learns or tells of one account.
+// Total is the state of one account that agents and summing routers exchange.
 type Total struct {
 	Account    Account
-	Service    float64 // cumulative
-	Pending    float64 // reserved for what runs, and not yet served
+	Service    float64 // cumulative, normalized
+	Pending    float64 // reserved for running requests and not yet served
 	Slots      float64 // slots of the servers at which the account waits
 	Adjustment Adjustment
 }
 
-// Candidate is an account that waits for a place.
+// Candidate is an account with a request that waits for a slot.
 type Candidate struct {
 	Account Account
 	Urgent  bool
 }
 
-// Policy is a way to pick; all but Fleet are baselines to compare with.
+// Policy selects how accounts are ordered. All but Corrected are baselines for
+// comparison.
 type Policy int
 
 // The policies.
 const (
-	Corrected   Policy = iota // this server's own service, corrected by fleet totals
-	Uncorrected               // fleet totals as they were last heard, uncorrected
-	LocalOnly                 // this server's own counters only
-	Unordered                 // the first candidate
+	Corrected   Policy = iota // service at this server, corrected by the fleet's totals
+	Uncorrected               // the fleet's totals as last received
+	LocalOnly                 // service at this server only
+	Unordered                 // always the first candidate
 )
 
-// Options set up a Book.
+// Options configures a Tracker.
 type Options struct {
-	Slots        float64 // requests the server takes at once
-	UrgentCredit float64 // weighted tokens an account may borrow for urgent work
-	DebtCap      float64 // weighted tokens of share one beyond which debts are forgiven
+	Slots        float64 // concurrent requests that the server accepts
+	UrgentCredit float64 // weighted tokens that an account may borrow for urgent requests
+	DebtCap      float64 // largest difference that is kept, in weighted tokens at a share of one
 	Policy       Policy
 }
 
-// Book is one agent's view of every account's service. It is for one goroutine.
+// Tracker holds one agent's view of the service that every account received. It is
+// not safe for concurrent use.
 type Tracker struct {
 	options           Options
 	index             map[Account]int
 	accounts          []accountState
 	sequence          uint64
-	lastVirtualTime   float64 // standing of the account picked last
-	lastKey           float64 // key of the account picked last
-	correctedSequence uint64  // report whose totals were last used to correct
-	maxSlots          float64 // largest reach of any account seen; zero: no totals yet
+	lastVirtualTime   float64 // virtual time of the account picked last
+	lastKey           float64 // scheduling key of the account picked last
+	correctedSequence uint64  // report whose totals were used for the latest correction
+	maxSlots          float64 // largest slot count of any account seen; zero before any totals
 	pickCount         uint64
 	reportBuf         []Total
 	sortBuf           []float64
 }
 
 const (
-	// lateReports is how many reports old an answer may be.
+	// maxReportLag is how many reports behind an answer is too late to be merged.
 	maxReportLag = 16
-	// gain is the part of a difference that is made good with each report. What
-	// runs and has not been served yet blurs the totals; a larger gain follows
-	// that noise, a smaller one takes longer to correct a bad set of servers.
+	// correctionGain is the fraction of a difference that is corrected with each
+	// report. Requests that run but are not yet charged add noise to the totals: a
+	// larger gain follows that noise, a smaller one takes longer to correct an
+	// uneven set of servers.
 	correctionGain = 0.08
 )
 
+// accountState holds one account's service and priority. Amounts of service are
+// normalized.
 type accountState struct {
 	account      Account
 	share        float64
-	local        float64 // served here
-	pending      float64 // reserved here and not yet served
-	remote       float64 // served and reserved elsewhere, as last heard
+	local        float64 // served at this server
+	pending      float64 // reserved at this server and not yet served
+	remote       float64 // served and reserved at other servers, as last received
 	slots        float64
-	correction   float64 // what is taken off its service here to correct the fleet's
+	correction   float64 // subtracted from the local service in the scheduling key
 	adjustment   Adjustment
 	waiting      bool
 	lastReported float64
-	adjusted     bool   // since the last report
-	lastPick     uint64 // when it was picked last, in picks
+	adjusted     bool   // whether adjustment changed since the last report
+	lastPick     uint64 // pickCount when it was last picked
 }
 
-// NewBook returns an empty book.
+// NewTracker returns a tracker without accounts.
 func NewTracker(o Options) *Tracker {
 	return &Tracker{options: o, index: map[Account]int{}}
 }
 
-// SetLimits replaces the credit and the cap.
-func (b *Tracker) SetLimits(urgentCredit, debtCap float64) {
-	b.options.UrgentCredit = urgentCredit
-	b.options.DebtCap = debtCap
+// SetLimits replaces the urgent credit and the debt cap.
+func (tr *Tracker) SetLimits(urgentCredit, debtCap float64) {
+	tr.options.UrgentCredit = urgentCredit
+	tr.options.DebtCap = debtCap
 }
 
-// SetSlots tells how many requests the server takes at once now.
-func (b *Tracker) SetSlots(slots float64) { b.options.Slots = slots }
+// SetSlots sets how many concurrent requests the server accepts.
+func (tr *Tracker) SetSlots(slots float64) { tr.options.Slots = slots }
 
-// SetShare sets an account's share of capacity; it counts from now on. A share
-// of zero or less counts as one.
-func (b *Tracker) SetShare(a Account, share float64) {
+// SetShare sets an account's share of capacity for later charges. A share of zero
+// or less counts as one.
+func (tr *Tracker) SetShare(a Account, share float64) {
 	if share <= 0 {
 		share = 1
 	}
-	b.state(a).share = share
+	tr.state(a).share = share
 }
 
-func (b *Tracker) state(a Account) *accountState {
-	i, known := b.index[a]
+// state returns the state of an account, which it creates if necessary.
+func (tr *Tracker) state(a Account) *accountState {
+	i, known := tr.index[a]
 	if !known {
-		i = len(b.accounts)
-		b.index[a] = i
-		b.accounts = append(b.accounts, accountState{account: a, share: 1})
+		i = len(tr.accounts)
+		tr.index[a] = i
+		tr.accounts = append(tr.accounts, accountState{account: a, share: 1})
 	}
-	return &b.accounts[i]
+	return &tr.accounts[i]
 }
 
-// Standing returns the account's service over the fleet, as known here, with what
-// is reserved for it and its lift.
-func (b *Tracker) VirtualTime(a Account) float64 { return b.virtualTime(b.state(a)) }
+// VirtualTime returns the account's normalized service over the fleet, as far as
+// this agent knows, plus what is reserved for it and its adjustment.
+func (tr *Tracker) VirtualTime(a Account) float64 { return tr.virtualTime(tr.state(a)) }
 
-func (b *Tracker) virtualTime(s *accountState) float64 {
-	if b.options.Policy == LocalOnly {
+func (tr *Tracker) virtualTime(s *accountState) float64 {
+	if tr.options.Policy == LocalOnly {
 		return s.local + s.pending + s.adjustment.Value
 	}
 	return s.remote + s.local + s.pending + s.adjustment.Value
 }
 
-// key orders accounts for a place here: the least is served next.
-func (b *Tracker) schedulingKey(s *accountState) float64 {
-	if b.options.Policy == Corrected {
+// schedulingKey returns the priority of an account at this server: the least is
+// served next.
+func (tr *Tracker) schedulingKey(s *accountState) float64 {
+	if tr.options.Policy == Corrected {
 		return s.local + s.pending - s.correction
 	}
-	return b.virtualTime(s)
+	return tr.virtualTime(s)
 }
 
-// part is this server's part of what is done for an account over the fleet.
-func (b *Tracker) serverFraction(s *accountState) float64 {
-	if b.options.Policy != Corrected || b.options.Slots <= 0 {
+// serverFraction returns this server's fraction of the slots that may serve an
+// account.
+func (tr *Tracker) serverFraction(s *accountState) float64 {
+	if tr.options.Policy != Corrected || tr.options.Slots <= 0 {
 		return 1
 	}
-	return b.options.Slots / math.Max(s.slots, b.options.Slots)
+	return tr.options.Slots / math.Max(s.slots, tr.options.Slots)
 }
 
-// credit is this server's part of what the account may borrow for urgent work. An
-// account that has just begun to wait is not yet known to wait elsewhere, and
-// would get the whole credit at every server; the widest reach seen stands in.
-func (b *Tracker) urgentCredit(s *accountState) float64 {
-	whole := b.options.UrgentCredit / s.share
-	if b.options.Policy != Corrected {
-		return whole
+// urgentCredit returns this server's fraction of what the account may borrow for
+// urgent requests. While an account has just begun to wait, other servers' slots are
+// not yet counted for it, and it would get the whole credit at every server.
+// Therefore the largest slot count seen for any account is used as a minimum.
+func (tr *Tracker) urgentCredit(s *accountState) float64 {
+	total := tr.options.UrgentCredit / s.share
+	if tr.options.Policy != Corrected {
+		return total
 	}
-	if b.maxSlots == 0 {
+	if tr.maxSlots == 0 {
 		return 0
 	}
-	return whole * b.options.Slots / max(b.options.Slots, s.slots, b.maxSlots)
+	return total * tr.options.Slots / max(tr.options.Slots, s.slots, tr.maxSlots)
 }
 
-// Pick returns the index of the candidate to serve next: the account furthest
-// behind, an urgent candidate counting as further behind by the credit. Of equals
-// the one picked longest ago wins. It returns -1 when there is no candidate.
-func (b *Tracker) Pick(candidates []Candidate) int {
+// Pick returns the index of the candidate to serve next: the account with the least
+// scheduling key, which is lowered by the urgent credit for an urgent candidate. Of
+// equals the one picked longest ago wins. It returns -1 when there is no candidate.
+func (tr *Tracker) Pick(candidates []Candidate) int {
 	if len(candidates) == 0 {
 		return -1
 	}
-	if b.options.Policy == Unordered {
+	if tr.options.Policy == Unordered {
 		return 0
 	}
-	best, least, oldest := -1, math.Inf(1), uint64(0)
+	best, minKey, oldest := -1, math.Inf(1), uint64(0)
 	for i, c := range candidates {
-		s := b.state(c.Account)
-		v := b.schedulingKey(s)
+		s := tr.state(c.Account)
+		k := tr.schedulingKey(s)
 		if c.Urgent {
-			v -= b.urgentCredit(s)
+			k -= tr.urgentCredit(s)
 		}
 		older := s.lastPick < oldest || (s.lastPick == oldest && c.Urgent)
-		if best < 0 || v < least || (v == least && older) {
-			best, least, oldest = i, v, s.lastPick
+		if best < 0 || k < minKey || (k == minKey && older) {
+			best, minKey, oldest = i, k, s.lastPick
 		}
 	}
-	b.pickCount++
-	s := b.state(candidates[best].Account)
-	s.lastPick = b.pickCount
-	b.lastVirtualTime = b.virtualTime(s)
-	b.lastKey = b.schedulingKey(s)
+	tr.pickCount++
+	s := tr.state(candidates[best].Account)
+	s.lastPick = tr.pickCount
+	tr.lastVirtualTime = tr.virtualTime(s)
+	tr.lastKey = tr.schedulingKey(s)
 	return best
 }
 
-// Gap returns the largest difference in standing between accounts that wait
-// here, and how many there are.
-func (b *Tracker) Gap() (gap float64, waiting int) {
-	least, most := math.Inf(1), math.Inf(-1)
-	for i := range b.accounts {
-		s := &b.accounts[i]
+// Gap returns the largest difference in virtual time between the accounts that wait
+// at this server, and the number of these accounts.
+func (tr *Tracker) Gap() (gap float64, waiting int) {
+	lowest, highest := math.Inf(1), math.Inf(-1)
+	for i := range tr.accounts {
+		s := &tr.accounts[i]
 		if !s.waiting {
 			continue
 		}
-		v := b.virtualTime(s)
-		least, most = math.Min(least, v), math.Max(most, v)
+		v := tr.virtualTime(s)
+		lowest, highest = math.Min(lowest, v), math.Max(highest, v)
 		waiting++
 	}
 	if waiting == 0 {
 		return 0, 0
 	}
-	return most - least, waiting
+	return highest - lowest, waiting
 }
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -12,12 +12,12 @@
 )
 
 func ExampleTracker_Pick() {
-	b := fair.NewTracker(fair.Options{Slots: 8})
-	b.SetShare(1, 2)
-	b.SetShare(2, 1)
-	b.Charge(1, 100, 0) // 50 for each of its two shares
-	b.Charge(2, 80, 0)
-	at := b.Pick([]fair.Candidate{{Account: 1}, {Account: 2}})
+	tr := fair.NewTracker(fair.Options{Slots: 8})
+	tr.SetShare(1, 2)
+	tr.SetShare(2, 1)
+	tr.Charge(1, 100, 0) // normalized service 50 at a share of two
+	tr.Charge(2, 80, 0)
+	at := tr.Pick([]fair.Candidate{{Account: 1}, {Account: 2}})
 	fmt.Println("picked candidate", at)
 	// Output: picked candidate 0
 }
@@ -29,7 +29,7 @@
 		candidates []fair.Candidate
 		want       int
 	}{
-		{"nobody", nil, nil, -1},
+		{"no candidate", nil, nil, -1},
 		{"furthest behind", map[fair.Account]float64{1: 10, 2: 5}, []fair.Candidate{{Account: 1}, {Account: 2}}, 1},
 		{"urgent within credit", map[fair.Account]float64{1: 10, 2: 5}, []fair.Candidate{{Account: 1, Urgent: true}, {Account: 2}}, 0},
 		{"urgent beyond credit", map[fair.Account]float64{1: 100, 2: 5}, []fair.Candidate{{Account: 1, Urgent: true}, {Account: 2}}, 1},
@@ -37,90 +37,91 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := fair.NewTracker(fair.Options{Slots: 1, UrgentCredit: 20})
-			sequence, _ := b.Report(true)
-			b.Merge(sequence, []fair.Total{{Account: 9, Slots: 1}})
+			tr := fair.NewTracker(fair.Options{Slots: 1, UrgentCredit: 20})
+			sequence, _ := tr.Report(true)
+			tr.Merge(sequence, []fair.Total{{Account: 9, Slots: 1}})
 			for a, cost := range test.served {
-				b.Charge(a, cost, 0)
+				tr.Charge(a, cost, 0)
 			}
-			require.Equal(t, test.want, b.Pick(test.candidates))
+			require.Equal(t, test.want, tr.Pick(test.candidates))
 		})
 	}
 }
 
 func TestPickRotatesEqualAccounts(t *testing.T) {
-	b := fair.NewTracker(fair.Options{Slots: 1})
+	tr := fair.NewTracker(fair.Options{Slots: 1})
 	candidates := []fair.Candidate{{Account: 1}, {Account: 2}, {Account: 3}}
 	seen := map[int]int{}
 	for range 9 {
-		seen[b.Pick(candidates)]++
+		seen[tr.Pick(candidates)]++
 	}
 	require.Equal(t, map[int]int{0: 3, 1: 3, 2: 3}, seen)
 }
 
-// TestCreditIsOneForTheWholeFleet holds that an account which begins to wait at all
-// servers at once borrows its credit once and not at each of them.
+// TestUrgentCreditIsFleetWide guards against an account that starts to wait at all
+// servers at once and borrows its whole credit at each of them.
 func TestUrgentCreditIsFleetWide(t *testing.T) {
-	b := fair.NewTracker(fair.Options{Slots: 8, UrgentCredit: 4000})
+	tr := fair.NewTracker(fair.Options{Slots: 8, UrgentCredit: 4000})
 	candidates := []fair.Candidate{{Account: 1, Urgent: true}, {Account: 2}}
-	b.Charge(1, 500, 0)
-	require.Equal(t, 1, b.Pick(candidates), "before any totals nothing is lent")
-	sequence, _ := b.Report(true)
-	b.Merge(sequence, []fair.Total{{Account: 3, Slots: 80}})
-	require.Equal(t, 1, b.Pick(candidates), "500 is more than a tenth of the credit")
-	b.Charge(2, 101, 0)
-	require.Equal(t, 0, b.Pick(candidates))
+	tr.Charge(1, 500, 0)
+	require.Equal(t, 1, tr.Pick(candidates), "no credit before the first totals")
+	sequence, _ := tr.Report(true)
+	tr.Merge(sequence, []fair.Total{{Account: 3, Slots: 80}})
+	require.Equal(t, 1, tr.Pick(candidates), "500 is more than a tenth of the credit")
+	tr.Charge(2, 101, 0)
+	require.Equal(t, 0, tr.Pick(candidates))
 }
 
 func TestIdleAccountGainsNoCredit(t *testing.T) {
-	b := fair.NewTracker(fair.Options{Slots: 1})
-	b.StartWaiting(1)
-	b.Charge(1, 1000, 0)
-	b.StartWaiting(2)
-	require.InDelta(t, b.VirtualTime(1), b.VirtualTime(2), 0.001)
+	tr := fair.NewTracker(fair.Options{Slots: 1})
+	tr.StartWaiting(1)
+	tr.Charge(1, 1000, 0)
+	tr.StartWaiting(2)
+	require.InDelta(t, tr.VirtualTime(1), tr.VirtualTime(2), 0.001)
 }
 
 func TestAccountWaitingElsewhereIsNotAdjusted(t *testing.T) {
-	b := fair.NewTracker(fair.Options{Slots: 1})
-	b.StartWaiting(1)
-	b.Charge(1, 1000, 0)
-	sequence, _ := b.Report(true)
-	require.True(t, b.Merge(sequence, []fair.Total{{Account: 2, Service: 10, Slots: 4}}))
-	b.StartWaiting(2)
-	require.InDelta(t, 10, b.VirtualTime(2), 0.001)
+	tr := fair.NewTracker(fair.Options{Slots: 1})
+	tr.StartWaiting(1)
+	tr.Charge(1, 1000, 0)
+	sequence, _ := tr.Report(true)
+	require.True(t, tr.Merge(sequence, []fair.Total{{Account: 2, Service: 10, Slots: 4}}))
+	tr.StartWaiting(2)
+	require.InDelta(t, 10, tr.VirtualTime(2), 0.001)
 }
 
 func TestCapDebts(t *testing.T) {
-	b := fair.NewTracker(fair.Options{Slots: 1, DebtCap: 100})
+	tr := fair.NewTracker(fair.Options{Slots: 1, DebtCap: 100})
 	costs := []float64{0, 5000, 5010, 9000}
 	for i := range costs {
-		b.StartWaiting(fair.Account(i + 1))
+		tr.StartWaiting(fair.Account(i + 1))
 	}
 	for i, cost := range costs {
-		b.Charge(fair.Account(i+1), cost, 0)
+		tr.Charge(fair.Account(i+1), cost, 0)
 	}
-	before := b.VirtualTime(3) - b.VirtualTime(2)
-	require.Positive(t, b.CapDebts())
-	gap, waiting := b.Gap()
+	before := tr.VirtualTime(3) - tr.VirtualTime(2)
+	require.Positive(t, tr.CapDebts())
+	gap, waiting := tr.Gap()
 	require.Equal(t, 4, waiting)
 	require.LessOrEqual(t, gap, 100.0)
-	require.InDelta(t, before, b.VirtualTime(3)-b.VirtualTime(2), 0.001, "those near the median keep their difference")
+	require.InDelta(t, before, tr.VirtualTime(3)-tr.VirtualTime(2), 0.001, "accounts near the median keep their difference")
 }
 
-// TestMergeIgnoresRepeats shows that a late or repeated answer changes nothing.
+// TestMergeRejectsInvalidSequence checks that totals for an unknown or old report
+// change nothing.
 func TestMergeRejectsInvalidSequence(t *testing.T) {
-	b := fair.NewTracker(fair.Options{Slots: 1})
-	sequence, _ := b.Report(true)
-	require.False(t, b.Merge(sequence+1, nil), "totals for a report that was not made")
+	tr := fair.NewTracker(fair.Options{Slots: 1})
+	sequence, _ := tr.Report(true)
+	require.False(t, tr.Merge(sequence+1, nil), "totals for a report that was not made")
 	for range 20 {
-		b.Report(true)
+		tr.Report(true)
 	}
-	require.False(t, b.Merge(sequence, []fair.Total{{Account: 1, Service: 5}}), "totals that are too late")
-	require.Zero(t, b.VirtualTime(1))
+	require.False(t, tr.Merge(sequence, []fair.Total{{Account: 1, Service: 5}}), "totals that are too old")
+	require.Zero(t, tr.VirtualTime(1))
 }
 
-// TestAgentsTogetherStayFair runs several agents' books against each other with
-// totals that are old, and holds the gap in true service to the stated bound.
+// TestFleetGapWithinBound runs the trackers of several agents with outdated totals
+// and checks that the gap in actual service stays within GapBound.
 func TestFleetGapWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		agents := rapid.IntRange(1, 6).Draw(t, "agents")
@@ -141,7 +142,8 @@
 	})
 }
 
-// model is a fleet of books, each with one place, whose requests take a round.
+// fleetModel is a fleet of trackers with one slot each, whose requests take one
+// round.
 type fleetModel struct {
 	trackers []*fair.Tracker
 	share    []float64
@@ -165,10 +167,10 @@
 }
 
 func (m *fleetModel) start() {
-	for _, b := range m.trackers {
+	for _, tr := range m.trackers {
 		for a, share := range m.share {
-			b.SetShare(fair.Account(a), share)
-			b.StartWaiting(fair.Account(a))
+			tr.SetShare(fair.Account(a), share)
+			tr.StartWaiting(fair.Account(a))
 		}
 	}
 	m.exchange()
@@ -179,11 +181,11 @@
 	for a := range candidates {
 		candidates[a].Account = fair.Account(a)
 	}
-	for _, b := range m.trackers {
-		a := b.Pick(candidates)
+	for _, tr := range m.trackers {
+		a := tr.Pick(candidates)
 		cost := 1 + float64(m.random(maxCost))
-		b.Reserve(fair.Account(a), maxCost/2)
-		b.Charge(fair.Account(a), cost, maxCost/2)
+		tr.Reserve(fair.Account(a), maxCost/2)
+		tr.Charge(fair.Account(a), cost, maxCost/2)
 		m.service[a] += cost / m.share[a]
 	}
 }
@@ -191,15 +193,15 @@
 func (m *fleetModel) exchange() {
 	reports := make([]map[fair.Account]float64, len(m.trackers))
 	sequences := make([]uint64, len(m.trackers))
-	for i, b := range m.trackers {
-		sequence, totals := b.Report(true)
+	for i, tr := range m.trackers {
+		sequence, totals := tr.Report(true)
 		sequences[i] = sequence
 		reports[i] = map[fair.Account]float64{}
 		for _, total := range totals {
 			reports[i][total.Account] = total.Service
 		}
 	}
-	for i, b := range m.trackers {
+	for i, tr := range m.trackers {
 		var others []fair.Total
 		for a := range m.share {
 			sum := 0.0
@@ -210,33 +212,33 @@
 			}
 			others = append(others, fair.Total{Account: fair.Account(a), Service: sum, Slots: float64(len(m.trackers))})
 		}
-		b.Merge(sequences[i], others)
+		tr.Merge(sequences[i], others)
 	}
 }
 
 func (m *fleetModel) gap() float64 {
-	least, most := math.Inf(1), 0.0
+	lowest, highest := math.Inf(1), 0.0
 	for _, s := range m.service {
-		least, most = math.Min(least, s), math.Max(most, s)
+		lowest, highest = math.Min(lowest, s), math.Max(highest, s)
 	}
-	return most - least
+	return highest - lowest
 }
 
 func (m *fleetModel) bound(age int) float64 {
-	least := math.Inf(1)
+	minShare := math.Inf(1)
 	for _, s := range m.share {
-		least = math.Min(least, s)
+		minShare = math.Min(minShare, s)
 	}
 	n := float64(len(m.trackers))
-	return fair.GapBound{MaxCost: maxCost, Slots: n, ServiceRate: n * maxCost, TotalsAge: float64(age), MinShare: least}.Value()
+	return fair.GapBound{MaxCost: maxCost, Slots: n, ServiceRate: n * maxCost, TotalsAge: float64(age), MinShare: minShare}.Value()
 }
 
 func BenchmarkPick(b *testing.B) {
 	const accounts, backlogged = 400, 40
-	book := fair.NewTracker(fair.Options{Slots: 64, UrgentCredit: 4000})
+	tr := fair.NewTracker(fair.Options{Slots: 64, UrgentCredit: 4000})
 	for a := range accounts {
-		book.SetShare(fair.Account(a), 1)
-		book.Charge(fair.Account(a), float64(a%backlogged), 0)
+		tr.SetShare(fair.Account(a), 1)
+		tr.Charge(fair.Account(a), float64(a%backlogged), 0)
 	}
 	var candidates []fair.Candidate
 	for a := range backlogged {
@@ -244,27 +246,27 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		at := book.Pick(candidates)
-		book.Reserve(candidates[at].Account, 100)
-		book.Charge(candidates[at].Account, 100, 100)
+		at := tr.Pick(candidates)
+		tr.Reserve(candidates[at].Account, 100)
+		tr.Charge(candidates[at].Account, 100, 100)
 	}
 }
 
 func BenchmarkMerge(b *testing.B) {
 	const accounts, backlogged = 400, 40
-	book := fair.NewTracker(fair.Options{Slots: 64, DebtCap: 60000})
+	tr := fair.NewTracker(fair.Options{Slots: 64, DebtCap: 60000})
 	var totals []fair.Total
 	for a := range accounts {
-		book.SetShare(fair.Account(a), 1)
+		tr.SetShare(fair.Account(a), 1)
 		if a < backlogged {
-			book.StartWaiting(fair.Account(a))
+			tr.StartWaiting(fair.Account(a))
 			totals = append(totals, fair.Total{Account: fair.Account(a), Service: float64(a), Slots: 640})
 		}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		sequence, _ := book.Report(false)
-		book.Merge(sequence, totals)
-		book.CapDebts()
+		sequence, _ := tr.Report(false)
+		tr.Merge(sequence, totals)
+		tr.CapDebts()
 	}
 }
--- a/fair/merge.go
+++ b/fair/merge.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// This file tells service to the fleet and takes the fleet's totals over.
+// This file exchanges service totals with the rest of the fleet.
 
 // Report returns a sequence number and the totals that changed since the last
-// report, or all: this server's own service, its slots where the account waits,
-// and the lift if it moved. The slice is valid until the next call.
-func (b *Tracker) Report(all bool) (uint64, []Total) {
-	b.sequence++
-	b.reportBuf = b.reportBuf[:0]
-	for i := range b.accounts {
-		s := &b.accounts[i]
+// report, or all totals: the service at this server, its slots where the account
+// waits, and the adjustment if it changed. The slice is valid until the next call.
+func (tr *Tracker) Report(all bool) (uint64, []Total) {
+	tr.sequence++
+	tr.reportBuf = tr.reportBuf[:0]
+	for i := range tr.accounts {
+		s := &tr.accounts[i]
 		if !all && s.local == s.lastReported && s.pending == 0 && !s.adjusted && !s.waiting {
 			continue
 		}
@@ -20,98 +20,99 @@
 			t.Adjustment = s.adjustment
 		}
 		if s.waiting {
-			t.Slots = b.options.Slots
+			t.Slots = tr.options.Slots
 		}
 		s.lastReported = s.local
 		s.adjusted = false
-		b.reportBuf = append(b.reportBuf, t)
+		tr.reportBuf = append(tr.reportBuf, t)
 	}
-	return b.sequence, b.reportBuf
+	return tr.sequence, tr.reportBuf
 }
 
-// Peek returns the standing of every account: fleet service as known here, and
-// where the account waits here its reach.
-func (b *Tracker) Snapshot() (uint64, []Total) {
-	totals := make([]Total, len(b.accounts))
-	for i := range b.accounts {
-		s := &b.accounts[i]
-		totals[i] = Total{Account: s.account, Service: b.virtualTime(s), Adjustment: s.adjustment}
+// Snapshot returns the virtual time of every account as its service, and the slot
+// count of the accounts that wait at this server.
+func (tr *Tracker) Snapshot() (uint64, []Total) {
+	totals := make([]Total, len(tr.accounts))
+	for i := range tr.accounts {
+		s := &tr.accounts[i]
+		totals[i] = Total{Account: s.account, Service: tr.virtualTime(s), Adjustment: s.adjustment}
 		if s.waiting {
-			totals[i].Slots = math.Max(s.slots, b.options.Slots)
+			totals[i].Slots = math.Max(s.slots, tr.options.Slots)
 		}
 	}
-	return b.sequence, totals
+	return tr.sequence, totals
 }
 
-// Merge takes in the rest of the fleet's totals, as they were when the report of
-// that sequence number had been counted. Accounts that are not named keep their
-// service and count as waiting nowhere else. Answers that are too late are
-// dropped, and Merge reports false.
-func (b *Tracker) Merge(sequence uint64, totals []Total) bool {
-	if sequence+maxReportLag <= b.sequence || sequence > b.sequence {
+// Merge applies the totals of the rest of the fleet, computed after the report with
+// that sequence number was counted. Accounts that are not listed keep their service
+// and count as waiting nowhere else. Merge ignores totals for a report that was not
+// made or is too old, and reports whether it applied them.
+func (tr *Tracker) Merge(sequence uint64, totals []Total) bool {
+	if sequence+maxReportLag <= tr.sequence || sequence > tr.sequence {
 		return false
 	}
-	for i := range b.accounts {
-		b.accounts[i].slots = 0
+	for i := range tr.accounts {
+		tr.accounts[i].slots = 0
 	}
 	for _, t := range totals {
-		s := b.state(t.Account)
+		s := tr.state(t.Account)
 		s.remote = t.Service + t.Pending
 		s.slots = t.Slots
-		b.maxSlots = max(b.maxSlots, t.Slots)
+		tr.maxSlots = max(tr.maxSlots, t.Slots)
 		if t.Adjustment.Supersedes(s.adjustment) {
 			s.adjustment = t.Adjustment
 		}
 	}
-	if sequence > b.correctedSequence {
-		b.correctedSequence = sequence
-		b.applyCorrection()
+	if sequence > tr.correctedSequence {
+		tr.correctedSequence = sequence
+		tr.applyCorrection()
 	}
 	return true
 }
 
-// steer moves the turns of the accounts that wait here towards where the fleet's
-// totals put them: as far from the mean turn as this server's part of what they
-// are ahead of the mean over the fleet. A turn already moved and not yet taken is
-// not moved again.
-func (b *Tracker) applyCorrection() {
-	meanStanding, meanKey, n := 0.0, 0.0, 0.0
-	for i := range b.accounts {
-		if s := &b.accounts[i]; s.waiting {
-			meanStanding += b.virtualTime(s)
-			meanKey += b.schedulingKey(s)
+// applyCorrection moves the scheduling keys of the accounts that wait at this server
+// towards their targets. The target's distance from the mean key is this server's
+// fraction of the account's distance from the mean virtual time over the fleet. A
+// correction that was applied and not yet used up by a pick is part of the key, so
+// it is not applied again.
+func (tr *Tracker) applyCorrection() {
+	meanTime, meanKey, n := 0.0, 0.0, 0.0
+	for i := range tr.accounts {
+		if s := &tr.accounts[i]; s.waiting {
+			meanTime += tr.virtualTime(s)
+			meanKey += tr.schedulingKey(s)
 			n++
 		}
 	}
 	if n < 2 {
 		return
 	}
-	meanStanding /= n
+	meanTime /= n
 	meanKey /= n
-	for i := range b.accounts {
-		s := &b.accounts[i]
+	for i := range tr.accounts {
+		s := &tr.accounts[i]
 		if !s.waiting {
 			continue
 		}
-		target := meanKey + (b.virtualTime(s)-meanStanding)*b.serverFraction(s)
-		s.correction += correctionGain * (b.schedulingKey(s) - target)
-		b.clampCorrection(s)
+		target := meanKey + (tr.virtualTime(s)-meanTime)*tr.serverFraction(s)
+		s.correction += correctionGain * (tr.schedulingKey(s) - target)
+		tr.clampCorrection(s)
 	}
 }
 
-// holdNear keeps an account's turn here within this server's part of the debt cap
-// of the present one: a difference that lasts, because the servers an account can
-// use differ, must not pile up.
-func (b *Tracker) clampCorrection(s *accountState) {
-	limit := b.options.DebtCap * b.serverFraction(s)
+// clampCorrection keeps an account's scheduling key within this server's fraction of
+// the debt cap around the key picked last. A lasting difference, which arises when
+// accounts can use different servers, must not accumulate.
+func (tr *Tracker) clampCorrection(s *accountState) {
+	limit := tr.options.DebtCap * tr.serverFraction(s)
 	if limit <= 0 {
 		return
 	}
-	k := b.schedulingKey(s)
+	k := tr.schedulingKey(s)
 	switch {
-	case k > b.lastKey+limit:
-		s.correction += k - b.lastKey - limit
-	case k < b.lastKey-limit:
-		s.correction -= b.lastKey - limit - k
+	case k > tr.lastKey+limit:
+		s.correction += k - tr.lastKey - limit
+	case k < tr.lastKey-limit:
+		s.correction -= tr.lastKey - limit - k
 	}
 }
