--- a/ledger/fleet.go
+++ b/ledger/fleet.go
@@ -11,36 +11,38 @@
 // Fleet merges the sums of all halls.
 type Fleet struct {
 	halls  map[string]*hallView
-	totals []fair.Total // of all halls, sorted; nil: to be added up anew
+	totals []fair.Total // of all halls, sorted; nil if they must be summed again
 }
 
+// hallView holds what is known of one hall.
 type hallView struct {
 	service     map[fair.Account]float64
 	adjustments map[fair.Account]fair.Adjustment
 	reports     map[string]*routerReport // by summing router
 }
 
-// latest is what only the latest word of a summing router tells.
+// routerReport holds the slots and pending service from the latest message of a
+// summing router.
 type routerReport struct {
 	sequence uint64
 	totals   map[fair.Account]fair.Total
-	age      int // ticks since it was heard
+	age      int // ticks since it was received
 }
 
 // NewFleet returns a fleet without halls.
 func NewFleet() *Fleet { return &Fleet{halls: map[string]*hallView{}} }
 
-// HallSum is a hall's totals as one summing router told them.
+// HallSum is a message of one summing router with the totals of its hall.
 type HallSum struct {
 	Hall     string
-	Source   string // the router and its incarnation
+	Source   string // router and its incarnation
 	Sequence uint64
 	Totals   []fair.Total
 }
 
-// Merge takes in a hall's totals. Service and lifts are merged whatever the order
-// they come in; reach and what is pending count only if the source's sequence
-// number is new.
+// Merge applies the totals of a hall. Service and adjustments are merged in any order
+// of arrival; slots and pending service count only if the sequence number of the
+// source is new.
 func (f *Fleet) Merge(s HallSum) {
 	f.totals = nil
 	v := f.hall(s.Hall)
@@ -48,8 +50,8 @@
 	v.mergeReport(s)
 }
 
-// Update takes in the totals of some accounts of a hall that is summed here, and
-// leaves its other accounts as they are.
+// Update applies the totals of some accounts of a hall that this router sums itself.
+// Other accounts stay as they are.
 func (f *Fleet) Update(s HallSum) {
 	v := f.hall(s.Hall)
 	v.mergeService(s.Totals)
@@ -65,9 +67,9 @@
 	}
 }
 
-// refresh adds one account up anew in the total that is kept.
+// recompute sums one account again in the cached totals.
 func (f *Fleet) recompute(a fair.Account) {
-	at, known := slices.BinarySearchFunc(f.totals, a, func(t fair.Total, a fair.Account) int { return cmp.Compare(t.Account, a) })
+	i, known := slices.BinarySearchFunc(f.totals, a, func(t fair.Total, a fair.Account) int { return cmp.Compare(t.Account, a) })
 	if !known {
 		f.totals = nil
 		return
@@ -76,9 +78,10 @@
 	for _, v := range f.halls {
 		v.add(a, &total)
 	}
-	f.totals[at] = total
+	f.totals[i] = total
 }
 
+// hall returns the view of a hall, which it creates if necessary.
 func (f *Fleet) hall(hall string) *hallView {
 	v := f.halls[hall]
 	if v == nil {
@@ -115,8 +118,8 @@
 	v.reports[s.Source] = l
 }
 
-// Tick tells that one interval has passed; reach not heard again for several is
-// dropped.
+// Tick records that one interval has passed. It drops the slots and pending service
+// from routers that have not been heard for several intervals.
 func (f *Fleet) Tick() {
 	f.totals = nil
 	for _, v := range f.halls {
@@ -129,7 +132,7 @@
 	}
 }
 
-// Hall returns what is known of one hall.
+// HallTotals returns the totals of one hall, or nil if it is not known.
 func (f *Fleet) HallTotals(name string) []fair.Total {
 	v := f.halls[name]
 	if v == nil {
@@ -153,15 +156,15 @@
 // Sum returns the fleet's totals.
 func (f *Fleet) Sum() []fair.Total { return f.Excluding(nil) }
 
-// Without returns the fleet's totals less one agent's own.
-func (f *Fleet) Excluding(own map[fair.Account]fair.Total) []fair.Total {
+// Excluding returns the fleet's totals without those of one agent.
+func (f *Fleet) Excluding(agent map[fair.Account]fair.Total) []fair.Total {
 	if f.totals == nil {
 		f.totals = f.sumHalls()
 	}
 	totals := slices.Clone(f.totals)
 	for i := range totals {
 		t := &totals[i]
-		o := own[t.Account]
+		o := agent[t.Account]
 		t.Service = math.Max(0, t.Service-o.Service)
 		t.Pending = math.Max(0, t.Pending-o.Pending)
 	}
@@ -185,21 +188,23 @@
 	}
 }
 
-// add adds the hall's part of one account to a total.
+// add adds the hall's service, slots and pending service of one account to a total.
 func (v *hallView) add(a fair.Account, t *fair.Total) {
-	reach, pending := v.maxReported(a)
+	slots, pending := v.maxReported(a)
 	t.Service += v.service[a]
-	t.Slots += reach
+	t.Slots += slots
 	t.Pending += pending
 	if l := v.adjustments[a]; l.Supersedes(t.Adjustment) {
 		t.Adjustment = l
 	}
 }
 
-func (v *hallView) maxReported(a fair.Account) (reach, pending float64) {
+// maxReported returns the largest slot count and the largest pending service of an
+// account in the latest messages of the routers.
+func (v *hallView) maxReported(a fair.Account) (slots, pending float64) {
 	for _, l := range v.reports {
-		reach = math.Max(reach, l.totals[a].Slots)
+		slots = math.Max(slots, l.totals[a].Slots)
 		pending = math.Max(pending, l.totals[a].Pending)
 	}
-	return reach, pending
+	return slots, pending
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,20 +1,23 @@
-// Package ledger adds up service over the fleet without a coordinator.
+// Package ledger sums the service of client accounts over the fleet without a
+// coordinator.
 //
 // Every agent reports its cumulative counters to the summing routers of its hall,
-// two or three of them at once. Each keeps a [Hall], whose sum only grows: what a
-// dead agent incarnation served stays counted. Summing routers tell each other
-// their halls' sums; a [Fleet] merges them by maximum, so that a repeat, a loss
-// or a reordering does no harm, and two holders of one hall are as good as one.
+// two or three of them at once. Each of these keeps a [Hall], whose sum of service
+// only grows: what an agent incarnation served stays counted after it ends. Summing
+// routers exchange the sums of their halls. A [Fleet] merges them by maximum, so
+// that it tolerates duplicated, lost and reordered messages, and any number of
+// routers may report the same hall.
 //
 // # Usage
 //
 //	h := ledger.NewHall()
 //	h.Report("agent-3", incarnation, sequence, totals)
 //	f := ledger.NewFleet()
-//	f.Merge("quito-1", "router-2", sequence, h.Sum())
-//	others := f.Without(h.Own("agent-3"))
+//	f.Merge(ledger.HallSum{Hall: "quito-1", Source: "router-2", Sequence: sequence, Totals: h.Sum()})
+//	others := f.Excluding(h.LastReport("agent-3"))
 //
-// The package keeps no time and does no I/O. Who sums is not decided here.
+// The package uses no clock and does no I/O, and it does not decide which routers
+// sum.
 package ledger
 
 import (
@@ -25,31 +28,33 @@
 	"opalbridge.dev/fair"
 )
 
-// Hall sums the counters of one hall's agents.
+// Hall sums the counters of the agents of one hall.
 type Hall struct {
 	agents map[string]*agentState
-	// sum is kept up to date with every report, so that a report costs what it
-	// names and not what the hall holds.
+	// sum is updated with every report, so that the cost of a report depends on
+	// the accounts it lists and not on the number of accounts of the hall.
 	sum map[fair.Account]fair.Total
-	// touched are the accounts that the latest report changed.
+	// changed lists the accounts that the latest report changed.
 	changed []fair.Account
 }
 
+// agentState holds what one agent reported.
 type agentState struct {
 	incarnation      string
 	sequence         uint64
 	totals           map[fair.Account]fair.Total
-	active           []fair.Account // named last with a reach or something pending
-	pastIncarnations []string       // earlier incarnations, latest last
-	silentTicks      int            // ticks without a report
+	active           []fair.Account // accounts with slots or pending service in the latest report
+	pastIncarnations []string       // latest last
+	silentTicks      int            // ticks since the latest report
 }
 
 const (
-	// goneKept is how many earlier incarnations of an agent are remembered so
-	// that their late reports are told from a new one's.
+	// maxPastIncarnations limits how many earlier incarnations of an agent are
+	// remembered. Their late reports are rejected; without the list they would be
+	// taken for those of a new incarnation.
 	maxPastIncarnations = 8
-	// silentTicks is after how many ticks without a report an agent's reach no
-	// longer counts; its service does.
+	// maxSilentTicks is the number of ticks without a report after which an
+	// agent's slots and pending service no longer count. Its service still does.
 	maxSilentTicks = 5
 )
 
@@ -61,8 +66,8 @@
 	}
 }
 
-// Report takes in an agent's cumulative counters and reports whether they were
-// new. Accounts that are not named keep their service and have no reach.
+// Report applies an agent's cumulative counters and reports whether they were new.
+// Accounts that are not listed keep their service and have no slots.
 func (h *Hall) Report(agent, incarnation string, sequence uint64, totals []fair.Total) bool {
 	s := h.agents[agent]
 	if s == nil {
@@ -92,7 +97,7 @@
 	return true
 }
 
-// replace puts an agent's new total of an account in place of its old one.
+// replaceTotal replaces an agent's total of one account and updates the sum.
 func (h *Hall) replaceTotal(s *agentState, t fair.Total) {
 	old := s.totals[t.Account]
 	sum := h.sum[t.Account]
@@ -108,7 +113,7 @@
 	h.changed = append(h.changed, t.Account)
 }
 
-// settle takes away an agent's reach and what is pending there.
+// clearPending removes an agent's slots and pending service from the sum.
 func (h *Hall) clearPending(s *agentState) {
 	for _, a := range s.active {
 		t := s.totals[a]
@@ -118,8 +123,8 @@
 	s.active = s.active[:0]
 }
 
-// retire begins a new incarnation of an agent; what the old one served stays in
-// the sum.
+// startIncarnation begins a new incarnation of an agent. What the old one served
+// stays in the sum.
 func (h *Hall) startIncarnation(s *agentState, incarnation string) {
 	h.clearPending(s)
 	s.pastIncarnations = append(s.pastIncarnations, s.incarnation)
@@ -131,8 +136,8 @@
 	s.totals = map[fair.Account]fair.Total{}
 }
 
-// Tick tells that one reporting interval has passed. Agents that were silent for
-// several lose their reach.
+// Tick records that one reporting interval has passed. Agents that have not reported
+// for several intervals lose their slots and pending service.
 func (h *Hall) Tick() {
 	for _, s := range h.agents {
 		s.silentTicks++
@@ -142,7 +147,7 @@
 	}
 }
 
-// Own returns what the agent reported last, by account.
+// LastReport returns the latest totals of an agent, by account.
 func (h *Hall) LastReport(agent string) map[fair.Account]fair.Total {
 	s := h.agents[agent]
 	if s == nil {
@@ -151,7 +156,8 @@
 	return s.totals
 }
 
-// Silent returns the agents that have not reported for several ticks, sorted.
+// SilentAgents returns the names of the agents that have not reported for several
+// ticks, sorted.
 func (h *Hall) SilentAgents() []string {
 	var names []string
 	for n, s := range h.agents {
@@ -163,7 +169,7 @@
 	return names
 }
 
-// Touched returns the hall's totals of the accounts that the latest report changed.
+// Changed returns the hall's totals of the accounts that the latest report changed.
 func (h *Hall) Changed() []fair.Total {
 	slices.Sort(h.changed)
 	h.changed = slices.Compact(h.changed)
@@ -174,12 +180,12 @@
 	return totals
 }
 
-// Sum returns the hall's totals, by account.
+// Sum returns the hall's totals, sorted by account.
 func (h *Hall) Sum() []fair.Total { return sorted(h.sum) }
 
-// Adopt raises the sum to at least what others know of this hall: a router that
-// begins to sum after a restart has not seen the incarnations that are gone. It
-// is to be called once, when every live agent has reported.
+// RaiseTo raises the sum to at least what other routers know of this hall. A router
+// that starts to sum after a restart has not seen the service of agent incarnations
+// that have ended. It must be called once, after every live agent has reported.
 func (h *Hall) RaiseTo(known []fair.Total) {
 	for _, t := range known {
 		sum := h.sum[t.Account]
@@ -189,6 +195,7 @@
 	}
 }
 
+// sorted returns the totals sorted by account.
 func sorted(m map[fair.Account]fair.Total) []fair.Total {
 	list := make([]fair.Total, 0, len(m))
 	for _, t := range m {
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -28,7 +28,7 @@
 	require.True(t, h.Report("agent-1", "first", 1, total(1, 100)))
 	require.True(t, h.Report("agent-1", "second", 1, total(1, 7)))
 	require.InDelta(t, 107, serviceOf(h.Sum(), 1), 0.001)
-	require.False(t, h.Report("agent-1", "first", 2, total(1, 120)), "a late report of an incarnation that is gone")
+	require.False(t, h.Report("agent-1", "first", 2, total(1, 120)), "a late report of an earlier incarnation")
 	require.InDelta(t, 107, serviceOf(h.Sum(), 1), 0.001)
 }
 
@@ -51,8 +51,8 @@
 	require.Equal(t, []string{"agent-1"}, h.SilentAgents())
 }
 
-// TestFleetBearsAnyDelivery delivers the sums of two summing routers with losses,
-// repeats and in any order, and compares with the truth.
+// TestFleetMergeAnyDelivery delivers the sums of two summing routers lost, duplicated
+// and in any order, and compares the result with the largest sum delivered.
 func TestFleetMergeAnyDelivery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sent []ledger.HallSum
@@ -63,11 +63,11 @@
 			sent = append(sent, ledger.HallSum{Hall: "h", Source: source, Sequence: uint64(i + 1), Totals: total(1, service)})
 		}
 		f := ledger.NewFleet()
-		most := 0.0
-		for _, at := range rapid.SliceOf(rapid.IntRange(0, len(sent)-1)).Draw(t, "deliveries") {
-			f.Merge(sent[at])
-			most = max(most, serviceOf(sent[at].Totals, 1))
-			require.InDelta(t, most, serviceOf(f.Sum(), 1), 0.001)
+		highest := 0.0
+		for _, i := range rapid.SliceOf(rapid.IntRange(0, len(sent)-1)).Draw(t, "deliveries") {
+			f.Merge(sent[i])
+			highest = max(highest, serviceOf(sent[i].Totals, 1))
+			require.InDelta(t, highest, serviceOf(f.Sum(), 1), 0.001)
 		}
 	})
 }
@@ -83,9 +83,9 @@
 	require.InDelta(t, 24, f.Sum()[0].Slots, 0.001)
 }
 
-// TestTotalsWithoutAnAgentAreTheOthers keeps a fleet up to date report by report
-// and holds what an agent is told to what the others reported, at every moment. A
-// total older than the agent's own report would understate the others.
+// TestExcludingMatchesOtherAgents updates a fleet report by report and checks after
+// each that the totals sent to an agent equal what the others reported. Totals older
+// than the agent's own report would understate the others.
 func TestExcludingMatchesOtherAgents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, f := ledger.NewHall(), ledger.NewFleet()
@@ -94,13 +94,13 @@
 		for i := range uint64(30) {
 			agent := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "agent")
 			served[agent] += float64(rapid.IntRange(0, 9).Draw(t, "served"))
-			var named []fair.Total
+			var listed []fair.Total
 			if rapid.Bool().Draw(t, "waits") {
-				named = total(1, served[agent])
+				listed = total(1, served[agent])
 			} else {
-				named = []fair.Total{{Account: 1, Service: served[agent]}}
+				listed = []fair.Total{{Account: 1, Service: served[agent]}}
 			}
-			require.True(t, h.Report(agent, "x", i+1, named))
+			require.True(t, h.Report(agent, "x", i+1, listed))
 			f.Update(ledger.HallSum{Hall: "near", Source: "r", Sequence: i + 1, Totals: h.Changed()})
 			others := 1000.0
 			for name, v := range served {
