--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -1,19 +1,24 @@
-// Package attempt keeps the promise that a request marked not repeatable runs at
-// most once, and that one called not run did not run.
+// Package attempt implements at-most-once execution. A request that is not
+// retryable runs at most once, and a request reported as not executed has not run
+// and will not run.
 //
 // Every try of a request is an attempt, sent to one incarnation of one agent. The
-// router follows it with a [Life]; the agent remembers it in a [Registry], so that
-// an attempt that the router lost sight of can be revoked or found.
+// router tracks the request with a [Lifecycle]. The agent records the attempt in a
+// [Registry], so that a router which lost the connection can revoke the attempt or
+// learn that it has begun. A [KeyStore] detects repeated idempotency keys.
 //
 // # Usage
 //
-//	l := attempt.NewLife(repeatable)
+//	l := attempt.NewLifecycle(retryable)
 //	l.Fire(attempt.Send)
-//	next := l.Fire(attempt.Lose)       // Ask: revoke it before anything else
-//	next = l.Fire(attempt.Revoke)      // Again: it never ran
-//	next = l.Fire(attempt.Vanish)      // Finish{Unknown}, or Again if repeatable
+//	action := l.Fire(attempt.Disconnect)    // RequestRevoke: before anything else
+//	action = l.Fire(attempt.ConfirmRevoked) // Retry: it never ran
 //
-// The package does no I/O; it says what may be done next.
+// If the agent's incarnation is gone instead of confirming:
+//
+//	action = l.Fire(attempt.AgentGone) // Done with Unknown, or Retry if retryable
+//
+// The package does no I/O; it decides what may be done next.
 package attempt
 
 import (
@@ -24,39 +29,40 @@
 	"github.com/qmuntal/stateless"
 )
 
-// Outcome is what became of a request: [NotRun], [Ran] or [Unknown].
+// Outcome is the result of a request: [NotExecuted], [Executed] or [Unknown].
 type Outcome interface{ outcome() }
 
-// Cause tells apart why a request did not get its whole answer.
+// Cause classifies why a request did not get a complete response.
 type Cause string
 
 // The causes.
 const (
-	Refused          Cause = "refused"     // by the agent, for good
-	QueueFull        Cause = "too many"    // the account has its full number waiting
-	Deadline         Cause = "deadline"    // it passed, or would
-	CallerClosed     Cause = "caller left" // while it waited
-	ShuttingDown     Cause = "stopping"    // the router is
-	AttemptsFailed   Cause = "failing"     // several attempts did not run
-	KeyIndeterminate Cause = "untold"      // an idempotency key cannot be told to be new
-	Interrupted      Cause = "broken"      // a server, agent or connection broke
+	Refused          Cause = "refused"     // rejected by the agent; not to be retried
+	QueueFull        Cause = "too many"    // the account has reached its limit of waiting requests
+	Deadline         Cause = "deadline"    // it passed or would pass before the request ends
+	CallerClosed     Cause = "caller left" // the caller closed the connection
+	ShuttingDown     Cause = "stopping"    // the router is shutting down
+	AttemptsFailed   Cause = "failing"     // several attempts were not executed
+	KeyIndeterminate Cause = "untold"      // an idempotency key cannot be proven to be new
+	Interrupted      Cause = "broken"      // a server, an agent or a connection failed
 )
 
-// NotRun says that the request did not run and will not.
+// NotExecuted means that the request did not run and will not run.
 type NotExecuted struct {
 	Cause      Cause
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// Ran says that the request ran, and whether its whole answer arrived.
+// Executed means that the request ran; Complete reports whether its whole response
+// arrived.
 type Executed struct {
 	Complete bool
-	Cause    Cause // of an answer that is not complete
+	Cause    Cause // of an incomplete response
 	Reason   string
 }
 
-// Unknown says that it cannot be known whether the request ran.
+// Unknown means that it cannot be determined whether the request ran.
 type Unknown struct {
 	Cause  Cause
 	Reason string
@@ -66,56 +72,56 @@
 func (Executed) outcome()    {}
 func (Unknown) outcome()     {}
 
-// State is where a request is in its life at the router.
+// State is the state of a request at the router.
 type State string
 
 // The states.
 const (
-	Waiting             State = "waiting"   // no attempt is under way
-	Sent                State = "sent"      // an attempt is on its way, its fate open
-	Admitted            State = "admitted"  // the agent has begun it
-	Responding          State = "answering" // a part of its answer went to the caller
-	SentDisconnected    State = "lost"      // the connection broke before the agent's word
-	StartedDisconnected State = "severed"   // the connection broke after the agent began it
+	Waiting             State = "waiting"   // no attempt is in progress
+	Sent                State = "sent"      // an attempt was sent; whether it has begun is not known
+	Admitted            State = "admitted"  // the agent has begun the attempt
+	Responding          State = "answering" // part of the response went to the caller
+	SentDisconnected    State = "lost"      // the connection broke before the agent replied
+	StartedDisconnected State = "severed"   // the connection broke after the agent had begun the attempt
 	Ended               State = "ended"
 )
 
-// Event is what happened to a request.
+// Event is an input to the state machine of a request.
 type Event string
 
 // The events.
 const (
 	Send           Event = "send"    // an attempt is sent
-	Admit          Event = "admit"   // the agent says it has begun
-	Decline        Event = "decline" // the agent says not run
-	Respond        Event = "answer"  // a part of the answer goes to the caller
-	Disconnect     Event = "lose"    // the connection broke
-	ConfirmRevoked Event = "revoke"  // the agent says revoked, will never run
-	ConfirmStarted Event = "found"   // the agent says started
-	AgentGone      Event = "vanish"  // that incarnation is gone or cannot tell
-	Resume         Event = "resume"  // the answer goes on over another connection
-	Finish         Event = "finish"  // the whole answer has passed
-	Truncate       Event = "cut"     // the answer ended before its end
-	Abandon        Event = "give up" // deadline or caller gone while nothing runs
+	Admit          Event = "admit"   // the agent has begun the attempt
+	Decline        Event = "decline" // the agent has not executed the attempt
+	Respond        Event = "answer"  // part of the response goes to the caller
+	Disconnect     Event = "lose"    // the connection to the agent broke
+	ConfirmRevoked Event = "revoke"  // the agent has revoked the attempt: it will never run
+	ConfirmStarted Event = "found"   // the agent has already begun the attempt
+	AgentGone      Event = "vanish"  // that incarnation of the agent is gone or does not know the attempt
+	Resume         Event = "resume"  // the response continues over another connection
+	Finish         Event = "finish"  // the whole response was forwarded
+	Truncate       Event = "cut"     // the response ended early
+	Abandon        Event = "give up" // the deadline passed or the caller left while no attempt runs
 )
 
-// Next is what the router may do after an event: [Proceed], [Ask], [Again],
-// [Rejoin] or [Stop].
+// Action is what the router may do after an event: [Continue], [RequestRevoke],
+// [Retry], [Reattach] or [Done].
 type Action interface{ action() }
 
-// Proceed says to go on as before.
+// Continue means that nothing changes.
 type Continue struct{}
 
-// Ask says to ask the same incarnation to revoke the attempt.
+// RequestRevoke means that the same incarnation must be asked to revoke the attempt.
 type RequestRevoke struct{}
 
-// Again says that another attempt may be made.
+// Retry means that another attempt may be made.
 type Retry struct{}
 
-// Rejoin says to resume the answer from the same incarnation.
+// Reattach means that the response must be resumed from the same incarnation.
 type Reattach struct{}
 
-// Stop says that the request has ended.
+// Done means that the request has ended.
 type Done struct{ Outcome Outcome }
 
 func (Continue) action()      {}
@@ -124,34 +130,35 @@
 func (Reattach) action()      {}
 func (Done) action()          {}
 
-// Life follows one request at a router. It is for one goroutine.
+// Lifecycle is the state machine of one request at a router. It is not safe for
+// concurrent use.
 type Lifecycle struct {
 	state      State
 	attempts   uint32
 	retryable  bool
-	responded  bool // a part of an answer went to the caller
+	responded  bool // part of a response went to the caller
 	mayHaveRun bool // an earlier attempt may have run
 	action     Action
 }
 
-// NewLife returns the life of a request that waits.
-func NewLifecycle(repeatable bool) *Lifecycle {
-	return &Lifecycle{state: Waiting, retryable: repeatable}
+// NewLifecycle returns the lifecycle of a request in state Waiting.
+func NewLifecycle(retryable bool) *Lifecycle {
+	return &Lifecycle{state: Waiting, retryable: retryable}
 }
 
-// State returns where the request is.
+// State returns the state of the request.
 func (l *Lifecycle) State() State { return l.state }
 
-// Attempts returns how many attempts were sent.
+// Attempts returns the number of attempts sent.
 func (l *Lifecycle) Attempts() uint32 { return l.attempts }
 
-// Fire tells the life of an event and returns what may be done next. An event
-// that cannot happen in the present state is a broken invariant.
+// Fire applies an event and returns what may be done next. It panics if the event is
+// not possible in the current state, which is a violated invariant.
 func (l *Lifecycle) Fire(e Event) Action {
 	l.action = Continue{}
 	ctx := context.WithValue(context.Background(), lifecycleKey{}, l)
 	if err := machine.FireCtx(ctx, e); err != nil {
-		panic(errors.NewAssertionErrorWithWrappedErrf(err, "attempt: %s while %s", e, l.state))
+		panic(errors.NewAssertionErrorWithWrappedErrf(err, "attempt: event %q is not possible in state %q", e, l.state))
 	}
 	return l.action
 }
@@ -160,8 +167,8 @@
 
 func lifecycleFrom(ctx context.Context) *Lifecycle { return ctx.Value(lifecycleKey{}).(*Lifecycle) }
 
-// machine holds the transitions for all lives; each life's state is kept in the
-// life itself, which travels in the context.
+// machine holds the transitions of all lifecycles. The state is kept in the
+// Lifecycle, which is passed in the context.
 var machine = newMachine()
 
 func newMachine() *stateless.StateMachine {
@@ -221,9 +228,9 @@
 	return nil
 }
 
-func setAction(n Action) stateless.ActionFunc {
+func setAction(a Action) stateless.ActionFunc {
 	return func(ctx context.Context, _ ...any) error {
-		lifecycleFrom(ctx).action = n
+		lifecycleFrom(ctx).action = a
 		return nil
 	}
 }
@@ -238,8 +245,8 @@
 	return nil
 }
 
-// doubt lets a repeatable request be tried again, and remembers that it may have
-// run: it can never be called not run any more.
+// retryUncertain allows a retry and records that an earlier attempt may have run, so
+// that the request is never reported as not executed.
 func retryUncertain(ctx context.Context, _ ...any) error {
 	l := lifecycleFrom(ctx)
 	l.mayHaveRun = true
@@ -247,6 +254,7 @@
 	return nil
 }
 
+// abandonRequest ends a request for which no attempt runs.
 func abandonRequest(ctx context.Context, _ ...any) error {
 	l := lifecycleFrom(ctx)
 	if l.mayHaveRun {
@@ -257,8 +265,8 @@
 	return nil
 }
 
-// vanished ends a request whose agent incarnation is gone. What has partly been
-// passed on did run; what has not may have.
+// handleAgentGone ends a request whose agent incarnation is gone. If part of the
+// response was forwarded, the request did run; otherwise it may have run.
 func handleAgentGone(ctx context.Context, _ ...any) error {
 	l := lifecycleFrom(ctx)
 	if l.responded {
@@ -274,7 +282,7 @@
 	return l.retryable && !l.responded
 }
 
-func cannotRetry(ctx context.Context, a ...any) bool { return !canRetry(ctx, a...) }
+func cannotRetry(ctx context.Context, args ...any) bool { return !canRetry(ctx, args...) }
 
 func notResponded(ctx context.Context, _ ...any) bool { return !lifecycleFrom(ctx).responded }
 
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -12,28 +12,28 @@
 
 func TestLifecycleAfterLostAttempt(t *testing.T) {
 	tests := []struct {
-		name       string
-		repeatable bool
-		events     []attempt.Event
-		want       attempt.Action
+		name      string
+		retryable bool
+		events    []attempt.Event
+		want      attempt.Action
 	}{
 		{"declined", false, []attempt.Event{attempt.Send, attempt.Decline}, attempt.Retry{}},
-		{"lost", false, []attempt.Event{attempt.Send, attempt.Disconnect}, attempt.RequestRevoke{}},
+		{"disconnected", false, []attempt.Event{attempt.Send, attempt.Disconnect}, attempt.RequestRevoke{}},
 		{"revoked", false, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.ConfirmRevoked}, attempt.Retry{}},
-		{"found", false, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.ConfirmStarted}, attempt.Reattach{}},
-		{"gone, not repeatable", false, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.AgentGone},
+		{"already begun", false, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.ConfirmStarted}, attempt.Reattach{}},
+		{"agent gone, not retryable", false, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.AgentGone},
 			attempt.Done{Outcome: attempt.Unknown{Cause: attempt.Interrupted, Reason: "the agent that had it is gone"}}},
-		{"gone, repeatable", true, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.AgentGone}, attempt.Retry{}},
-		{"gone after a part of the answer", true, []attempt.Event{attempt.Send, attempt.Admit, attempt.Respond, attempt.Disconnect, attempt.AgentGone},
+		{"agent gone, retryable", true, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.AgentGone}, attempt.Retry{}},
+		{"agent gone after part of the response", true, []attempt.Event{attempt.Send, attempt.Admit, attempt.Respond, attempt.Disconnect, attempt.AgentGone},
 			attempt.Done{Outcome: attempt.Executed{Cause: attempt.Interrupted, Reason: "the answer was cut: its agent is gone"}}},
-		{"given up after it may have run", true, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.AgentGone, attempt.Abandon},
+		{"abandoned after it may have run", true, []attempt.Event{attempt.Send, attempt.Disconnect, attempt.AgentGone, attempt.Abandon},
 			attempt.Done{Outcome: attempt.Unknown{Cause: attempt.Interrupted, Reason: "an earlier attempt may have run"}}},
-		{"given up after a proven not run", true, []attempt.Event{attempt.Send, attempt.Decline, attempt.Abandon},
+		{"abandoned after it was declined", true, []attempt.Event{attempt.Send, attempt.Decline, attempt.Abandon},
 			attempt.Done{Outcome: attempt.NotExecuted{}}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			l := attempt.NewLifecycle(test.repeatable)
+			l := attempt.NewLifecycle(test.retryable)
 			var got attempt.Action
 			for _, e := range test.events {
 				got = l.Fire(e)
@@ -47,14 +47,15 @@
 	require.Panics(t, func() { attempt.NewLifecycle(true).Fire(attempt.Finish) })
 }
 
-// TestEveryLifeKeepsItsPromise walks every sequence of events to a depth and holds
-// each to the promises: not run is said only if no attempt can have run, and what
-// is not repeatable is sent again only after a proven not run.
+// TestLifecycleExhaustive tries every sequence of events up to a depth. It checks that
+// a request is reported as not executed only if no attempt can have run, and that a
+// request that is not retryable is sent again only after the agent confirmed that
+// the earlier attempt did not run.
 func TestLifecycleExhaustive(t *testing.T) {
 	const depth = 9
 	events := []attempt.Event{attempt.Send, attempt.Admit, attempt.Decline, attempt.Respond, attempt.Disconnect, attempt.ConfirmRevoked,
 		attempt.ConfirmStarted, attempt.AgentGone, attempt.Resume, attempt.Finish, attempt.Truncate, attempt.Abandon}
-	for _, repeatable := range []bool{false, true} {
+	for _, retryable := range []bool{false, true} {
 		states := 0
 		var walk func(path []attempt.Event)
 		walk = func(path []attempt.Event) {
@@ -64,37 +65,38 @@
 			}
 			for _, e := range events {
 				next := append(path[:len(path):len(path)], e)
-				if checkLifecycle(t, repeatable, next) {
+				if checkLifecycle(t, retryable, next) {
 					walk(next)
 				}
 			}
 		}
 		walk(nil)
-		t.Logf("figure lives-checked-%v %d paths", repeatable, states)
+		t.Logf("figure lives-checked-%v %d paths", retryable, states)
 	}
 }
 
-// checkLife replays a path and reports whether it can go on.
-func checkLifecycle(t *testing.T, repeatable bool, path []attempt.Event) bool {
-	l := attempt.NewLifecycle(repeatable)
+// checkLifecycle replays a path of events, checks it, and reports whether it can be
+// extended.
+func checkLifecycle(t *testing.T, retryable bool, path []attempt.Event) bool {
+	l := attempt.NewLifecycle(retryable)
 	mayHaveRun := false
 	for i, e := range path {
-		var next attempt.Action
-		possible := tryFire(l, e, &next)
+		var action attempt.Action
+		possible := tryFire(l, e, &action)
 		if !possible {
 			return false
 		}
 		switch e {
 		case attempt.Send:
-			require.False(t, mayHaveRun && !repeatable, "sent again although it may have run: %v", path)
+			require.False(t, mayHaveRun && !retryable, "sent again although it may have run: %v", path)
 		case attempt.Admit, attempt.ConfirmStarted, attempt.AgentGone:
 			mayHaveRun = true
 		case attempt.Decline, attempt.ConfirmRevoked:
 			mayHaveRun = agentGoneBefore(path[:i])
 		}
-		if stop, ended := next.(attempt.Done); ended {
-			if _, notRun := stop.Outcome.(attempt.NotExecuted); notRun {
-				require.False(t, mayHaveRun, "called not run although it may have run: %v", path)
+		if done, ended := action.(attempt.Done); ended {
+			if _, notExecuted := done.Outcome.(attempt.NotExecuted); notExecuted {
+				require.False(t, mayHaveRun, "reported as not executed although it may have run: %v", path)
 			}
 			return false
 		}
@@ -111,13 +113,14 @@
 	return false
 }
 
-func tryFire(l *attempt.Lifecycle, e attempt.Event, next *attempt.Action) (ok bool) {
+// tryFire fires an event and reports whether it was possible.
+func tryFire(l *attempt.Lifecycle, e attempt.Event, action *attempt.Action) (ok bool) {
 	defer func() {
 		if recover() != nil {
 			ok = false
 		}
 	}()
-	*next = l.Fire(e)
+	*action = l.Fire(e)
 	return true
 }
 
@@ -130,8 +133,8 @@
 
 	other := attempt.ID{Request: "r", Attempt: 2}
 	require.Equal(t, attempt.Started{}, r.Begin(other, now))
-	require.False(t, r.Revoke(other, now), "what has begun cannot be revoked")
-	require.Equal(t, attempt.AlreadyBegun{}, r.Begin(other, now), "nothing begins twice")
+	require.False(t, r.Revoke(other, now), "an attempt that has begun cannot be revoked")
+	require.Equal(t, attempt.AlreadyBegun{}, r.Begin(other, now), "no attempt begins twice")
 	r.End(other, now)
 	require.False(t, r.Revoke(other, now.Add(time.Second)))
 }
@@ -164,10 +167,10 @@
 		at   time.Duration // after the owner's start
 		want attempt.ClaimResult
 	}{
-		{"opaque key before a whole window", "k", time.Minute, attempt.Indeterminate{RetryAfter: 9 * time.Minute}},
-		{"opaque key after a whole window", "k", 11 * time.Minute, attempt.NewKey{}},
-		{"timed key made after the start", timed(start.Add(3 * time.Minute)), 3 * time.Minute, attempt.NewKey{}},
-		{"timed key made before the start", timed(start.Add(-time.Minute)), 3 * time.Minute, attempt.Indeterminate{RetryAfter: 7 * time.Minute}},
+		{"opaque key before a full window", "k", time.Minute, attempt.Indeterminate{RetryAfter: 9 * time.Minute}},
+		{"opaque key after a full window", "k", 11 * time.Minute, attempt.NewKey{}},
+		{"timed key created after the start", timed(start.Add(3 * time.Minute)), 3 * time.Minute, attempt.NewKey{}},
+		{"timed key created before the start", timed(start.Add(-time.Minute)), 3 * time.Minute, attempt.Indeterminate{RetryAfter: 7 * time.Minute}},
 		{"timed key within the skew of the start", timed(start.Add(time.Minute)), 3 * time.Minute, attempt.Indeterminate{RetryAfter: 7 * time.Minute}},
 		{"timed key from the future", timed(start.Add(time.Hour)), 3 * time.Minute, attempt.Indeterminate{RetryAfter: 7 * time.Minute}},
 	}
@@ -179,7 +182,7 @@
 			if _, first := test.want.(attempt.NewKey); first {
 				require.Equal(t, attempt.Duplicate{Request: "r1", Attempt: 1, Running: true}, k.Claim(id, "r2", 1, start.Add(test.at)))
 				other := attempt.KeyID{Account: 2, Key: test.key}
-				require.Equal(t, attempt.NewKey{}, k.Claim(other, "r3", 1, start.Add(test.at)), "another account's key is another key")
+				require.Equal(t, attempt.NewKey{}, k.Claim(other, "r3", 1, start.Add(test.at)), "the same key of another account is a different key")
 			}
 		})
 	}
--- a/attempt/keys.go
+++ b/attempt/keys.go
@@ -6,46 +6,49 @@
 	"github.com/google/uuid"
 )
 
-// Claimed is what an agent says to a caller's idempotency key: [First], [Repeat]
-// or [CannotTell].
+// ClaimResult is the result of claiming a caller's idempotency key: [NewKey],
+// [Duplicate] or [Indeterminate].
 type ClaimResult interface{ claimResult() }
 
-// First says that the key was not used in the window; the request may run.
+// NewKey means that the key was not used within the window; the request may run.
 type NewKey struct{}
 
-// Repeat says that an earlier request used the key, and where it stands.
+// Duplicate means that an earlier request used the key, and holds its status.
 type Duplicate struct {
-	Request string // id of the earlier request
+	Request string // ID of the earlier request
 	Attempt uint32
 	Running bool
-	Unknown bool // its outcome cannot be known
+	Unknown bool // its outcome cannot be determined
 }
 
-// CannotTell says that an earlier owner of the key may have run it.
+// Indeterminate means that a request with this key may have run unrecorded, for
+// example at an earlier owner of the key.
 type Indeterminate struct{ RetryAfter time.Duration }
 
 func (NewKey) claimResult()        {}
 func (Duplicate) claimResult()     {}
 func (Indeterminate) claimResult() {}
 
-// Skew is how far the clocks of callers and hosts may be apart, and how long a
-// change of configuration may take to be in force at every agent.
+// MaxClockSkew is the largest difference between the clocks of callers and hosts that
+// is tolerated, and the longest time that a change of the configuration may take to
+// reach every agent.
 const MaxClockSkew = 2 * time.Minute
 
-// KeyID names a caller's idempotency key; accounts cannot meet in one.
+// KeyID identifies a caller's idempotency key. Equal keys of different accounts are
+// different.
 type KeyID struct {
 	Account uint32
 	Key     string
 }
 
-// Keys remembers callers' idempotency keys at the one agent that owns them. A key
-// that carries its own time (a version 7 UUID) can be told to be new from its
-// first moment; any other only when the owner has watched for a whole window. It
-// is for one goroutine.
+// KeyStore records callers' idempotency keys at the agent that owns them. A key that
+// contains its creation time (a version 7 UUID) can be proven new if it was created
+// after the owner began to watch; any other key only after the owner has watched
+// for a whole window. A KeyStore is not safe for concurrent use.
 type KeyStore struct {
 	window       time.Duration
 	maxEntries   int
-	watchedSince time.Time // from when on every use of a key was seen here
+	watchedSince time.Time // every use of an owned key since then is recorded
 	entries      map[KeyID]*claim
 	order        []KeyID // oldest first
 }
@@ -58,15 +61,16 @@
 	unknown bool
 }
 
-// NewKeys returns an empty memory that has watched since now.
-func NewKeyStore(window time.Duration, most int, now time.Time) *KeyStore {
-	return &KeyStore{window: window, maxEntries: most, watchedSince: now, entries: map[KeyID]*claim{}}
+// NewKeyStore returns an empty store that watches from now on.
+func NewKeyStore(window time.Duration, maxEntries int, now time.Time) *KeyStore {
+	return &KeyStore{window: window, maxEntries: maxEntries, watchedSince: now, entries: map[KeyID]*claim{}}
 }
 
-// Moved tells that keys owned by others until now may be owned here from now on.
+// OwnershipChanged records that keys which other agents owned may be owned by this
+// agent from now on.
 func (k *KeyStore) OwnershipChanged(now time.Time) { k.watchedSince = now }
 
-// Claim asks whether a request with this key may run, and if so remembers it.
+// Claim determines whether a request with this key may run, and if so records it.
 func (k *KeyStore) Claim(id KeyID, request string, attempt uint32, now time.Time) ClaimResult {
 	k.expire(now)
 	if c, known := k.entries[id]; known {
@@ -83,16 +87,18 @@
 	return NewKey{}
 }
 
-// canTell reports whether a key not remembered here was never used in the window.
+// isProvablyNew reports whether a key that is not recorded was certainly not used
+// within the window.
 func (k *KeyStore) isProvablyNew(key string, now time.Time) bool {
-	made, timed := keyTime(key)
-	if timed {
-		inTime := made.After(now.Add(-k.window+MaxClockSkew)) && made.Before(now.Add(MaxClockSkew))
-		return inTime && made.After(k.watchedSince.Add(MaxClockSkew))
+	created, ok := keyTime(key)
+	if ok {
+		inWindow := created.After(now.Add(-k.window+MaxClockSkew)) && created.Before(now.Add(MaxClockSkew))
+		return inWindow && created.After(k.watchedSince.Add(MaxClockSkew))
 	}
 	return now.Sub(k.watchedSince) > k.window
 }
 
+// keyTime returns the creation time of a version 7 UUID, and false for any other key.
 func keyTime(key string) (time.Time, bool) {
 	u, err := uuid.Parse(key)
 	if err != nil || u.Version() != 7 {
@@ -102,14 +108,15 @@
 	return time.Unix(seconds, nanos), true
 }
 
-// Release forgets a key whose request did not run.
+// Release removes a key whose request did not run.
 func (k *KeyStore) Release(id KeyID, request string) {
 	if c, known := k.entries[id]; known && c.request == request {
 		delete(k.entries, id)
 	}
 }
 
-// Settle tells how the request of a key ended.
+// RecordOutcome records that the request of a key has ended, and whether its outcome
+// is unknown.
 func (k *KeyStore) RecordOutcome(id KeyID, request string, unknown bool) {
 	if c, known := k.entries[id]; known && c.request == request {
 		c.running = false
@@ -117,6 +124,8 @@
 	}
 }
 
+// expire removes the keys older than the window, up to the oldest that is still
+// running.
 func (k *KeyStore) expire(now time.Time) {
 	for len(k.order) > 0 {
 		id := k.order[0]
--- a/attempt/registry.go
+++ b/attempt/registry.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// ID names one attempt of a request.
+// ID identifies one attempt of a request.
 type ID struct {
 	Request string
 	Attempt uint32
 }
 
-// Begun is what an agent's registry says to an attempt that wants to start:
-// [Fresh], [Revoked], [Seen] or [Full].
+// BeginResult is the result of [Registry.Begin]: [Started], [Revoked],
+// [AlreadyBegun] or [RegistryFull].
 type BeginResult interface{ beginResult() }
 
-// Fresh says that the attempt may run.
+// Started means that the attempt may run.
 type Started struct{}
 
-// Revoked says that the attempt was revoked and must not run.
+// Revoked means that the attempt was revoked and must not run.
 type Revoked struct{}
 
-// Seen says that the attempt began before.
+// AlreadyBegun means that the attempt has begun before and must not run again.
 type AlreadyBegun struct{}
 
-// Full says that the registry can remember no more; the attempt must not run.
+// RegistryFull means that the registry cannot record another attempt; this one must
+// not run.
 type RegistryFull struct{}
 
 func (Started) beginResult()      {}
@@ -29,13 +30,13 @@
 func (AlreadyBegun) beginResult() {}
 func (RegistryFull) beginResult() {}
 
-// Registry remembers the attempts of one agent incarnation, for as long as a
-// router may ask about them. It is for one goroutine.
+// Registry records the attempts of one agent incarnation for as long as a router may
+// ask about them. It is not safe for concurrent use.
 type Registry struct {
 	window     time.Duration
 	maxEntries int
 	entries    map[ID]entry
-	order      []expiry // by time of end, oldest first
+	order      []expiry // by end time, oldest first
 }
 
 type entry struct {
@@ -49,13 +50,13 @@
 	ended time.Time
 }
 
-// NewRegistry returns a registry that remembers an attempt for the given time
-// after it ended, and at most so many.
-func NewRegistry(window time.Duration, most int) *Registry {
-	return &Registry{window: window, maxEntries: most, entries: map[ID]entry{}}
+// NewRegistry returns a registry that keeps an attempt for the duration window after
+// its end, and holds at most maxEntries attempts.
+func NewRegistry(window time.Duration, maxEntries int) *Registry {
+	return &Registry{window: window, maxEntries: maxEntries, entries: map[ID]entry{}}
 }
 
-// Begin asks whether an attempt may run and remembers that it does.
+// Begin determines whether an attempt may run, and if so records that it runs.
 func (r *Registry) Begin(id ID, now time.Time) BeginResult {
 	r.expire(now)
 	e, known := r.entries[id]
@@ -71,21 +72,21 @@
 	return Started{}
 }
 
-// NotRun tells that an attempt that Begin let through did not run after all. It
-// is remembered as revoked: it must never run later.
+// MarkNotExecuted records that an attempt for which Begin returned Started did not
+// run. It is kept as revoked, so that it never runs later.
 func (r *Registry) MarkNotExecuted(id ID, now time.Time) {
 	r.entries[id] = entry{revoked: true, ended: now}
 	r.order = append(r.order, expiry{id: id, ended: now})
 }
 
-// End tells that an attempt has ended.
+// End records that an attempt has ended.
 func (r *Registry) End(id ID, now time.Time) {
 	r.entries[id] = entry{ended: now}
 	r.order = append(r.order, expiry{id: id, ended: now})
 }
 
-// Revoke makes sure that an attempt which has not begun never will, and reports
-// whether that is so; false means that it has begun.
+// Revoke prevents an attempt that has not begun from ever running, and reports
+// whether it did; false means that the attempt has begun.
 func (r *Registry) Revoke(id ID, now time.Time) bool {
 	r.expire(now)
 	e, known := r.entries[id]
@@ -97,9 +98,10 @@
 	return true
 }
 
-// Len returns how many attempts are remembered.
+// Len returns the number of recorded attempts.
 func (r *Registry) Len() int { return len(r.entries) }
 
+// expire removes the attempts that ended before the window.
 func (r *Registry) expire(now time.Time) {
 	for len(r.order) > 0 && now.Sub(r.order[0].ended) > r.window {
 		x := r.order[0]
