--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -1,55 +1,57 @@
 package dispatch
 
-// Health is what a server seems to be in.
+// Health is the state of a server as seen from the results of its calls.
 type Health string
 
-// The healths.
+// The health states.
 const (
 	Healthy   Health = "healthy"
-	Unhealthy Health = "sick"    // it failed several times in a row; nothing is sent
-	Probing   Health = "probing" // one call is let through to find out
+	Unhealthy Health = "sick"    // failed several times in a row; no requests are sent
+	Probing   Health = "probing" // one request is sent to test it
 )
 
-// Limit decides how many requests an agent lets its server hold: few at first,
-// more with each success, fewer when the server queues by itself, none when it
-// keeps failing, then one as a probe. The server's own reports lag, so they only
-// ever lower the limit by one; successes raise it again.
+// ConcurrencyLimit is the adaptive limit of concurrent requests to a server. It starts
+// low, rises with each success, falls when the server queues requests itself, and is
+// zero while the server keeps failing, after which one request is sent as a probe.
+// The server's reports of its queue lag behind, so each lowers the limit only by one;
+// successes raise it again. A ConcurrencyLimit is not safe for concurrent use.
 type ConcurrencyLimit struct {
 	max          int
 	current      int
 	health       Health
 	failures     int
 	ticksToProbe int  // ticks until the next probe
-	backoff      int  // ticks the next pause lasts
-	slowStart    bool // a new server's limit grows with time too
+	backoff      int  // ticks to wait after the next failure
+	slowStart    bool // a new server's limit also grows with time
 }
 
 const (
-	unhealthyThreshold   = 3  // failures in a row
+	unhealthyThreshold   = 3  // consecutive failures
 	minBackoff           = 1  // ticks
 	maxBackoff           = 30 // ticks
-	slowStartDivisor     = 4  // a new server starts with one part in so many
-	slowStartStepDivisor = 8  // and gets one part in so many more each tick
+	slowStartDivisor     = 4  // a new server starts with max/4
+	slowStartStepDivisor = 8  // and grows by max/8 each tick
 )
 
-// NewLimit returns the limit of a server that has just come.
-func NewConcurrencyLimit(most int) *ConcurrencyLimit {
-	return &ConcurrencyLimit{max: most, current: max(1, most/slowStartDivisor), health: Healthy, backoff: minBackoff, slowStart: true}
+// NewConcurrencyLimit returns the limit of a new server that accepts at most
+// maxRequests concurrent requests.
+func NewConcurrencyLimit(maxRequests int) *ConcurrencyLimit {
+	return &ConcurrencyLimit{max: maxRequests, current: max(1, maxRequests/slowStartDivisor), health: Healthy, backoff: minBackoff, slowStart: true}
 }
 
-// Now returns how many requests the server may hold.
+// Current returns the current limit.
 func (l *ConcurrencyLimit) Current() int { return l.current }
 
-// Health returns what the server seems to be in.
+// Health returns the health of the server.
 func (l *ConcurrencyLimit) Health() Health { return l.health }
 
-// SetMost changes the most that the server takes.
-func (l *ConcurrencyLimit) SetMax(most int) {
-	l.max = max(1, most)
+// SetMax changes the maximum of the limit.
+func (l *ConcurrencyLimit) SetMax(maxRequests int) {
+	l.max = max(1, maxRequests)
 	l.current = min(l.current, l.max)
 }
 
-// Success tells that a call ended well.
+// Success records that a call succeeded.
 func (l *ConcurrencyLimit) Success() {
 	l.failures = 0
 	l.backoff = minBackoff
@@ -60,7 +62,7 @@
 	l.current = min(l.current+1, l.max)
 }
 
-// Failure tells that a call failed by the server's fault.
+// Failure records that a call failed through the server's fault.
 func (l *ConcurrencyLimit) Failure() {
 	l.failures++
 	l.slowStart = false
@@ -73,7 +75,7 @@
 	l.backoff = min(l.backoff*2, maxBackoff)
 }
 
-// Queued tells that the server reported calls waiting inside it.
+// OnServerQueueing records that the server reported requests in its own queue.
 func (l *ConcurrencyLimit) OnServerQueueing() {
 	l.slowStart = false
 	if l.health == Healthy {
@@ -81,9 +83,9 @@
 	}
 }
 
-// Tick tells that a second has passed. A new server's limit grows with time until
-// it is full, queues or fails: long answers would keep it small for as long as they
-// last.
+// Tick records that one second has passed. A new server's limit grows with time until
+// it reaches the maximum, or the server queues requests or fails. If it grew with
+// successes only, long responses would keep it low for as long as they last.
 func (l *ConcurrencyLimit) Tick() {
 	if l.slowStart {
 		l.current = min(l.current+max(1, l.max/slowStartStepDivisor), l.max)
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,19 +1,19 @@
-// Package dispatch holds the waiting side of the router and the admitting side
-// of the agent: who waits where, who is told what, and which request gets a place
-// when one is free.
+// Package dispatch implements the queue of waiting requests at a router and the
+// scheduler that admits requests at an agent. They decide which request gets a slot
+// of a server when one is free.
 //
 // # Usage
 //
-// A router keeps a [Queue] of its callers' requests and tells agents how many
-// wait (a want); an agent keeps a [Desk] of all routers' wants and of its
-// server's places, and grants a place at a time:
+// A router keeps its callers' requests in a [Queue] and sends agents the number of
+// waiting requests of each class (its demand). An agent keeps the demands of all
+// routers in a [Scheduler], which grants the slots of its server one at a time:
 //
-//	outcome := queue.Offer(request)      // router: a caller's request must wait
-//	desk.SetWant(router, want)           // agent: so many wait there
-//	grant, ok := desk.Grant(book)        // agent: a place for whom
-//	request := queue.Bind(grant, agent)  // router: the best one at this moment
+//	result := queue.Enqueue(request, maxWaiting, drain)     // router: a request must wait
+//	scheduler.SetDemand(router, class, count, estimate)     // agent: demand of a router
+//	grant, ok := scheduler.Grant(tracker)                   // agent: reserve a slot
+//	request := queue.Dequeue(grant.Class, hasCachedPrefix)  // router: use the grant
 //
-// Both are pure state: no clock, lock or I/O. Each belongs to one goroutine.
+// Both use no clock, lock or I/O, and neither is safe for concurrent use.
 package dispatch
 
 import (
@@ -23,31 +23,31 @@
 	"opalbridge.dev/fair"
 )
 
-// Key names a line of waiting requests.
+// Class identifies waiting requests that are interchangeable for scheduling.
 type Class struct {
 	Account fair.Account
 	Pool    string
 	Urgent  bool
-	Server  string // the one server that may have it; empty: any of the pool
+	Server  string // the only server that may run it; empty: any server of the pool
 }
 
-// Request is one that waits.
+// Request is a waiting request.
 type Request struct {
 	ID       string
 	Class    Class
 	Estimate float64   // weighted tokens
-	Prefix   uint64    // hash of the prompt's beginning; zero: none
-	Deadline time.Time // when the caller has no more use for the answer
+	Prefix   uint64    // hash of the prompt's prefix; zero: none
+	Deadline time.Time // when the caller no longer needs the response
 	Arrived  time.Time
 }
 
-// Offered is what became of a request offered to a queue: [Waiting] or [Refused].
+// EnqueueResult is the result of [Queue.Enqueue]: [Queued] or [Rejected].
 type EnqueueResult interface{ enqueueResult() }
 
-// Waiting says that the request waits in the queue.
+// Queued means that the request waits behind Ahead others of its class.
 type Queued struct{ Ahead int }
 
-// Refused says that the request does not wait; it was not run.
+// Rejected means that the request was not queued and did not run.
 type Rejected struct {
 	Reason     string
 	RetryAfter time.Duration
@@ -56,40 +56,41 @@
 func (Queued) enqueueResult()   {}
 func (Rejected) enqueueResult() {}
 
-// affinityWindow is how far from the head a request may be bound ahead of its
-// turn because the agent has seen its prefix.
+// affinityWindow is the number of requests at the head of a class among which one
+// whose prefix the agent has cached is preferred.
 const affinityWindow = 8
 
-// Queue holds the requests that wait at one router. Its zero value is empty.
+// Queue holds the requests that wait at one router, in FIFO order for each class. The
+// zero value is an empty queue. A Queue is not safe for concurrent use.
 type Queue struct {
 	classes  map[Class][]*Request
 	accounts map[fair.Account]int
 	length   int
 }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.length }
 
-// Waiting returns how many requests of the account wait.
+// Waiting returns the number of waiting requests of the account.
 func (q *Queue) Waiting(a fair.Account) int { return q.accounts[a] }
 
-// Count returns how many requests wait in one line.
-func (q *Queue) Count(k Class) int { return len(q.classes[k]) }
+// Count returns the number of waiting requests of one class.
+func (q *Queue) Count(c Class) int { return len(q.classes[c]) }
 
-// Keys returns the lines that are not empty, in no order.
+// Classes returns the classes with waiting requests, in no particular order.
 func (q *Queue) Classes() []Class {
-	keys := make([]Class, 0, len(q.classes))
-	for k := range q.classes {
-		keys = append(keys, k)
+	classes := make([]Class, 0, len(q.classes))
+	for c := range q.classes {
+		classes = append(classes, c)
 	}
-	return keys
+	return classes
 }
 
-// Offer adds a request unless the account has as many waiting as it may. The
-// account's drain is the time in which one of its requests leaves the queue at
-// present; it sets when a refused caller should try again.
-func (q *Queue) Enqueue(r *Request, most int, drain time.Duration) EnqueueResult {
-	if q.accounts[r.Class.Account] >= most {
+// Enqueue adds a request unless maxWaiting requests of its account already wait.
+// Drain is the current time between departures of the account's requests from the
+// queue; it determines when a rejected caller should retry.
+func (q *Queue) Enqueue(r *Request, maxWaiting int, drain time.Duration) EnqueueResult {
+	if q.accounts[r.Class.Account] >= maxWaiting {
 		return Rejected{Reason: "the account has its full number of requests waiting", RetryAfter: retryAfter(drain)}
 	}
 	if q.classes == nil {
@@ -103,11 +104,12 @@
 	return Queued{Ahead: ahead}
 }
 
+// retryAfter limits the drain time to between one second and one minute.
 func retryAfter(drain time.Duration) time.Duration {
 	return min(max(drain, time.Second), time.Minute)
 }
 
-// PutBack returns a bound request that was not run to the head of its line.
+// Requeue returns a dequeued request that was not run to the head of its class.
 func (q *Queue) Requeue(r *Request) {
 	if q.classes == nil {
 		q.classes = map[Class][]*Request{}
@@ -118,54 +120,54 @@
 	q.length++
 }
 
-// Bind takes the request that a grant is used for: one whose prefix the agent
-// has seen if it is among the first, else the oldest. It returns nil when none
-// waits.
-func (q *Queue) Dequeue(k Class, seen func(prefix uint64) bool) *Request {
-	line := q.classes[k]
-	if len(line) == 0 {
+// Dequeue removes and returns the request for which a grant is used: the first within
+// the affinity window whose prefix the agent has cached, otherwise the oldest. It
+// returns nil if none waits.
+func (q *Queue) Dequeue(c Class, cached func(prefix uint64) bool) *Request {
+	waiting := q.classes[c]
+	if len(waiting) == 0 {
 		return nil
 	}
-	at := 0
-	for i, r := range line[:min(len(line), affinityWindow)] {
-		if r.Prefix != 0 && seen(r.Prefix) {
-			at = i
+	i := 0
+	for j, r := range waiting[:min(len(waiting), affinityWindow)] {
+		if r.Prefix != 0 && cached(r.Prefix) {
+			i = j
 			break
 		}
 	}
-	r := line[at]
-	q.removeAt(k, at)
+	r := waiting[i]
+	q.removeAt(c, i)
 	return r
 }
 
-// Peek returns the oldest request of a line, or nil.
-func (q *Queue) Peek(k Class) *Request {
-	if len(q.classes[k]) == 0 {
+// Peek returns the oldest request of a class, or nil.
+func (q *Queue) Peek(c Class) *Request {
+	if len(q.classes[c]) == 0 {
 		return nil
 	}
-	return q.classes[k][0]
+	return q.classes[c][0]
 }
 
-// Remove takes a request out, and reports whether it was waiting.
+// Remove removes a request, and reports whether it was waiting.
 func (q *Queue) Remove(r *Request) bool {
-	at := slices.Index(q.classes[r.Class], r)
-	if at < 0 {
+	i := slices.Index(q.classes[r.Class], r)
+	if i < 0 {
 		return false
 	}
-	q.removeAt(r.Class, at)
+	q.removeAt(r.Class, i)
 	return true
 }
 
-func (q *Queue) removeAt(k Class, at int) {
-	line := slices.Delete(q.classes[k], at, at+1)
-	if len(line) == 0 {
-		delete(q.classes, k)
+func (q *Queue) removeAt(c Class, i int) {
+	waiting := slices.Delete(q.classes[c], i, i+1)
+	if len(waiting) == 0 {
+		delete(q.classes, c)
 	} else {
-		q.classes[k] = line
+		q.classes[c] = waiting
 	}
-	q.accounts[k.Account]--
-	if q.accounts[k.Account] == 0 {
-		delete(q.accounts, k.Account)
+	q.accounts[c.Account]--
+	if q.accounts[c.Account] == 0 {
+		delete(q.accounts, c.Account)
 	}
 	q.length--
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -22,7 +22,7 @@
 	require.True(t, ok)
 	require.Equal(t, 5*time.Second, refused.RetryAfter)
 	require.IsType(t, dispatch.Queued{}, q.Enqueue(&dispatch.Request{Class: dispatch.Class{Account: 2, Pool: "p"}}, 2, 0),
-		"another account is not disturbed")
+		"another account is not affected")
 }
 
 func TestDequeuePrefersCachedPrefix(t *testing.T) {
@@ -38,93 +38,93 @@
 }
 
 func TestSchedulerGrantsInFairOrder(t *testing.T) {
-	b := fair.NewTracker(fair.Options{Slots: 1})
-	b.Charge(1, 50, 0)
-	d := dispatch.NewScheduler(1)
-	d.SetDemand("r1", class, 3, 10)
-	d.SetDemand("r2", dispatch.Class{Account: 2, Pool: "p"}, 1, 10)
-	require.False(t, d.TryStart(), "nobody passes those that wait")
-	g, ok := d.Grant(b)
+	tr := fair.NewTracker(fair.Options{Slots: 1})
+	tr.Charge(1, 50, 0)
+	s := dispatch.NewScheduler(1)
+	s.SetDemand("r1", class, 3, 10)
+	s.SetDemand("r2", dispatch.Class{Account: 2, Pool: "p"}, 1, 10)
+	require.False(t, s.TryStart(), "waiting requests go first")
+	g, ok := s.Grant(tr)
 	require.True(t, ok)
 	require.Equal(t, "r2", g.Router)
-	_, ok = d.Grant(b)
-	require.False(t, ok, "the only place is reserved")
-	_, ok = d.StartGranted(g.ID)
+	_, ok = s.Grant(tr)
+	require.False(t, ok, "the only slot is reserved")
+	_, ok = s.StartGranted(g.ID)
 	require.True(t, ok)
-	_, ok = d.StartGranted(g.ID)
+	_, ok = s.StartGranted(g.ID)
 	require.False(t, ok, "a grant is used once")
 }
 
 func TestUnresponsiveRouterGetsNoGrants(t *testing.T) {
-	b := fair.NewTracker(fair.Options{Slots: 2})
-	d := dispatch.NewScheduler(2)
-	d.SetDemand("r1", class, 2, 10)
-	d.SetDemand("r2", class, 1, 10)
-	require.True(t, d.SetUnresponsive("r1", true))
-	require.Equal(t, 1, d.Waiting())
-	d.SetDemand("r1", class, 3, 10)
-	g, ok := d.Grant(b)
+	tr := fair.NewTracker(fair.Options{Slots: 2})
+	s := dispatch.NewScheduler(2)
+	s.SetDemand("r1", class, 2, 10)
+	s.SetDemand("r2", class, 1, 10)
+	require.True(t, s.SetUnresponsive("r1", true))
+	require.Equal(t, 1, s.Waiting())
+	s.SetDemand("r1", class, 3, 10)
+	g, ok := s.Grant(tr)
 	require.True(t, ok)
 	require.Equal(t, "r2", g.Router)
-	_, ok = d.Grant(b)
+	_, ok = s.Grant(tr)
 	require.False(t, ok)
-	require.True(t, d.SetUnresponsive("r1", false))
-	require.Equal(t, 3, d.Waiting())
-	g, ok = d.Grant(b)
+	require.True(t, s.SetUnresponsive("r1", false))
+	require.Equal(t, 3, s.Waiting())
+	g, ok = s.Grant(tr)
 	require.True(t, ok)
 	require.Equal(t, "r1", g.Router)
 }
 
-// TestDeskNeverExceedsItsLimit drives a desk with random events.
+// TestSchedulerNeverExceedsLimit applies random events to a scheduler.
 func TestSchedulerNeverExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 4).Draw(t, "limit")
-		d := dispatch.NewScheduler(limit)
-		b := fair.NewTracker(fair.Options{Slots: float64(limit)})
+		s := dispatch.NewScheduler(limit)
+		tr := fair.NewTracker(fair.Options{Slots: float64(limit)})
 		var granted []uint64
 		running := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"want": func(t *rapid.T) {
 				k := dispatch.Class{Account: fair.Account(rapid.IntRange(1, 3).Draw(t, "account")), Pool: "p"}
-				d.SetDemand(rapid.SampledFrom([]string{"r1", "r2"}).Draw(t, "router"), k, rapid.IntRange(0, 3).Draw(t, "count"), 5)
+				s.SetDemand(rapid.SampledFrom([]string{"r1", "r2"}).Draw(t, "router"), k, rapid.IntRange(0, 3).Draw(t, "count"), 5)
 			},
 			"grant": func(*rapid.T) {
-				if g, ok := d.Grant(b); ok {
+				if g, ok := s.Grant(tr); ok {
 					granted = append(granted, g.ID)
 				}
 			},
 			"use": func(t *rapid.T) {
 				if len(granted) > 0 {
-					if _, ok := d.StartGranted(granted[0]); ok {
+					if _, ok := s.StartGranted(granted[0]); ok {
 						running++
 					}
 					granted = granted[1:]
 				}
 			},
 			"take": func(*rapid.T) {
-				if d.TryStart() {
+				if s.TryStart() {
 					running++
 				}
 			},
 			"done": func(*rapid.T) {
 				if running > 0 {
-					d.Done()
+					s.Done()
 					running--
 				}
 			},
-			"silent": func(t *rapid.T) { d.SetUnresponsive("r2", rapid.Bool().Draw(t, "silent")) },
-			"drop":   func(*rapid.T) { d.DropRouter("r1") },
+			"silent": func(t *rapid.T) { s.SetUnresponsive("r2", rapid.Bool().Draw(t, "silent")) },
+			"drop":   func(*rapid.T) { s.DropRouter("r1") },
 			"": func(t *rapid.T) {
-				require.LessOrEqual(t, d.Running()+d.Granted(), limit)
-				require.Equal(t, running, d.Running())
-				require.GreaterOrEqual(t, d.Waiting(), 0)
+				require.LessOrEqual(t, s.Running()+s.Granted(), limit)
+				require.Equal(t, running, s.Running())
+				require.GreaterOrEqual(t, s.Waiting(), 0)
 			},
 		})
 	})
 }
 
-// TestNewServerFillsUpUnderLongAnswers holds that a server whose first answers last
-// is not kept at its slow start's limit.
+// TestSlowStartGrowsWithTime guards against a new server whose first responses take
+// long and which stays at its initial limit because nothing succeeds.
 func TestSlowStartGrowsWithTime(t *testing.T) {
 	l := dispatch.NewConcurrencyLimit(64)
 	require.Equal(t, 16, l.Current())
@@ -134,12 +134,12 @@
 	require.Equal(t, 64, l.Current())
 	l.OnServerQueueing()
 	l.Tick()
-	require.Equal(t, 63, l.Current(), "time raises the limit only at the start")
+	require.Equal(t, 63, l.Current(), "time raises the limit only during slow start")
 }
 
 func TestConcurrencyLimitHealth(t *testing.T) {
 	l := dispatch.NewConcurrencyLimit(8)
-	require.Equal(t, 2, l.Current(), "a new server starts slowly")
+	require.Equal(t, 2, l.Current(), "a new server starts with a low limit")
 	for range 10 {
 		l.Success()
 	}
@@ -155,7 +155,7 @@
 	require.Equal(t, dispatch.Probing, l.Health())
 	require.Equal(t, 1, l.Current())
 	l.Failure()
-	require.Zero(t, l.Current(), "a failed probe makes the next pause longer")
+	require.Zero(t, l.Current(), "a failed probe doubles the backoff")
 	l.Tick()
 	require.Equal(t, dispatch.Unhealthy, l.Health())
 	l.Tick()
--- a/dispatch/exhaustive_test.go
+++ b/dispatch/exhaustive_test.go
@@ -12,8 +12,7 @@
 	"opalbridge.dev/ledger"
 )
 
-// The small world that is searched: three accounts, two routers, two servers of
-// one place each, and a request that costs ten.
+// Parameters of the fleet whose states are enumerated. Each server has one slot.
 const (
 	accountCount = 3
 	routerCount  = 2
@@ -22,15 +21,17 @@
 	maxDepth     = 5
 )
 
-// world is one state; it is reached by replaying events from the beginning.
+// fleetState is one state of the fleet. It is reached by replaying events from the
+// initial state.
 type fleetState struct {
 	servers [serverCount]server
 	hall    *ledger.Hall
-	served  map[fair.Account]float64 // in truth, by incarnations that reported it
+	served  map[fair.Account]float64 // actual service that was reported, by account
 	starts  int
 	waiting [routerCount][accountCount]int // waiting at the routers
 }
 
+// server is one server with the state of its agent.
 type server struct {
 	scheduler   *dispatch.Scheduler
 	tracker     *fair.Tracker
@@ -41,203 +42,206 @@
 }
 
 func newFleetState() *fleetState {
-	w := &fleetState{hall: ledger.NewHall(), served: map[fair.Account]float64{}}
-	for s := range w.servers {
-		w.restart(s)
+	f := &fleetState{hall: ledger.NewHall(), served: map[fair.Account]float64{}}
+	for s := range f.servers {
+		f.restart(s)
 	}
-	return w
+	return f
 }
 
-func (w *fleetState) restart(s int) {
-	w.starts++
-	w.servers[s] = server{
+func (f *fleetState) restart(s int) {
+	f.starts++
+	f.servers[s] = server{
 		scheduler: dispatch.NewScheduler(1), tracker: fair.NewTracker(fair.Options{Slots: 1, DebtCap: 1000}),
-		incarnation: fmt.Sprint(w.starts), unreported: map[fair.Account]float64{},
+		incarnation: fmt.Sprint(f.starts), unreported: map[fair.Account]float64{},
 	}
-	for r := range routerCount { // the routers connect again and tell their wants
+	for r := range routerCount { // the routers reconnect and send their demands
 		for a := range accountCount {
-			w.sendDemand(s, r, a)
+			f.sendDemand(s, r, a)
 		}
 	}
 }
 
-func (w *fleetState) sendDemand(s, r, a int) {
-	v := &w.servers[s]
+func (f *fleetState) sendDemand(s, r, a int) {
+	sv := &f.servers[s]
 	k := dispatch.Class{Account: fair.Account(a), Pool: "p"}
-	v.scheduler.SetDemand(fmt.Sprint(r), k, w.waiting[r][a], requestCost)
-	if v.scheduler.HasWaiting(k.Account) {
-		v.tracker.StartWaiting(k.Account)
+	sv.scheduler.SetDemand(fmt.Sprint(r), k, f.waiting[r][a], requestCost)
+	if sv.scheduler.HasWaiting(k.Account) {
+		sv.tracker.StartWaiting(k.Account)
 	} else {
-		v.tracker.StopWaiting(k.Account)
+		sv.tracker.StopWaiting(k.Account)
 	}
 }
 
-// event is one step; it reports false when it cannot happen now.
+// fleetEvent is one transition. Its function returns false if the event is not
+// possible in the state.
 type fleetEvent struct {
 	name string
-	do   func(w *fleetState) bool
+	do   func(f *fleetState) bool
 }
 
 func fleetEvents() []fleetEvent {
 	var events []fleetEvent
-	add := func(name string, do func(w *fleetState) bool) { events = append(events, fleetEvent{name, do}) }
+	add := func(name string, do func(f *fleetState) bool) { events = append(events, fleetEvent{name, do}) }
 	for r := range routerCount {
 		for a := range accountCount {
-			add(fmt.Sprintf("request of %d at router %d", a, r), func(w *fleetState) bool { return w.request(r, a) })
+			add(fmt.Sprintf("request of account %d at router %d", a, r), func(f *fleetState) bool { return f.request(r, a) })
 		}
 	}
 	for s := range serverCount {
-		add(fmt.Sprintf("server %d grants", s), func(w *fleetState) bool { return w.grant(s) })
-		add(fmt.Sprintf("start at %d", s), func(w *fleetState) bool { return w.start(s) })
-		add(fmt.Sprintf("grant of %d lost", s), func(w *fleetState) bool { return w.loseGrant(s) })
-		add(fmt.Sprintf("end at %d", s), func(w *fleetState) bool { return w.end(s) })
-		add(fmt.Sprintf("report of %d", s), func(w *fleetState) bool { return w.report(s, false) })
-		add(fmt.Sprintf("report of %d whose answer is lost", s), func(w *fleetState) bool { return w.report(s, true) })
-		add(fmt.Sprintf("server %d restarts", s), func(w *fleetState) bool { w.restart(s); return true })
+		add(fmt.Sprintf("server %d grants", s), func(f *fleetState) bool { return f.grant(s) })
+		add(fmt.Sprintf("server %d starts a granted request", s), func(f *fleetState) bool { return f.start(s) })
+		add(fmt.Sprintf("grant of server %d is lost", s), func(f *fleetState) bool { return f.loseGrant(s) })
+		add(fmt.Sprintf("server %d ends a request", s), func(f *fleetState) bool { return f.end(s) })
+		add(fmt.Sprintf("server %d reports", s), func(f *fleetState) bool { return f.report(s, false) })
+		add(fmt.Sprintf("server %d reports and the answer is lost", s), func(f *fleetState) bool { return f.report(s, true) })
+		add(fmt.Sprintf("server %d restarts", s), func(f *fleetState) bool { f.restart(s); return true })
 	}
 	return events
 }
 
-func (w *fleetState) request(r, a int) bool {
-	w.waiting[r][a]++
-	for s := range w.servers {
-		w.sendDemand(s, r, a)
+func (f *fleetState) request(r, a int) bool {
+	f.waiting[r][a]++
+	for s := range f.servers {
+		f.sendDemand(s, r, a)
 	}
 	return true
 }
 
-func (w *fleetState) grant(s int) bool {
-	v := &w.servers[s]
-	g, ok := v.scheduler.Grant(v.tracker)
+func (f *fleetState) grant(s int) bool {
+	sv := &f.servers[s]
+	g, ok := sv.scheduler.Grant(sv.tracker)
 	if !ok {
 		return false
 	}
-	v.grants = append(v.grants, g)
+	sv.grants = append(sv.grants, g)
 	return true
 }
 
-// start uses a server's oldest grant, if its router still has a request.
-func (w *fleetState) start(s int) bool {
-	v := &w.servers[s]
-	if len(v.grants) == 0 {
+// start uses a server's oldest grant, or cancels it if the router has no request left.
+func (f *fleetState) start(s int) bool {
+	sv := &f.servers[s]
+	if len(sv.grants) == 0 {
 		return false
 	}
-	g := v.grants[0]
-	v.grants = v.grants[1:]
-	waiting := &w.waiting[int(g.Router[0]-'0')][g.Class.Account]
-	if *waiting == 0 { // another server's grant took it
-		v.scheduler.Cancel(g.ID)
-		v.tracker.Release(g.Class.Account, g.Estimate)
+	g := sv.grants[0]
+	sv.grants = sv.grants[1:]
+	waiting := &f.waiting[int(g.Router[0]-'0')][g.Class.Account]
+	if *waiting == 0 { // it was started with another server's grant
+		sv.scheduler.Cancel(g.ID)
+		sv.tracker.Release(g.Class.Account, g.Estimate)
 		return true
 	}
 	*waiting--
-	v.scheduler.StartGranted(g.ID)
-	v.running = append(v.running, g)
+	sv.scheduler.StartGranted(g.ID)
+	sv.running = append(sv.running, g)
 	return true
 }
 
-func (w *fleetState) loseGrant(s int) bool {
-	v := &w.servers[s]
-	if len(v.grants) == 0 {
+func (f *fleetState) loseGrant(s int) bool {
+	sv := &f.servers[s]
+	if len(sv.grants) == 0 {
 		return false
 	}
-	g := v.grants[0]
-	v.grants = v.grants[1:]
-	v.scheduler.Cancel(g.ID)
-	v.tracker.Release(g.Class.Account, g.Estimate)
+	g := sv.grants[0]
+	sv.grants = sv.grants[1:]
+	sv.scheduler.Cancel(g.ID)
+	sv.tracker.Release(g.Class.Account, g.Estimate)
 	return true
 }
 
-func (w *fleetState) end(s int) bool {
-	v := &w.servers[s]
-	if len(v.running) == 0 {
+func (f *fleetState) end(s int) bool {
+	sv := &f.servers[s]
+	if len(sv.running) == 0 {
 		return false
 	}
-	g := v.running[0]
-	v.running = v.running[1:]
-	v.scheduler.Done()
-	v.tracker.Charge(g.Class.Account, requestCost, g.Estimate)
-	v.unreported[g.Class.Account] += requestCost
+	g := sv.running[0]
+	sv.running = sv.running[1:]
+	sv.scheduler.Done()
+	sv.tracker.Charge(g.Class.Account, requestCost, g.Estimate)
+	sv.unreported[g.Class.Account] += requestCost
 	return true
 }
 
-func (w *fleetState) report(s int, lost bool) bool {
-	v := &w.servers[s]
-	sequence, totals := v.tracker.Report(false)
-	w.hall.Report(fmt.Sprint(s), v.incarnation, sequence, totals)
-	w.hall.Report(fmt.Sprint(s), v.incarnation, sequence, totals) // it arrives twice
-	for a, served := range v.unreported {
-		w.served[a] += served
+func (f *fleetState) report(s int, lost bool) bool {
+	sv := &f.servers[s]
+	sequence, totals := sv.tracker.Report(false)
+	f.hall.Report(fmt.Sprint(s), sv.incarnation, sequence, totals)
+	f.hall.Report(fmt.Sprint(s), sv.incarnation, sequence, totals) // a duplicated message
+	for a, served := range sv.unreported {
+		f.served[a] += served
 	}
-	clear(v.unreported)
+	clear(sv.unreported)
 	if lost {
 		return true
 	}
-	f := ledger.NewFleet()
-	f.Merge(ledger.HallSum{Hall: "h", Source: "r", Sequence: 1, Totals: w.hall.Sum()})
-	v.tracker.Merge(sequence, f.Excluding(w.hall.LastReport(fmt.Sprint(s))))
+	fleet := ledger.NewFleet()
+	fleet.Merge(ledger.HallSum{Hall: "h", Source: "r", Sequence: 1, Totals: f.hall.Sum()})
+	sv.tracker.Merge(sequence, fleet.Excluding(f.hall.LastReport(fmt.Sprint(s))))
 	return true
 }
 
-// check holds a state to the invariants.
-func (w *fleetState) check(t *testing.T, path []int, events []fleetEvent) {
-	fail := func(what string) {
+// check verifies the invariants of a state.
+func (f *fleetState) check(t *testing.T, path []int, events []fleetEvent) {
+	fail := func(message string) {
 		names := []string{}
 		for _, e := range path {
 			names = append(names, events[e].name)
 		}
-		require.Fail(t, what, "after %v", names)
+		require.Fail(t, message, "after %v", names)
 	}
-	for s := range w.servers {
-		v := &w.servers[s]
-		if v.scheduler.Running()+v.scheduler.Granted() > 1 {
-			fail("more runs than there are places")
+	for s := range f.servers {
+		sv := &f.servers[s]
+		if sv.scheduler.Running()+sv.scheduler.Granted() > 1 {
+			fail("more running and granted requests than slots")
 		}
 		for a := range accountCount {
-			if k := v.tracker.VirtualTime(fair.Account(a)); math.IsNaN(k) || math.IsInf(k, 0) {
-				fail("a standing is no number")
+			if k := sv.tracker.VirtualTime(fair.Account(a)); math.IsNaN(k) || math.IsInf(k, 0) {
+				fail("a virtual time is not finite")
 			}
 		}
-		if gap, _ := v.tracker.Gap(); gap > 2*maxDepth*requestCost {
-			fail("a gap larger than all that was ever served and reserved")
+		if gap, _ := sv.tracker.Gap(); gap > 2*maxDepth*requestCost {
+			fail("a gap larger than everything served and reserved")
 		}
 	}
 	sum := map[fair.Account]float64{}
-	for _, total := range w.hall.Sum() {
+	for _, total := range f.hall.Sum() {
 		sum[total.Account] = total.Service
 	}
-	for a, served := range w.served {
+	for a, served := range f.served {
 		if math.Abs(sum[a]-served) > 1e-9 {
-			fail("the hall's sum is not what was served")
+			fail("the sum of the hall differs from the reported service")
 		}
 	}
 }
 
-// checkUse holds that a free place and a waiting request make a grant.
-func (w *fleetState) checkWorkConservation(t *testing.T) {
-	for s := range w.servers {
-		v := &w.servers[s]
-		idle := v.scheduler.HasFreeSlot() && v.scheduler.Waiting() > 0
-		_, granted := v.scheduler.Grant(v.tracker)
-		require.Equal(t, idle, granted, "a place idles while a request waits")
+// checkWorkConservation verifies that a server with a free slot and a waiting request
+// grants it.
+func (f *fleetState) checkWorkConservation(t *testing.T) {
+	for s := range f.servers {
+		sv := &f.servers[s]
+		grantable := sv.scheduler.HasFreeSlot() && sv.scheduler.Waiting() > 0
+		_, granted := sv.scheduler.Grant(sv.tracker)
+		require.Equal(t, grantable, granted, "a slot is granted if and only if one is free and a request waits")
 	}
 }
 
-// TestEverySmallWorld walks every sequence of events to a depth.
+// TestExhaustiveSmallFleet enumerates every sequence of events up to a depth and
+// verifies the invariants in each state.
 func TestExhaustiveSmallFleet(t *testing.T) {
 	events := fleetEvents()
 	states := 0
 	var walk func(path []int)
 	walk = func(path []int) {
-		w := newFleetState()
+		f := newFleetState()
 		for _, e := range path {
-			if !events[e].do(w) {
+			if !events[e].do(f) {
 				return
 			}
 		}
 		states++
-		w.check(t, path, events)
-		w.checkWorkConservation(t)
+		f.check(t, path, events)
+		f.checkWorkConservation(t)
 		if len(path) == maxDepth {
 			return
 		}
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -8,7 +8,7 @@
 	"opalbridge.dev/fair"
 )
 
-// Grant is a place reserved for a router's best request of one line.
+// Grant is a slot reserved for a request of one class that waits at a router.
 type Grant struct {
 	ID       uint64
 	Router   string
@@ -16,7 +16,8 @@
 	Estimate float64
 }
 
-// Desk holds an agent's wants and the places of its server.
+// Scheduler holds the demands that routers sent to an agent, and allocates the slots
+// of the agent's server. It is not safe for concurrent use.
 type Scheduler struct {
 	limit            int
 	running          int
@@ -28,7 +29,8 @@
 	candidateClasses []int
 }
 
-// line is who wants what; its routers are served in turn.
+// classDemand holds the demands of all routers for one class. The routers are served
+// round-robin.
 type classDemand struct {
 	class      Class
 	demands    []demand
@@ -37,213 +39,220 @@
 	estimate   float64
 }
 
+// demand is the number of requests of one class that wait at a router.
 type demand struct {
 	router       string
 	count        int
-	unresponsive bool // its count is not in the line's
+	unresponsive bool // its count is not included in classDemand.waiting
 }
 
-// NewDesk returns a desk of so many places.
+// NewScheduler returns a scheduler with limit slots.
 func NewScheduler(limit int) *Scheduler {
 	return &Scheduler{limit: limit, grants: map[uint64]Grant{}, unresponsive: map[string]bool{}}
 }
 
-// SetLimit changes the number of places; what runs is not touched.
-func (d *Scheduler) SetLimit(limit int) { d.limit = limit }
+// SetLimit changes the number of slots. Running attempts are not affected.
+func (s *Scheduler) SetLimit(limit int) { s.limit = limit }
 
-// Limit returns the number of places.
-func (d *Scheduler) Limit() int { return d.limit }
+// Limit returns the number of slots.
+func (s *Scheduler) Limit() int { return s.limit }
 
-// Running returns how many attempts run.
-func (d *Scheduler) Running() int { return d.running }
+// Running returns the number of running attempts.
+func (s *Scheduler) Running() int { return s.running }
 
-// Granted returns how many places are reserved and not yet used.
-func (d *Scheduler) Granted() int { return len(d.grants) }
+// Granted returns the number of slots that are reserved and not yet used.
+func (s *Scheduler) Granted() int { return len(s.grants) }
 
-// Waiting returns how many requests wait, as far as routers told.
-func (d *Scheduler) Waiting() int {
+// Waiting returns the number of waiting requests, without those of unresponsive
+// routers.
+func (s *Scheduler) Waiting() int {
 	n := 0
-	for i := range d.classes {
-		n += d.classes[i].waiting
+	for i := range s.classes {
+		n += s.classes[i].waiting
 	}
 	return n
 }
 
-// WaitsFor reports whether the account has a request waiting in any line.
-func (d *Scheduler) HasWaiting(a fair.Account) bool {
-	for i := range d.classes {
-		if d.classes[i].class.Account == a && d.classes[i].waiting > 0 {
+// HasWaiting reports whether the account has a waiting request in any class.
+func (s *Scheduler) HasWaiting(a fair.Account) bool {
+	for i := range s.classes {
+		if s.classes[i].class.Account == a && s.classes[i].waiting > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Room reports whether a place is free.
-func (d *Scheduler) HasFreeSlot() bool { return d.running+len(d.grants) < d.limit }
+// HasFreeSlot reports whether a slot is free.
+func (s *Scheduler) HasFreeSlot() bool { return s.running+len(s.grants) < s.limit }
 
-// SetWant replaces what a router wants in one line.
-func (d *Scheduler) SetDemand(router string, k Class, count int, estimate float64) {
-	i := slices.IndexFunc(d.classes, func(l classDemand) bool { return l.class == k })
+// SetDemand replaces the demand of a router for one class. An estimate of zero keeps
+// the earlier one.
+func (s *Scheduler) SetDemand(router string, k Class, count int, estimate float64) {
+	i := slices.IndexFunc(s.classes, func(c classDemand) bool { return c.class == k })
 	if i < 0 {
 		if count == 0 {
 			return
 		}
-		i = len(d.classes)
-		d.classes = append(d.classes, classDemand{class: k})
+		i = len(s.classes)
+		s.classes = append(s.classes, classDemand{class: k})
 	}
-	l := &d.classes[i]
+	c := &s.classes[i]
 	if estimate > 0 {
-		l.estimate = estimate
+		c.estimate = estimate
 	}
-	w := slices.IndexFunc(l.demands, func(w demand) bool { return w.router == router })
+	j := slices.IndexFunc(c.demands, func(d demand) bool { return d.router == router })
 	switch {
-	case w >= 0 && l.demands[w].unresponsive:
-		l.demands[w].count = count
-	case w >= 0:
-		l.waiting += count - l.demands[w].count
-		l.demands[w].count = count
+	case j >= 0 && c.demands[j].unresponsive:
+		c.demands[j].count = count
+	case j >= 0:
+		c.waiting += count - c.demands[j].count
+		c.demands[j].count = count
 	case count > 0:
-		l.demands = append(l.demands, demand{router: router, count: count})
-		l.waiting += count
+		c.demands = append(c.demands, demand{router: router, count: count})
+		c.waiting += count
 	}
 }
 
-// DropRouter forgets a router's wants and unused grants, which it returns.
-func (d *Scheduler) DropRouter(router string) []Grant {
-	delete(d.unresponsive, router)
-	for i := range d.classes {
-		l := &d.classes[i]
-		for w := range l.demands {
-			if l.demands[w].router == router {
-				l.setUnresponsive(w, false)
-				l.waiting -= l.demands[w].count
-				l.demands[w].count = 0
+// DropRouter removes a router's demands and unused grants, and returns these grants.
+func (s *Scheduler) DropRouter(router string) []Grant {
+	delete(s.unresponsive, router)
+	for i := range s.classes {
+		c := &s.classes[i]
+		for j := range c.demands {
+			if c.demands[j].router == router {
+				c.setUnresponsive(j, false)
+				c.waiting -= c.demands[j].count
+				c.demands[j].count = 0
 			}
 		}
 	}
 	var dropped []Grant
-	for id, g := range d.grants {
+	for id, g := range s.grants {
 		if g.Router == router {
 			dropped = append(dropped, g)
-			delete(d.grants, id)
+			delete(s.grants, id)
 		}
 	}
 	return dropped
 }
 
-// SetSilent tells whether a router leaves its grants unused: it gets none until it
-// is heard again, so that places do not wait for one that is cut off. It returns
-// whether that changed.
-func (d *Scheduler) SetUnresponsive(router string, silent bool) bool {
-	if d.unresponsive[router] == silent {
+// SetUnresponsive sets whether a router leaves its grants unused. An unresponsive
+// router gets no grants until it is heard again, so that no slots are reserved for a
+// router that is cut off. SetUnresponsive reports whether the state changed.
+func (s *Scheduler) SetUnresponsive(router string, unresponsive bool) bool {
+	if s.unresponsive[router] == unresponsive {
 		return false
 	}
-	d.unresponsive[router] = silent
-	if !silent {
-		delete(d.unresponsive, router)
+	s.unresponsive[router] = unresponsive
+	if !unresponsive {
+		delete(s.unresponsive, router)
 	}
-	for i := range d.classes {
-		l := &d.classes[i]
-		for w := range l.demands {
-			if l.demands[w].router == router {
-				l.setUnresponsive(w, silent)
+	for i := range s.classes {
+		c := &s.classes[i]
+		for j := range c.demands {
+			if c.demands[j].router == router {
+				c.setUnresponsive(j, unresponsive)
 			}
 		}
 	}
 	return true
 }
 
-func (l *classDemand) setUnresponsive(w int, silent bool) {
-	if l.demands[w].unresponsive == silent {
+// setUnresponsive marks the demand with index i, and excludes it from or includes it
+// in the count of waiting requests.
+func (c *classDemand) setUnresponsive(i int, unresponsive bool) {
+	if c.demands[i].unresponsive == unresponsive {
 		return
 	}
-	l.demands[w].unresponsive = silent
-	if silent {
-		l.waiting -= l.demands[w].count
+	c.demands[i].unresponsive = unresponsive
+	if unresponsive {
+		c.waiting -= c.demands[i].count
 		return
 	}
-	l.waiting += l.demands[w].count
+	c.waiting += c.demands[i].count
 }
 
-// Grant reserves a free place for the account that the book picks, or reports
-// that there is no place or nobody who wants one. The book's reservation is made
-// too; it is Release's caller, or the attempt, that takes it back.
-func (d *Scheduler) Grant(b *fair.Tracker) (Grant, bool) {
-	if !d.HasFreeSlot() {
+// Grant reserves a free slot for the account that the tracker picks, and reserves the
+// estimated cost in the tracker. It returns false if no slot is free or no request
+// waits. If the grant is not used, the caller must release the cost in the tracker;
+// otherwise the attempt charges or releases it.
+func (s *Scheduler) Grant(tr *fair.Tracker) (Grant, bool) {
+	if !s.HasFreeSlot() {
 		return Grant{}, false
 	}
-	d.candidates, d.candidateClasses = d.candidates[:0], d.candidateClasses[:0]
-	for i := range d.classes {
-		if l := &d.classes[i]; l.waiting > 0 {
-			d.candidates = append(d.candidates, fair.Candidate{Account: l.class.Account, Urgent: l.class.Urgent})
-			d.candidateClasses = append(d.candidateClasses, i)
+	s.candidates, s.candidateClasses = s.candidates[:0], s.candidateClasses[:0]
+	for i := range s.classes {
+		if c := &s.classes[i]; c.waiting > 0 {
+			s.candidates = append(s.candidates, fair.Candidate{Account: c.class.Account, Urgent: c.class.Urgent})
+			s.candidateClasses = append(s.candidateClasses, i)
 		}
 	}
-	at := b.Pick(d.candidates)
-	if at < 0 {
+	picked := tr.Pick(s.candidates)
+	if picked < 0 {
 		return Grant{}, false
 	}
-	l := &d.classes[d.candidateClasses[at]]
-	d.lastGrantID++
-	g := Grant{ID: d.lastGrantID, Router: l.takeNext(), Class: l.class, Estimate: l.estimate}
-	d.grants[g.ID] = g
-	b.Reserve(g.Class.Account, g.Estimate)
+	c := &s.classes[s.candidateClasses[picked]]
+	s.lastGrantID++
+	g := Grant{ID: s.lastGrantID, Router: c.takeNext(), Class: c.class, Estimate: c.estimate}
+	s.grants[g.ID] = g
+	tr.Reserve(g.Class.Account, g.Estimate)
 	return g, true
 }
 
-// take returns the next router in turn that wants a place and counts one down.
-func (l *classDemand) takeNext() string {
-	for range l.demands {
-		l.lastServed = (l.lastServed + 1) % len(l.demands)
-		if w := &l.demands[l.lastServed]; w.count > 0 && !w.unresponsive {
-			w.count--
-			l.waiting--
-			return w.router
+// takeNext returns the next router in round-robin order that has a waiting request,
+// and subtracts one from its demand.
+func (c *classDemand) takeNext() string {
+	for range c.demands {
+		c.lastServed = (c.lastServed + 1) % len(c.demands)
+		if d := &c.demands[c.lastServed]; d.count > 0 && !d.unresponsive {
+			d.count--
+			c.waiting--
+			return d.router
 		}
 	}
-	panic(errors.AssertionFailedf("dispatch: line %v counts %d waiting and has none", l.class, l.waiting))
+	panic(errors.AssertionFailedf("dispatch: class %v counts %d waiting requests but no router has one", c.class, c.waiting))
 }
 
-// Use turns a grant into a running attempt and returns it. It reports false when
-// there is no such grant: it was declined, dropped or never made.
-func (d *Scheduler) StartGranted(id uint64) (Grant, bool) {
-	g, ok := d.grants[id]
+// StartGranted turns a grant into a running attempt and returns the grant. It returns
+// false if there is no such grant: it was declined, dropped or never made.
+func (s *Scheduler) StartGranted(id uint64) (Grant, bool) {
+	g, ok := s.grants[id]
 	if !ok {
 		return Grant{}, false
 	}
-	delete(d.grants, id)
-	d.running++
+	delete(s.grants, id)
+	s.running++
 	return g, true
 }
 
-// Grantee returns the router that holds a grant.
-func (d *Scheduler) GrantHolder(id uint64) (router string, ok bool) {
-	g, ok := d.grants[id]
+// GrantHolder returns the router that holds a grant.
+func (s *Scheduler) GrantHolder(id uint64) (router string, ok bool) {
+	g, ok := s.grants[id]
 	return g.Router, ok
 }
 
-// Cancel gives a granted place back.
-func (d *Scheduler) Cancel(id uint64) (Grant, bool) {
-	g, ok := d.grants[id]
-	delete(d.grants, id)
+// Cancel frees the slot of a grant.
+func (s *Scheduler) Cancel(id uint64) (Grant, bool) {
+	g, ok := s.grants[id]
+	delete(s.grants, id)
 	return g, ok
 }
 
-// Take starts an attempt that came without a grant. It reports false when there
-// is no place, or when others wait: they go first.
-func (d *Scheduler) TryStart() bool {
-	if !d.HasFreeSlot() || d.Waiting() > 0 {
+// TryStart starts an attempt that arrived without a grant. It returns false if no slot
+// is free or other requests wait, which go first.
+func (s *Scheduler) TryStart() bool {
+	if !s.HasFreeSlot() || s.Waiting() > 0 {
 		return false
 	}
-	d.running++
+	s.running++
 	return true
 }
 
-// Done counts the end of a running attempt.
-func (d *Scheduler) Done() {
-	if d.running == 0 {
-		panic(errors.AssertionFailedf("dispatch: an attempt ended and none ran"))
+// Done records the end of a running attempt.
+func (s *Scheduler) Done() {
+	if s.running == 0 {
+		panic(errors.AssertionFailedf("dispatch: Done called with no running attempt"))
 	}
-	d.running--
+	s.running--
 }
