--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -221,6 +221,7 @@
 	return m
 }
 
+// readState and writeState store the state of the machine in the Lifecycle.
 func readState(ctx context.Context) (stateless.State, error) { return lifecycleFrom(ctx).state, nil }
 
 func writeState(ctx context.Context, s stateless.State) error {
--- a/attempt/keys.go
+++ b/attempt/keys.go
@@ -22,7 +22,8 @@
 }
 
 // Indeterminate means that a request with this key may have run unrecorded, for
-// example at an earlier owner of the key.
+// example at an earlier owner of the key. It is also the result when the store is
+// full.
 type Indeterminate struct{ RetryAfter time.Duration }
 
 func (NewKey) claimResult()        {}
@@ -53,10 +54,11 @@
 	order        []KeyID // oldest first
 }
 
+// claim is the recorded use of a key.
 type claim struct {
 	request string
 	attempt uint32
-	at      time.Time
+	claimed time.Time
 	running bool
 	unknown bool
 }
@@ -82,7 +84,7 @@
 	if len(k.entries) >= k.maxEntries {
 		return Indeterminate{RetryAfter: k.window}
 	}
-	k.entries[id] = &claim{request: request, attempt: attempt, at: now, running: true}
+	k.entries[id] = &claim{request: request, attempt: attempt, claimed: now, running: true}
 	k.order = append(k.order, id)
 	return NewKey{}
 }
@@ -130,7 +132,7 @@
 	for len(k.order) > 0 {
 		id := k.order[0]
 		c, known := k.entries[id]
-		if known && (c.running || now.Sub(c.at) <= k.window) {
+		if known && (c.running || now.Sub(c.claimed) <= k.window) {
 			return
 		}
 		delete(k.entries, id)
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -88,14 +88,14 @@
 
 // SetDemand replaces the demand of a router for one class. An estimate of zero keeps
 // the earlier one.
-func (s *Scheduler) SetDemand(router string, k Class, count int, estimate float64) {
-	i := slices.IndexFunc(s.classes, func(c classDemand) bool { return c.class == k })
+func (s *Scheduler) SetDemand(router string, class Class, count int, estimate float64) {
+	i := slices.IndexFunc(s.classes, func(c classDemand) bool { return c.class == class })
 	if i < 0 {
 		if count == 0 {
 			return
 		}
 		i = len(s.classes)
-		s.classes = append(s.classes, classDemand{class: k})
+		s.classes = append(s.classes, classDemand{class: class})
 	}
 	c := &s.classes[i]
 	if estimate > 0 {
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -17,8 +17,8 @@
 	tr.SetShare(2, 1)
 	tr.Charge(1, 100, 0) // normalized service 50 at a share of two
 	tr.Charge(2, 80, 0)
-	at := tr.Pick([]fair.Candidate{{Account: 1}, {Account: 2}})
-	fmt.Println("picked candidate", at)
+	picked := tr.Pick([]fair.Candidate{{Account: 1}, {Account: 2}})
+	fmt.Println("picked candidate", picked)
 	// Output: picked candidate 0
 }
 
@@ -246,9 +246,9 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		at := tr.Pick(candidates)
-		tr.Reserve(candidates[at].Account, 100)
-		tr.Charge(candidates[at].Account, 100, 100)
+		picked := tr.Pick(candidates)
+		tr.Reserve(candidates[picked].Account, 100)
+		tr.Charge(candidates[picked].Account, 100, 100)
 	}
 }
 
--- a/ledger/fleet.go
+++ b/ledger/fleet.go
@@ -55,14 +55,14 @@
 func (f *Fleet) Update(s HallSum) {
 	v := f.hall(s.Hall)
 	v.mergeService(s.Totals)
-	l := v.reports[s.Source]
-	if l == nil {
-		l = &routerReport{totals: map[fair.Account]fair.Total{}}
-		v.reports[s.Source] = l
+	r := v.reports[s.Source]
+	if r == nil {
+		r = &routerReport{totals: map[fair.Account]fair.Total{}}
+		v.reports[s.Source] = r
 	}
-	l.sequence, l.age = s.Sequence, 0
+	r.sequence, r.age = s.Sequence, 0
 	for _, t := range s.Totals {
-		l.totals[t.Account] = t
+		r.totals[t.Account] = t
 		f.recompute(t.Account)
 	}
 }
@@ -105,17 +105,17 @@
 }
 
 func (v *hallView) mergeReport(s HallSum) {
-	l := v.reports[s.Source]
-	if l != nil && s.Sequence <= l.sequence {
+	r := v.reports[s.Source]
+	if r != nil && s.Sequence <= r.sequence {
 		return
 	}
-	l = &routerReport{sequence: s.Sequence, totals: map[fair.Account]fair.Total{}}
+	r = &routerReport{sequence: s.Sequence, totals: map[fair.Account]fair.Total{}}
 	for _, t := range s.Totals {
 		if t.Slots > 0 || t.Pending > 0 {
-			l.totals[t.Account] = t
+			r.totals[t.Account] = t
 		}
 	}
-	v.reports[s.Source] = l
+	v.reports[s.Source] = r
 }
 
 // Tick records that one interval has passed. It drops the slots and pending service
@@ -123,9 +123,9 @@
 func (f *Fleet) Tick() {
 	f.totals = nil
 	for _, v := range f.halls {
-		for n, l := range v.reports {
-			l.age++
-			if l.age > maxSilentTicks {
+		for n, r := range v.reports {
+			r.age++
+			if r.age > maxSilentTicks {
 				delete(v.reports, n)
 			}
 		}
@@ -194,17 +194,17 @@
 	t.Service += v.service[a]
 	t.Slots += slots
 	t.Pending += pending
-	if l := v.adjustments[a]; l.Supersedes(t.Adjustment) {
-		t.Adjustment = l
+	if adj := v.adjustments[a]; adj.Supersedes(t.Adjustment) {
+		t.Adjustment = adj
 	}
 }
 
 // maxReported returns the largest slot count and the largest pending service of an
 // account in the latest messages of the routers.
 func (v *hallView) maxReported(a fair.Account) (slots, pending float64) {
-	for _, l := range v.reports {
-		slots = math.Max(slots, l.totals[a].Slots)
-		pending = math.Max(pending, l.totals[a].Pending)
+	for _, r := range v.reports {
+		slots = math.Max(slots, r.totals[a].Slots)
+		pending = math.Max(pending, r.totals[a].Pending)
 	}
 	return slots, pending
 }
