--- a/fair/merge.go
+++ b/fair/merge.go
@@ -2,116 +2,117 @@
 
 import "math"
 
-// This file tells service to the fleet and takes the fleet's totals over.
+// This file exchanges service totals with the rest of the fleet.
 
 // Report returns a sequence number and the totals that changed since the last
-// report, or all: this server's own service, its slots where the account waits,
-// and the lift if it moved. The slice is valid until the next call.
-func (b *Book) Report(all bool) (uint64, []Total) {
-	b.sequence++
-	b.spare = b.spare[:0]
-	for i := range b.accounts {
-		s := &b.accounts[i]
-		if !all && s.own == s.reported && s.pending == 0 && !s.lifted && !s.waits {
+// report, or all totals: the service at this server, its slots where the account
+// waits, and the adjustment if it changed. The slice is valid until the next call.
+func (tr *Tracker) Report(all bool) (uint64, []Total) {
+	tr.sequence++
+	tr.reportBuf = tr.reportBuf[:0]
+	for i := range tr.accounts {
+		s := &tr.accounts[i]
+		if !all && s.local == s.lastReported && s.pending == 0 && !s.adjusted && !s.waiting {
 			continue
 		}
-		t := Total{Account: s.account, Service: s.own, Pending: s.pending}
-		if s.lifted || all {
-			t.Lift = s.lift
+		t := Total{Account: s.account, Service: s.local, Pending: s.pending}
+		if s.adjusted || all {
+			t.Adjustment = s.adjustment
 		}
-		if s.waits {
-			t.Reach = b.options.Slots
+		if s.waiting {
+			t.Slots = tr.options.Slots
 		}
-		s.reported = s.own
-		s.lifted = false
-		b.spare = append(b.spare, t)
+		s.lastReported = s.local
+		s.adjusted = false
+		tr.reportBuf = append(tr.reportBuf, t)
 	}
-	return b.sequence, b.spare
+	return tr.sequence, tr.reportBuf
 }
 
-// Peek returns the standing of every account: fleet service as known here, and
-// where the account waits here its reach.
-func (b *Book) Peek() (uint64, []Total) {
-	totals := make([]Total, len(b.accounts))
-	for i := range b.accounts {
-		s := &b.accounts[i]
-		totals[i] = Total{Account: s.account, Service: b.standing(s), Lift: s.lift}
-		if s.waits {
-			totals[i].Reach = math.Max(s.reach, b.options.Slots)
+// Snapshot returns the virtual time of every account as its service, and the slot
+// count of the accounts that wait at this server.
+func (tr *Tracker) Snapshot() (uint64, []Total) {
+	totals := make([]Total, len(tr.accounts))
+	for i := range tr.accounts {
+		s := &tr.accounts[i]
+		totals[i] = Total{Account: s.account, Service: tr.virtualTime(s), Adjustment: s.adjustment}
+		if s.waiting {
+			totals[i].Slots = math.Max(s.slots, tr.options.Slots)
 		}
 	}
-	return b.sequence, totals
+	return tr.sequence, totals
 }
 
-// Merge takes in the rest of the fleet's totals, as they were when the report of
-// that sequence number had been counted. Accounts that are not named keep their
-// service and count as waiting nowhere else. Answers that are too late are
-// dropped, and Merge reports false.
-func (b *Book) Merge(sequence uint64, totals []Total) bool {
-	if sequence+lateReports <= b.sequence || sequence > b.sequence {
+// Merge applies the totals of the rest of the fleet, computed after the report with
+// that sequence number was counted. Accounts that are not listed keep their service
+// and count as waiting nowhere else. Merge ignores totals for a report that was not
+// made or is too old, and reports whether it applied them.
+func (tr *Tracker) Merge(sequence uint64, totals []Total) bool {
+	if sequence+maxReportLag <= tr.sequence || sequence > tr.sequence {
 		return false
 	}
-	for i := range b.accounts {
-		b.accounts[i].reach = 0
+	for i := range tr.accounts {
+		tr.accounts[i].slots = 0
 	}
 	for _, t := range totals {
-		s := b.at(t.Account)
-		s.others = t.Service + t.Pending
-		s.reach = t.Reach
-		b.widest = max(b.widest, t.Reach)
-		if t.Lift.After(s.lift) {
-			s.lift = t.Lift
+		s := tr.state(t.Account)
+		s.remote = t.Service + t.Pending
+		s.slots = t.Slots
+		tr.maxSlots = max(tr.maxSlots, t.Slots)
+		if t.Adjustment.Supersedes(s.adjustment) {
+			s.adjustment = t.Adjustment
 		}
 	}
-	if sequence > b.steered {
-		b.steered = sequence
-		b.steer()
+	if sequence > tr.correctedSequence {
+		tr.correctedSequence = sequence
+		tr.applyCorrection()
 	}
 	return true
 }
 
-// steer moves the turns of the accounts that wait here towards where the fleet's
-// totals put them: as far from the mean turn as this server's part of what they
-// are ahead of the mean over the fleet. A turn already moved and not yet taken is
-// not moved again.
-func (b *Book) steer() {
-	meanStanding, meanKey, n := 0.0, 0.0, 0.0
-	for i := range b.accounts {
-		if s := &b.accounts[i]; s.waits {
-			meanStanding += b.standing(s)
-			meanKey += b.key(s)
+// applyCorrection moves the scheduling keys of the accounts that wait at this server
+// towards their targets. The target's distance from the mean key is this server's
+// fraction of the account's distance from the mean virtual time over the fleet. A
+// correction that was applied and not yet used up by a pick is part of the key, so
+// it is not applied again.
+func (tr *Tracker) applyCorrection() {
+	meanTime, meanKey, n := 0.0, 0.0, 0.0
+	for i := range tr.accounts {
+		if s := &tr.accounts[i]; s.waiting {
+			meanTime += tr.virtualTime(s)
+			meanKey += tr.schedulingKey(s)
 			n++
 		}
 	}
 	if n < 2 {
 		return
 	}
-	meanStanding /= n
+	meanTime /= n
 	meanKey /= n
-	for i := range b.accounts {
-		s := &b.accounts[i]
-		if !s.waits {
+	for i := range tr.accounts {
+		s := &tr.accounts[i]
+		if !s.waiting {
 			continue
 		}
-		target := meanKey + (b.standing(s)-meanStanding)*b.part(s)
-		s.credit += gain * (b.key(s) - target)
-		b.holdNear(s)
+		target := meanKey + (tr.virtualTime(s)-meanTime)*tr.serverFraction(s)
+		s.correction += correctionGain * (tr.schedulingKey(s) - target)
+		tr.clampCorrection(s)
 	}
 }
 
-// holdNear keeps an account's turn here within this server's part of the debt cap
-// of the present one: a difference that lasts, because the servers an account can
-// use differ, must not pile up.
-func (b *Book) holdNear(s *standing) {
-	limit := b.options.DebtCap * b.part(s)
+// clampCorrection keeps an account's scheduling key within this server's fraction of
+// the debt cap around the key picked last. A lasting difference, which arises when
+// accounts can use different servers, must not accumulate.
+func (tr *Tracker) clampCorrection(s *accountState) {
+	limit := tr.options.DebtCap * tr.serverFraction(s)
 	if limit <= 0 {
 		return
 	}
-	k := b.key(s)
+	k := tr.schedulingKey(s)
 	switch {
-	case k > b.turn+limit:
-		s.credit += k - b.turn - limit
-	case k < b.turn-limit:
-		s.credit -= b.turn - limit - k
+	case k > tr.lastKey+limit:
+		s.correction += k - tr.lastKey - limit
+	case k < tr.lastKey-limit:
+		s.correction -= tr.lastKey - limit - k
 	}
 }
