--- a/agent/agent.go
+++ b/agent/agent.go
@@ -92,7 +92,7 @@
 	stopped     chan struct{} // closed when the admission duty has ended
 	duties      *duty.Group
 	life        context.Context // of the agent: an attempt outlives its connection
-	control     wire.ControlCount
+	control     wire.ControlByteCounter
 	begun       time.Time
 }
 
--- a/agent/peer.go
+++ b/agent/peer.go
@@ -45,7 +45,7 @@
 // takeControl handles one control message of a router.
 func (a *Agent) takeControl(p *wire.Peer, m *wirepb.Control) {
 	if m.Revision > a.holder.Revision() && m.GetDocument() == nil {
-		p.Send(wire.Control(a.holder.Revision(), &wirepb.Control_DocumentRequest{DocumentRequest: &wirepb.DocumentRequest{}}))
+		p.Send(wire.NewControl(a.holder.Revision(), &wirepb.Control_DocumentRequest{DocumentRequest: &wirepb.DocumentRequest{}}))
 	}
 	switch b := m.Body.(type) {
 	case *wirepb.Control_Want:
@@ -55,13 +55,13 @@
 	case *wirepb.Control_Summing:
 		a.tell(summingEvent{peer: p, on: b.Summing.On})
 	case *wirepb.Control_Totals:
-		a.tell(totalsEvent{sequence: b.Totals.Sequence, totals: wire.Totals(b.Totals.Counters)})
+		a.tell(totalsEvent{sequence: b.Totals.Sequence, totals: wire.DecodeTotals(b.Totals.Counters)})
 	case *wirepb.Control_Document:
 		a.offer(p, b.Document.Content)
 	case *wirepb.Control_DocumentRequest:
 		a.sendDocument(p)
 	case *wirepb.Control_Ping:
-		p.Send(wire.Control(a.holder.Revision(), &wirepb.Control_Pong{Pong: &wirepb.Pong{Sent: b.Ping.Sent}}))
+		p.Send(wire.NewControl(a.holder.Revision(), &wirepb.Control_Pong{Pong: &wirepb.Pong{Sent: b.Ping.Sent}}))
 	case *wirepb.Control_Leaving:
 		a.tell(listEvent{peer: p, leaving: b.Leaving.On})
 	case *wirepb.Control_Pong:
@@ -104,7 +104,7 @@
 		a.options.Log.Error().Err(err).Msg("configuration not sent")
 		return
 	}
-	p.Send(wire.Control(d.Revision, &wirepb.Control_Document{Document: &wirepb.Document{Content: content}}))
+	p.Send(wire.NewControl(d.Revision, &wirepb.Control_Document{Document: &wirepb.Document{Content: content}}))
 }
 
 func (a *Agent) acceptStreams(ctx context.Context, p *wire.Peer, streams *duty.Group) {
@@ -124,7 +124,7 @@
 func (a *Agent) serveStream(ctx context.Context, p *wire.Peer, s *wire.Stream) {
 	defer s.Close()
 	wait, cancel := context.WithTimeout(ctx, firstMessageTime)
-	release := s.Shut(wait)
+	release := s.CloseWhenDone(wait)
 	var c wirepb.Call
 	err := s.Read(&c)
 	release()
@@ -197,9 +197,9 @@
 		a.tell(statusEvent{reply: reply})
 		list.Status, _ = await(a, reply)
 	case r.Request != "":
-		list.Records = wire.Records(a.options.Records.Request(r.Request))
+		list.Records = wire.EncodeEvents(a.options.Records.Request(r.Request))
 	default:
-		list.Records = wire.Records(a.options.Records.Account(r.Account))
+		list.Records = wire.EncodeEvents(a.options.Records.Account(r.Account))
 	}
 	_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_RecordList{RecordList: list}})
 }
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -23,7 +23,7 @@
 // Why a running attempt was stopped.
 var (
 	errAbandoned  = errors.New("agent: no router reads the answer")
-	errCallerLeft = errors.New(wire.ReasonCallerLeft)
+	errCallerLeft = errors.New(wire.ReasonCallerDisconnected)
 	errDeadline   = errors.New(wire.ReasonDeadline)
 )
 
--- a/agent/tell.go
+++ b/agent/tell.go
@@ -18,7 +18,7 @@
 		return
 	}
 	sequence, totals := d.book.Report(d.ticks%fullReportTicks == 0)
-	r := &wirepb.Report{Sequence: sequence, Counters: wire.Counters(totals)}
+	r := &wirepb.Report{Sequence: sequence, Counters: wire.EncodeTotals(totals)}
 	for _, p := range to {
 		p.Send(d.message(&wirepb.Control_Report{Report: r}))
 	}
@@ -51,5 +51,5 @@
 }
 
 func (d *admission) message(body any) *wirepb.Control {
-	return wire.Control(d.agent.holder.Revision(), body)
+	return wire.NewControl(d.agent.holder.Revision(), body)
 }
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -116,7 +116,7 @@
 	for a := range accounts {
 		totals = append(totals, fair.Total{Account: fair.Account(a + 1), Service: 4e8 / float64(accounts), Pending: 3000, Reach: 64})
 	}
-	m := wire.Control(900_000, &wirepb.Control_Report{Report: &wirepb.Report{Sequence: 40_000, Counters: wire.Counters(totals)}})
+	m := wire.NewControl(900_000, &wirepb.Control_Report{Report: &wirepb.Report{Sequence: 40_000, Counters: wire.EncodeTotals(totals)}})
 	return float64(proto.Size(m))
 }
 
--- a/cmd/opalbridge/dev.go
+++ b/cmd/opalbridge/dev.go
@@ -94,7 +94,7 @@
 
 func (f *devFleet) start(listen string) error {
 	var err error
-	f.telemetry, err = telemetry.New(f.life, telemetry.Options{Service: "opalbridge-dev", Node: "dev", SpanKeep: spansKept})
+	f.telemetry, err = telemetry.New(f.life, telemetry.Options{Service: "opalbridge-dev", Node: "dev", MaxSpans: spansKept})
 	if err != nil {
 		return err
 	}
--- a/cmd/opalbridge/gateway.go
+++ b/cmd/opalbridge/gateway.go
@@ -59,18 +59,18 @@
 }
 
 // calls counts the ends of requests in the process's metrics.
-type calls struct{ *telemetry.Calls }
+type calls struct{ *telemetry.GatewayMetrics }
 
 // RequestEnded implements gateway.Metrics.
 func (c calls) RequestEnded(o gateway.Outcome) {
-	c.Request(o.Service, o.Kind, o.Result, o.Attempts, o.FirstByte, o.Total)
+	c.RecordRequest(o.Service, o.Kind, o.Result, o.Attempts, o.FirstByte, o.Total)
 }
 
 func runGateway(ctx context.Context, s *settings.Settings, file string) error {
 	if s.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(heapShare * float64(s.MemoryMB) * (1 << 20)))
 	}
-	lines := telemetry.NewLines(os.Stdout)
+	lines := telemetry.NewLogWriter(os.Stdout)
 	written := make(chan struct{})
 	writing, stopWriting := context.WithCancel(context.Background())
 	go func() {
@@ -106,8 +106,8 @@
 }
 
 // observe registers the gauges of what the gateway believes.
-func observe(t *telemetry.Telemetry, g *gateway.Gateway, lines *telemetry.Lines, entries *unreadable) error {
-	return telemetry.Observe(t.Meter("gateway"), []telemetry.Gauge{
+func observe(t *telemetry.Telemetry, g *gateway.Gateway, lines *telemetry.LogWriter, entries *unreadable) error {
+	return telemetry.RegisterGauges(t.Meter("gateway"), []telemetry.Gauge{
 		{Name: "opalbridge.gateway.view_age", Unit: "s", Description: "since the view was last known to be the store's latest", Read: func() float64 { return g.Status().ViewAge.Seconds() }},
 		{Name: "opalbridge.gateway.configuration_version", Description: "version in force; 0: none", Read: func() float64 { return float64(g.Status().ConfigurationVersion) }},
 		{Name: "opalbridge.gateway.store_era", Description: "how often the platform's store has come back from a copy, as it counts itself", Read: func() float64 { return float64(g.Status().StoreEra) }},
@@ -127,7 +127,7 @@
 
 // openGateway opens the gateway's sockets and puts its parts together.
 func openGateway(s *settings.Settings, t *telemetry.Telemetry, log zerolog.Logger, entries *unreadable) (*gateway.Gateway, error) {
-	metrics, err := telemetry.NewCalls(t.Meter("gateway"))
+	metrics, err := telemetry.NewGatewayMetrics(t.Meter("gateway"))
 	if err != nil {
 		return nil, err
 	}
@@ -159,18 +159,18 @@
 		Suspects:  &platform.Suspects{Store: store},
 		Codec:     platform.Codec{},
 		Dispatcher: gateway.DispatcherOptions{
-			Retries:     budget.Limits{Ratio: s.RepeatRatio, FixedRetries: s.RepeatExtra, Window: s.RepeatWindow},
+			Retries:     budget.Limits{Ratio: s.RetryRatio, FixedRetries: s.RetryExtra, Window: s.RetryWindow},
 			ShareWindow: s.ShareWindow, Policy: placement.DefaultPolicy(), Hall: s.Hall,
 			ColdLimits: warmup.Limits{Factor: s.ColdFactor, Extra: s.ColdExtra}, Regions: s.Regions,
 		},
-		MilliCPU: int(s.Processor * 1000), MemoryLimit: int64(s.MemoryMB) << 20, FileLimit: descriptors(s), ShutdownGrace: s.StopTimeout, Log: log, Metrics: calls{metrics},
+		MilliCPU: int(s.CPULimit * 1000), MemoryLimit: int64(s.MemoryMB) << 20, FileLimit: descriptors(s), ShutdownGrace: s.StopTimeout, Log: log, Metrics: calls{metrics},
 	})
 }
 
 // descriptors returns how many files and sockets the process may open; 0: no limit.
 func descriptors(s *settings.Settings) int {
-	if s.Descriptors > 0 {
-		return s.Descriptors
+	if s.FileLimit > 0 {
+		return s.FileLimit
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > mostDescriptors {
--- a/cmd/opalbridge/run.go
+++ b/cmd/opalbridge/run.go
@@ -129,7 +129,7 @@
 
 // startRouter builds a router from its settings and starts it on the listeners.
 func startRouter(ctx context.Context, s *settings.Settings, t *telemetry.Telemetry, log zerolog.Logger, callers, peers net.Listener) (*routerParts, error) {
-	metrics, err := telemetry.NewRequests(t.Meter("router"))
+	metrics, err := telemetry.NewRouterMetrics(t.Meter("router"))
 	if err != nil {
 		return nil, err
 	}
@@ -154,12 +154,12 @@
 	if err != nil {
 		return nil, err
 	}
-	service := &operator.Service{Store: &config.Store{KV: client, Known: r.Configuration}, Fleet: r, TokenHash: s.OperatorTokenHash}
+	service := &operator.Service{Store: &config.Store{KV: client, Local: r.Configuration}, Fleet: r, TokenHash: s.OperatorTokenHash}
 	mux := http.NewServeMux()
 	path, calls := service.Handler()
 	mux.Handle(path, calls)
 	mux.Handle("/", r.Handler())
-	err = telemetry.Observe(t.Meter("router"), []telemetry.Gauge{
+	err = telemetry.RegisterGauges(t.Meter("router"), []telemetry.Gauge{
 		{Name: "opalbridge.open", Description: "requests not yet answered", Read: func() float64 { return float64(r.Open()) }},
 		{Name: "opalbridge.control", Unit: "By", Description: "control bytes sent and received since the start", Read: func() float64 { return float64(r.ControlBytes()) }},
 		{Name: "opalbridge.revision", Description: "configuration revision in force", Read: func() float64 { return float64(r.Revision()) }},
@@ -177,7 +177,7 @@
 }
 
 func runRouter(ctx context.Context, s *settings.Settings, log zerolog.Logger) error {
-	t, err := telemetry.New(ctx, telemetry.Options{Service: "opalbridge-router", Node: s.Name, OTLP: s.OTLPURL, SpanKeep: spansKept})
+	t, err := telemetry.New(ctx, telemetry.Options{Service: "opalbridge-router", Node: s.Name, OTLP: s.OTLPURL, MaxSpans: spansKept})
 	if err != nil {
 		return err
 	}
@@ -268,7 +268,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	err = telemetry.Observe(t.Meter("agent"), []telemetry.Gauge{
+	err = telemetry.RegisterGauges(t.Meter("agent"), []telemetry.Gauge{
 		{Name: "opalbridge.running", Description: "attempts that run", Read: func() float64 { return float64(a.Running()) }},
 		{Name: "opalbridge.control", Unit: "By", Description: "control bytes sent and received since the start", Read: func() float64 { return float64(a.ControlBytes()) }},
 		{Name: "opalbridge.revision", Description: "configuration revision in force", Read: func() float64 { return float64(a.Revision()) }},
@@ -280,7 +280,7 @@
 }
 
 func runAgent(ctx context.Context, s *settings.Settings, log zerolog.Logger) error {
-	t, err := telemetry.New(ctx, telemetry.Options{Service: "opalbridge-agent", Node: s.Name, OTLP: s.OTLPURL, SpanKeep: spansKept})
+	t, err := telemetry.New(ctx, telemetry.Options{Service: "opalbridge-agent", Node: s.Name, OTLP: s.OTLPURL, MaxSpans: spansKept})
 	if err != nil {
 		return err
 	}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var p kvtest.Service
 		s := config.Store{KV: &p}
-		p.SetFaults(kvtest.Faults{LoseWrites: 1})
+		p.SetFaults(kvtest.Faults{LoseWriteResponses: 1})
 		o, ok := s.Propose(context.Background(), 0, addAccount("a")).(config.Accepted)
 		require.True(t, ok)
 		require.Equal(t, uint64(1), o.Document.Revision)
@@ -65,7 +65,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var p kvtest.Service
 		s := config.Store{KV: &p}
-		p.SetFaults(kvtest.Faults{LoseWrites: 1, Delay: 10 * time.Millisecond})
+		p.SetFaults(kvtest.Faults{LoseWriteResponses: 1, Delay: 10 * time.Millisecond})
 		var first config.Outcome
 		var done sync.WaitGroup
 		done.Go(func() { first = s.Propose(context.Background(), 0, addAccount("a")) })
@@ -87,7 +87,7 @@
 func TestRacingOperatorsLoseNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p kvtest.Service
-		p.SetFaults(kvtest.Faults{LoseWrites: 3, Delay: time.Millisecond})
+		p.SetFaults(kvtest.Faults{LoseWriteResponses: 3, Delay: time.Millisecond})
 		var done sync.WaitGroup
 		accepted := make([]bool, 6)
 		for i := range accepted {
--- a/config/store.go
+++ b/config/store.go
@@ -23,7 +23,7 @@
 )
 
 // Outcome is what became of a proposed change: [Accepted], [Conflict],
-// [Rejected] or [Undecided].
+// [Rejected] or [Indeterminate].
 type Outcome interface{ outcome() }
 
 // Accepted says that the change is in the service under this document.
@@ -35,9 +35,9 @@
 // Rejected says that the change breaks a rule; nothing was written.
 type Rejected struct{ Reason error }
 
-// Undecided says that the service could not tell whether the change was
+// Indeterminate says that the service could not tell whether the change was
 // written. Change is the id by which it can be found out later.
-type Undecided struct {
+type Indeterminate struct {
 	Change string
 	Reason error
 }
@@ -45,14 +45,14 @@
 func (Accepted) outcome()  {}
 func (Conflict) outcome()  {}
 func (Rejected) outcome()  {}
-func (Undecided) outcome() {}
+func (Indeterminate) outcome() {}
 
 // Store reads and changes the document in the platform's service.
 type Store struct {
 	KV kv.KV
-	// Known returns the document in force here; nil: none is known. The service may come back
+	// Local returns the document in force here; nil: none is known. The service may come back
 	// from a copy that lacks it.
-	Known func() *Document
+	Local func() *Document
 }
 
 // Load returns the accepted document and the version the service gives it; an
@@ -65,9 +65,9 @@
 	return decodeEntry(e)
 }
 
-// Await waits until the service holds a version other than the one given, or
+// Watch waits until the service holds a version other than the one given, or
 // until it ends the watch.
-func (s *Store) Await(ctx context.Context, version uint64) (*Document, uint64, error) {
+func (s *Store) Watch(ctx context.Context, version uint64) (*Document, uint64, error) {
 	e, err := s.KV.Watch(ctx, DocumentKey, version)
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "config: watch")
@@ -125,7 +125,7 @@
 			return o
 		case Conflict:
 			// The next turn reads who won; it may have been this very change.
-		case Undecided:
+		case Indeterminate:
 			settled, known := s.settle(ctx, version, next)
 			if known {
 				return settled
@@ -139,7 +139,7 @@
 	if last == nil {
 		last = errors.New("config: propose: too many conflicts")
 	}
-	return Undecided{Change: id, Reason: last}
+	return Indeterminate{Change: id, Reason: last}
 }
 
 // Restore writes the document in force here to a service that holds an earlier one, under that
@@ -147,10 +147,10 @@
 // whether the service held an earlier one; whoever goes on reads it anew. Another node may have
 // restored it meanwhile.
 func (s *Store) Restore(ctx context.Context, current *Document, version uint64) (earlier bool, err error) {
-	if s.Known == nil {
+	if s.Local == nil {
 		return false, nil
 	}
-	known := s.Known()
+	known := s.Local()
 	if known.Revision <= current.Revision {
 		return false, nil
 	}
@@ -193,7 +193,7 @@
 	case errors.Is(err, kv.ErrConflict):
 		return Conflict{}
 	default:
-		return Undecided{Change: next.Change, Reason: err}
+		return Indeterminate{Change: next.Change, Reason: err}
 	}
 }
 
--- a/fleettest/chunks_test.go
+++ b/fleettest/chunks_test.go
@@ -49,7 +49,7 @@
 		return
 	}
 	defer p.Close(nil)
-	p.Send(wire.Control(1, &wirepb.Control_Load{Load: &wirepb.Load{Limit: 8}}))
+	p.Send(wire.NewControl(1, &wirepb.Control_Load{Load: &wirepb.Load{Limit: 8}}))
 	go func() {
 		for range p.Control() { // what the router tells is of no interest
 		}
--- a/fleettest/config_test.go
+++ b/fleettest/config_test.go
@@ -64,7 +64,7 @@
 					<-over
 					accepted, ok := o.(config.Accepted)
 					if !ok {
-						require.IsType(t, config.Undecided{}, o)
+						require.IsType(t, config.Indeterminate{}, o)
 					} else {
 						requireInForce(t, f, accepted.Document.Revision)
 					}
@@ -126,10 +126,10 @@
 			return o.Document.Revision
 		}
 		share(2)
-		older := f.Platform.Copy()
+		older := f.Platform.Snapshot()
 		lost := share(3)
 		requireInForce(t, f, lost)
-		f.Platform.Return(older)
+		f.Platform.RestoreSnapshot(older)
 		time.Sleep(inForce)
 		store := config.Store{KV: f.Platform}
 		d, _, err := store.Load(t.Context())
--- a/kv/kvtest/kvtest.go
+++ b/kv/kvtest/kvtest.go
@@ -22,14 +22,14 @@
 	"opalbridge.dev/kv"
 )
 
-// WatchTime is how long a watch waits before it returns the unchanged entry.
-const WatchTime = 30 * time.Second
+// WatchTimeout is how long a watch waits before it returns the unchanged entry.
+const WatchTimeout = 30 * time.Second
 
 // Faults tell the service how to misbehave.
 type Faults struct {
 	Down       bool          // every call is refused before any effect
 	Delay      time.Duration // every call waits first
-	LoseWrites int           // so many writes take effect, and their answer is lost
+	LoseWriteResponses int           // so many writes take effect, and their answer is lost
 }
 
 // Calls counts what the service was asked.
@@ -46,22 +46,22 @@
 	changed chan struct{}
 }
 
-// Copy is what the service held at one moment.
-type Copy map[string]kv.Entry
+// Snapshot is what the service held at one moment.
+type Snapshot map[string]kv.Entry
 
 // returnedBits are those of a version that the service gives within one of its returns.
 const returnedBits = 40
 
-// Copy returns what the service holds.
-func (s *Service) Copy() Copy {
+// Snapshot returns what the service holds.
+func (s *Service) Snapshot() Snapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.entries)
 }
 
-// Return lets the service come back from a copy: what was written since is gone, and all
+// RestoreSnapshot lets the service come back from a copy: what was written since is gone, and all
 // entries have versions that they never had before.
-func (s *Service) Return(c Copy) {
+func (s *Service) RestoreSnapshot(c Snapshot) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.returns++
@@ -75,8 +75,8 @@
 	}
 }
 
-// ErrLost stands for an answer that did not arrive.
-var ErrLost = errors.New("kvtest: answer lost")
+// ErrResponseLost stands for an answer that did not arrive.
+var ErrResponseLost = errors.New("kvtest: answer lost")
 
 // SetFaults replaces the faults.
 func (s *Service) SetFaults(f Faults) {
@@ -139,9 +139,9 @@
 	}
 	s.entries[key] = kv.Entry{Value: slices.Clone(value), Version: version + 1}
 	s.wake()
-	if s.faults.LoseWrites > 0 {
-		s.faults.LoseWrites--
-		return 0, ErrLost
+	if s.faults.LoseWriteResponses > 0 {
+		s.faults.LoseWriteResponses--
+		return 0, ErrResponseLost
 	}
 	return version + 1, nil
 }
@@ -151,7 +151,7 @@
 	if err := s.enter(ctx, func(c *Calls) { c.Watches++ }); err != nil {
 		return kv.Entry{}, err
 	}
-	end := time.NewTimer(WatchTime)
+	end := time.NewTimer(WatchTimeout)
 	defer end.Stop()
 	for {
 		e := s.entries[key]
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -31,11 +31,11 @@
 	"opalbridge.dev/router"
 )
 
-// OldKeyTime is how long an account's earlier key stays valid after a rotation.
-const OldKeyTime = time.Hour
+// OldKeyGracePeriod is how long an account's earlier key stays valid after a rotation.
+const OldKeyGracePeriod = time.Hour
 
-// CurrentHeader carries the current revision in the answer to a conflict.
-const CurrentHeader = "Opalbridge-Current-Revision"
+// CurrentRevisionHeader carries the current revision in the answer to a conflict.
+const CurrentRevisionHeader = "Opalbridge-Current-Revision"
 
 // Fleet is what the service asks of the router it runs in.
 type Fleet interface {
@@ -77,7 +77,7 @@
 		return o.Document, nil
 	case config.Conflict:
 		err := connect.NewError(connect.CodeAborted, errors.Newf("the current revision is %d", o.Current))
-		err.Meta().Set(CurrentHeader, fmt.Sprint(o.Current))
+		err.Meta().Set(CurrentRevisionHeader, fmt.Sprint(o.Current))
 		return nil, err
 	case config.Rejected:
 		var known *connect.Error
@@ -85,7 +85,7 @@
 			return nil, known
 		}
 		return nil, connect.NewError(connect.CodeInvalidArgument, o.Reason)
-	case config.Undecided:
+	case config.Indeterminate:
 		return nil, connect.NewError(connect.CodeUnavailable,
 			errors.Newf("it is not known whether change %s was accepted: %v", o.Change, o.Reason))
 	default:
@@ -206,7 +206,7 @@
 		a.Keys = slices.DeleteFunc(a.Keys, func(k config.Key) bool { return !k.Expires.IsZero() && k.Expires.Before(now) })
 		for i := range a.Keys {
 			if a.Keys[i].Expires.IsZero() {
-				a.Keys[i].Expires = now.Add(OldKeyTime)
+				a.Keys[i].Expires = now.Add(OldKeyGracePeriod)
 			}
 		}
 		a.Keys = append(a.Keys, config.Key{Hash: config.HashKey(key)})
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -83,7 +83,7 @@
 func (f *flight) read(ctx context.Context, p placement, s *wire.Stream) attempt.Next {
 	release := context.AfterFunc(ctx, func() {
 		_ = s.Write(&wirepb.Call{Body: &wirepb.Call_Cancel{Cancel: &wirepb.Cancel{Reason: context.Cause(ctx).Error()}}})
-		s.Expire(cancelTime)
+		s.SetTimeout(cancelTime)
 	})
 	defer release()
 	var head *wirepb.Head
@@ -175,7 +175,7 @@
 	switch reason {
 	case wire.ReasonDeadline:
 		return attempt.Deadline
-	case wire.ReasonCallerLeft:
+	case wire.ReasonCallerDisconnected:
 		return attempt.CallerLeft
 	default:
 		return attempt.Broken
--- a/router/configuration.go
+++ b/router/configuration.go
@@ -63,11 +63,11 @@
 	if first || version == 0 {
 		d, v, err := r.store.Load(ctx)
 		if err == nil && v == 0 {
-			return r.store.Await(ctx, 0)
+			return r.store.Watch(ctx, 0)
 		}
 		return d, v, err
 	}
-	return r.store.Await(ctx, version)
+	return r.store.Watch(ctx, version)
 }
 
 // restore writes the revision in force again to a service that holds an earlier one.
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -66,7 +66,7 @@
 			unreached = append(unreached, hosts[i].Name)
 			continue
 		}
-		events = append(events, wire.Events(l.Records)...)
+		events = append(events, wire.DecodeEvents(l.Records)...)
 	}
 	slices.SortStableFunc(events, func(a, b explain.Event) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
 	return events, unreached
@@ -89,7 +89,7 @@
 		return nil
 	}
 	defer s.Close()
-	release := s.Shut(ctx)
+	release := s.CloseWhenDone(ctx)
 	defer release()
 	if err := s.Write(&wirepb.Call{Body: &wirepb.Call_Records{Records: q}}); err != nil {
 		return nil
@@ -136,9 +136,9 @@
 	case q.Status:
 		return &wirepb.RecordList{Status: r.ownStatus(ctx)}
 	case q.Request != "":
-		return &wirepb.RecordList{Records: wire.Records(r.options.Records.Request(q.Request))}
+		return &wirepb.RecordList{Records: wire.EncodeEvents(r.options.Records.Request(q.Request))}
 	default:
-		return &wirepb.RecordList{Records: wire.Records(r.options.Records.Account(q.Account))}
+		return &wirepb.RecordList{Records: wire.EncodeEvents(r.options.Records.Account(q.Account))}
 	}
 }
 
@@ -155,7 +155,7 @@
 		Degraded:     r.degraded(),
 	}
 	if r.summing.isSumming() {
-		s.Counters = wire.Counters(r.totals(ctx))
+		s.Counters = wire.EncodeTotals(r.totals(ctx))
 	}
 	s.Waiting = uint32(r.dispatcherView(ctx).queued)
 	return s
@@ -220,7 +220,7 @@
 	}
 	for _, h := range r.members.summers(r.options.Hall) {
 		if list := r.askNode(ctx, h, &wirepb.Records{Status: true}); list != nil {
-			return wire.Totals(list.Status.GetCounters())
+			return wire.DecodeTotals(list.Status.GetCounters())
 		}
 	}
 	return nil
--- a/router/link.go
+++ b/router/link.go
@@ -138,7 +138,7 @@
 
 // message returns a control message that names the revision in force here.
 func (r *Router) message(body any) *wirepb.Control {
-	return wire.Control(r.holder.Revision(), body)
+	return wire.NewControl(r.holder.Revision(), body)
 }
 
 // sleep waits and reports false when ctx ended first.
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -134,7 +134,7 @@
 		return err
 	}
 	defer s.Close()
-	release := s.Shut(ctx)
+	release := s.CloseWhenDone(ctx)
 	defer release()
 	ours := n.router.news(ctx, sums)
 	n.router.counted.add(ours)
@@ -223,7 +223,7 @@
 	defer s.Close()
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	release := s.Shut(ctx)
+	release := s.CloseWhenDone(ctx)
 	defer release()
 	var c wirepb.Call
 	if err := s.Read(&c); err != nil {
--- a/router/recover.go
+++ b/router/recover.go
@@ -43,7 +43,7 @@
 		return nil, reason
 	}
 	defer s.Close()
-	release := s.Shut(ctx)
+	release := s.CloseWhenDone(ctx)
 	defer release()
 	var answer wirepb.Piece
 	if err := s.Read(&answer); err != nil {
--- a/router/router.go
+++ b/router/router.go
@@ -115,7 +115,7 @@
 	neighbours  *neighbours
 	summing     *summing
 	retries     retryBudget
-	control     wire.ControlCount
+	control     wire.ControlByteCounter
 	counted     counted
 	fresh       freshness
 	draining    atomic.Bool
@@ -139,7 +139,7 @@
 		drained:     make(chan struct{}),
 		begun:       time.Now(),
 	}
-	r.store.Known = r.holder.Current
+	r.store.Local = r.holder.Current
 	r.dispatcher = newDispatcher(r)
 	r.members = &members{router: r}
 	r.agents = &agents{router: r, links: map[string]*link{}}
--- a/router/summing.go
+++ b/router/summing.go
@@ -111,7 +111,7 @@
 		}
 	case sumsEvent:
 		for _, h := range e.halls {
-			s.fleet.Merge(ledger.HallSum{Hall: h.Hall, Source: h.Source, Sequence: h.Sequence, Totals: wire.Totals(h.Counters)})
+			s.fleet.Merge(ledger.HallSum{Hall: h.Hall, Source: h.Source, Sequence: h.Sequence, Totals: wire.DecodeTotals(h.Counters)})
 		}
 	case sumsQuery:
 		e.reply <- s.sums()
@@ -126,7 +126,7 @@
 		s.peers[agent] = e.peer
 		s.told[agent] = map[fair.Account]fair.Total{}
 	}
-	if !s.hall.Report(agent, e.peer.Hello.Incarnation, e.report.Sequence, wire.Totals(e.report.Counters)) {
+	if !s.hall.Report(agent, e.peer.Hello.Incarnation, e.report.Sequence, wire.DecodeTotals(e.report.Counters)) {
 		return
 	}
 	s.sequence++
@@ -136,7 +136,7 @@
 	}
 	e.peer.Send(s.router.message(&wirepb.Control_Totals{Totals: &wirepb.Totals{
 		Sequence: e.report.Sequence,
-		Counters: wire.Counters(s.news(agent)),
+		Counters: wire.EncodeTotals(s.news(agent)),
 	}}))
 }
 
@@ -193,7 +193,7 @@
 		return nil
 	}
 	own := &wirepb.HallTotals{Hall: s.router.options.Hall, Source: s.source(), Sequence: s.sequence}
-	own.Counters = wire.Counters(s.fleet.Hall(s.router.options.Hall))
+	own.Counters = wire.EncodeTotals(s.fleet.Hall(s.router.options.Hall))
 	return []*wirepb.HallTotals{own}
 }
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -67,32 +67,32 @@
 	StoreAddress string
 	Seeds        []string
 	MemoryMB     int
-	Processor    float64
-	Descriptors  int
-	RepeatRatio  float64
-	RepeatExtra  float64
-	RepeatWindow time.Duration
+	CPULimit    float64
+	FileLimit  int
+	RetryRatio  float64
+	RetryExtra  float64
+	RetryWindow time.Duration
 	ShareWindow  time.Duration
 	ColdFactor   float64
 	ColdExtra    float64
 	Regions      map[string]string
 }
 
-// Fault is one thing wrong with a settings file.
-type Fault struct {
+// FieldError is one thing wrong with a settings file.
+type FieldError struct {
 	Line    int
 	Key     string
 	Message string
 }
 
 // Error implements error.
-func (f Fault) Error() string { return fmt.Sprintf("line %d: %s: %s", f.Line, f.Key, f.Message) }
+func (f FieldError) Error() string { return fmt.Sprintf("line %d: %s: %s", f.Line, f.Key, f.Message) }
 
-// Faults are all that is wrong with a settings file.
-type Faults []Fault
+// FieldErrors are all that is wrong with a settings file.
+type FieldErrors []FieldError
 
 // Error implements error.
-func (f Faults) Error() string {
+func (f FieldErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, o := range f {
 		lines[i] = o.Error()
@@ -181,15 +181,15 @@
 	{"memory_mb", gateway, false, "0", "Memory of the process in MB, of which the garbage collector keeps clear; 0: no limit.",
 		func(s *Settings, t string) error { return integer(&s.MemoryMB, t, 0, 1<<20) }},
 	{"processor", gateway, false, "1", "Share of a core that the process may use; those of a hall that have most pass news on for the others.",
-		func(s *Settings, t string) error { return number(&s.Processor, t, 0, 1024) }},
+		func(s *Settings, t string) error { return number(&s.CPULimit, t, 0, 1024) }},
 	{"descriptors", gateway, false, "0", "Open files and sockets that the process may have; 0: the system's own limit.",
-		func(s *Settings, t string) error { return integer(&s.Descriptors, t, 0, 1<<20) }},
+		func(s *Settings, t string) error { return integer(&s.FileLimit, t, 0, 1<<20) }},
 	{"repeat_ratio", gateway, false, "0.2", "Requests that the fleet may send to servers again in a window, for each request of it.",
-		func(s *Settings, t string) error { return number(&s.RepeatRatio, t, 0, 10) }},
+		func(s *Settings, t string) error { return number(&s.RetryRatio, t, 0, 10) }},
 	{"repeat_extra", gateway, false, "20", "Requests that the fleet may send again in a window besides.",
-		func(s *Settings, t string) error { return number(&s.RepeatExtra, t, 0, 1e6) }},
+		func(s *Settings, t string) error { return number(&s.RetryExtra, t, 0, 1e6) }},
 	{"repeat_window", gateway, false, "10s", "Window of repeat_ratio and repeat_extra (a duration such as 10s).",
-		func(s *Settings, t string) error { return duration(&s.RepeatWindow, t, time.Second, time.Hour) }},
+		func(s *Settings, t string) error { return duration(&s.RetryWindow, t, time.Second, time.Hour) }},
 	{"share_window", gateway, false, "4s", "Window in which accounts' shares are kept (a duration such as 4s).",
 		func(s *Settings, t string) error { return duration(&s.ShareWindow, t, time.Second, time.Hour) }},
 	{"cold_factor", gateway, false, "1", "The fleet may send a cold server, in any second, as many requests as the configuration says that it bears in one, times this, plus cold_extra.",
@@ -213,7 +213,7 @@
 	p.missing()
 	p.together()
 	if len(p.faults) > 0 {
-		slices.SortStableFunc(p.faults, func(a, b Fault) int { return a.Line - b.Line })
+		slices.SortStableFunc(p.faults, func(a, b FieldError) int { return a.Line - b.Line })
 		return nil, p.faults
 	}
 	return p.settings, nil
@@ -223,11 +223,11 @@
 	settings *Settings
 	fields   []Field
 	seen     map[string]int // line of each key
-	faults   Faults
+	faults   FieldErrors
 }
 
 func (p *parser) fault(line int, key, format string, a ...any) {
-	p.faults = append(p.faults, Fault{Line: line, Key: key, Message: fmt.Sprintf(format, a...)})
+	p.faults = append(p.faults, FieldError{Line: line, Key: key, Message: fmt.Sprintf(format, a...)})
 }
 
 func (p *parser) defaults() {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -40,7 +40,7 @@
 certificate: c.pem
 `
 	_, err := settings.Parse(settings.Agent, []byte(content))
-	var faults settings.Faults
+	var faults settings.FieldErrors
 	require.True(t, errors.As(err, &faults))
 	lines := map[int]string{}
 	for _, f := range faults {
--- a/telemetry/gateway.go
+++ b/telemetry/gateway.go
@@ -9,17 +9,17 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// Calls records a gateway's requests.
-type Calls struct {
+// GatewayMetrics records a gateway's requests.
+type GatewayMetrics struct {
 	requests metric.Int64Counter
 	attempts metric.Int64Counter
 	first    metric.Float64Histogram
 	whole    metric.Float64Histogram
 }
 
-// NewCalls returns the instruments of a gateway.
-func NewCalls(m metric.Meter) (*Calls, error) {
-	var c Calls
+// NewGatewayMetrics returns the instruments of a gateway.
+func NewGatewayMetrics(m metric.Meter) (*GatewayMetrics, error) {
+	var c GatewayMetrics
 	var faults [4]error
 	c.requests, faults[0] = m.Int64Counter("opalbridge.gateway.requests", metric.WithDescription("requests that ended, by service, kind and result"))
 	c.attempts, faults[1] = m.Int64Counter("opalbridge.gateway.attempts", metric.WithDescription("sends to servers, by service; over opalbridge.gateway.requests"))
@@ -28,8 +28,8 @@
 	return &c, errors.Wrap(errors.Join(faults[:]...), "telemetry: gateway")
 }
 
-// Request counts a request that has ended; first is 0 when no byte was passed on.
-func (c *Calls) Request(service, kind, result string, attempts int, first, whole time.Duration) {
+// RecordRequest counts a request that has ended; first is 0 when no byte was passed on.
+func (c *GatewayMetrics) RecordRequest(service, kind, result string, attempts int, first, whole time.Duration) {
 	ctx := context.Background()
 	by := attribute.String("service", service)
 	c.requests.Add(ctx, 1, metric.WithAttributes(by, attribute.String("kind", kind), attribute.String("result", result)))
--- a/telemetry/lines.go
+++ b/telemetry/lines.go
@@ -24,21 +24,21 @@
 	mostPiece = 4 << 10
 )
 
-// Lines is a writer for log lines that never blocks: lines are queued and written by
+// LogWriter is a writer for log lines that never blocks: lines are queued and written by
 // Run. It is safe for use by several goroutines.
-type Lines struct {
+type LogWriter struct {
 	queue   chan []byte
 	dropped atomic.Int64
 	out     io.Writer
 }
 
-// NewLines returns a writer of lines to out.
-func NewLines(out io.Writer) *Lines {
-	return &Lines{queue: make(chan []byte, lineQueue), out: out}
+// NewLogWriter returns a writer of lines to out.
+func NewLogWriter(out io.Writer) *LogWriter {
+	return &LogWriter{queue: make(chan []byte, lineQueue), out: out}
 }
 
 // Write queues one line. It never fails: what finds no room is counted.
-func (l *Lines) Write(line []byte) (int, error) {
+func (l *LogWriter) Write(line []byte) (int, error) {
 	kept := append([]byte(nil), line...) // the caller uses its buffer again
 	select {
 	case l.queue <- kept:
@@ -49,10 +49,10 @@
 }
 
 // Dropped returns how many lines were dropped so far.
-func (l *Lines) Dropped() int64 { return l.dropped.Load() }
+func (l *LogWriter) Dropped() int64 { return l.dropped.Load() }
 
 // Run writes queued lines until ctx ends, then those that are left.
-func (l *Lines) Run(ctx context.Context) {
+func (l *LogWriter) Run(ctx context.Context) {
 	tick := time.NewTicker(lineEvery)
 	defer tick.Stop()
 	budget := mostLineBytes
@@ -82,7 +82,7 @@
 
 // write hands lines over in pieces that hold whole lines only. A line that is longer than
 // a piece goes alone.
-func (l *Lines) write(batch []byte) {
+func (l *LogWriter) write(batch []byte) {
 	for len(batch) > 0 {
 		piece := len(batch)
 		if piece > mostPiece {
@@ -98,7 +98,7 @@
 }
 
 // batch takes the queued lines, as far as the budget goes.
-func (l *Lines) batch(budget *int) []byte {
+func (l *LogWriter) batch(budget *int) []byte {
 	var batch []byte
 	for {
 		select {
--- a/telemetry/lines_test.go
+++ b/telemetry/lines_test.go
@@ -37,7 +37,7 @@
 func TestLinesAreWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out sink
-		l := telemetry.NewLines(&out)
+		l := telemetry.NewLogWriter(&out)
 		ctx, cancel := context.WithCancel(t.Context())
 		go l.Run(ctx)
 		_, _ = io.WriteString(l, "one\n")
@@ -55,7 +55,7 @@
 func TestLinesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out sink
-		l := telemetry.NewLines(&out)
+		l := telemetry.NewLogWriter(&out)
 		ctx, cancel := context.WithCancel(t.Context())
 		line := strings.Repeat("x", 999) + "\n"
 		for range 5000 { // nobody reads yet
@@ -74,7 +74,7 @@
 }
 
 func BenchmarkLine(b *testing.B) {
-	l := telemetry.NewLines(io.Discard)
+	l := telemetry.NewLogWriter(io.Discard)
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	go l.Run(ctx)
@@ -106,7 +106,7 @@
 	for _, length := range lengths {
 		synctest.Test(t, func(t *testing.T) {
 			var out pieces
-			l := telemetry.NewLines(&out)
+			l := telemetry.NewLogWriter(&out)
 			ctx, cancel := context.WithCancel(t.Context())
 			want := 0
 			for n := range 20 {
@@ -133,7 +133,7 @@
 func TestLinesThroughAPipe(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
-	l := telemetry.NewLines(writer)
+	l := telemetry.NewLogWriter(writer)
 	const lines = 1000
 	line := strings.Repeat("y", 200) + "\n"
 	for range lines {
--- a/telemetry/router.go
+++ b/telemetry/router.go
@@ -9,17 +9,17 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// Requests records a router's requests and retries.
-type Requests struct {
+// RouterMetrics records a router's requests and retries.
+type RouterMetrics struct {
 	requests metric.Int64Counter
 	retries  metric.Int64Counter
 	wait     metric.Float64Histogram
 	total    metric.Float64Histogram
 }
 
-// NewRequests returns the instruments of a router.
-func NewRequests(m metric.Meter) (*Requests, error) {
-	var r Requests
+// NewRouterMetrics returns the instruments of a router.
+func NewRouterMetrics(m metric.Meter) (*RouterMetrics, error) {
+	var r RouterMetrics
 	var faults [4]error
 	r.requests, faults[0] = m.Int64Counter("opalbridge.requests", metric.WithDescription("requests that got their outcome, by account, pool, outcome and cause"))
 	r.retries, faults[1] = m.Int64Counter("opalbridge.retries", metric.WithDescription("attempts after the first; over opalbridge.requests"))
@@ -32,7 +32,7 @@
 }
 
 // Request counts one request's outcome.
-func (r *Requests) Request(account, pool, outcome, cause string, urgent bool, wait, total time.Duration) {
+func (r *RouterMetrics) Request(account, pool, outcome, cause string, urgent bool, wait, total time.Duration) {
 	set := metric.WithAttributes(attribute.String("account", account), attribute.String("pool", pool), attribute.String("outcome", outcome), attribute.String("cause", cause))
 	ctx := context.Background()
 	r.requests.Add(ctx, 1, set)
@@ -42,7 +42,7 @@
 }
 
 // Retry counts one attempt after the first.
-func (r *Requests) Retry(reason string) {
+func (r *RouterMetrics) Retry(reason string) {
 	r.retries.Add(context.Background(), 1, metric.WithAttributes(attribute.String("reason", reason)))
 }
 
@@ -52,8 +52,8 @@
 	Read                    func() float64
 }
 
-// Observe registers gauges.
-func Observe(m metric.Meter, gauges []Gauge) error {
+// RegisterGauges registers gauges.
+func RegisterGauges(m metric.Meter, gauges []Gauge) error {
 	for _, g := range gauges {
 		_, err := m.Float64ObservableGauge(g.Name, metric.WithDescription(g.Description), metric.WithUnit(g.Unit),
 			metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -37,7 +37,7 @@
 	Service  string
 	Node     string
 	OTLP     string // URL of an OTLP/HTTP endpoint for traces; empty: none
-	SpanKeep int    // latest spans kept in memory; 0: none
+	MaxSpans int    // latest spans kept in memory; 0: none
 }
 
 // Telemetry holds a process's providers.
@@ -59,10 +59,10 @@
 	t := &Telemetry{
 		registry: registry,
 		meters:   sdkmetric.NewMeterProvider(sdkmetric.WithReader(exporter), sdkmetric.WithResource(r)),
-		spans:    &spanRing{most: o.SpanKeep},
+		spans:    &spanRing{most: o.MaxSpans},
 	}
 	options := []sdktrace.TracerProviderOption{sdktrace.WithResource(r)}
-	if o.SpanKeep > 0 {
+	if o.MaxSpans > 0 {
 		options = append(options, sdktrace.WithSyncer(t.spans))
 	}
 	if o.OTLP != "" {
@@ -72,7 +72,7 @@
 		}
 		options = append(options, sdktrace.WithBatcher(out))
 	}
-	if o.SpanKeep == 0 && o.OTLP == "" {
+	if o.MaxSpans == 0 && o.OTLP == "" {
 		options = append(options, sdktrace.WithSampler(sdktrace.NeverSample()))
 	}
 	t.tracers = sdktrace.NewTracerProvider(options...)
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -36,13 +36,13 @@
 
 func TestMetricsAndTracesAreServed(t *testing.T) {
 	ctx := context.Background()
-	o, err := telemetry.New(ctx, telemetry.Options{Service: "s", Node: "n", SpanKeep: 2})
+	o, err := telemetry.New(ctx, telemetry.Options{Service: "s", Node: "n", MaxSpans: 2})
 	require.NoError(t, err)
-	requests, err := telemetry.NewRequests(o.Meter("m"))
+	requests, err := telemetry.NewRouterMetrics(o.Meter("m"))
 	require.NoError(t, err)
 	requests.Request("quito", "small", "not-run", "deadline", true, time.Second, time.Second)
 	requests.Retry("lost")
-	require.NoError(t, telemetry.Observe(o.Meter("m"), []telemetry.Gauge{{Name: "g", Read: func() float64 { return 7 }}}))
+	require.NoError(t, telemetry.RegisterGauges(o.Meter("m"), []telemetry.Gauge{{Name: "g", Read: func() float64 { return 7 }}}))
 	for range 3 { // more than are kept
 		_, span := o.Tracer("t").Start(ctx, "hop", trace.WithAttributes(attribute.String("request", "r")))
 		span.End()
--- a/wire/control.go
+++ b/wire/control.go
@@ -10,12 +10,12 @@
 // Reasons of an End that is not complete, where the server is not at fault.
 const (
 	ReasonDeadline   = "the caller's deadline passed"
-	ReasonCallerLeft = "the caller left"
+	ReasonCallerDisconnected = "the caller left"
 )
 
-// Control returns a control message with this body, which must be one of the
+// NewControl returns a control message with this body, which must be one of the
 // wirepb.Control_… types.
-func Control(revision uint64, body any) *wirepb.Control {
+func NewControl(revision uint64, body any) *wirepb.Control {
 	m := &wirepb.Control{Revision: revision}
 	switch b := body.(type) {
 	case *wirepb.Control_Want:
@@ -48,8 +48,8 @@
 	return m
 }
 
-// Counters turns totals into their message form.
-func Counters(totals []fair.Total) []*wirepb.Counter {
+// EncodeTotals turns totals into their message form.
+func EncodeTotals(totals []fair.Total) []*wirepb.Counter {
 	counters := make([]*wirepb.Counter, len(totals))
 	for i, t := range totals {
 		counters[i] = &wirepb.Counter{
@@ -64,8 +64,8 @@
 	return counters
 }
 
-// Totals turns the message form back into totals.
-func Totals(counters []*wirepb.Counter) []fair.Total {
+// DecodeTotals turns the message form back into totals.
+func DecodeTotals(counters []*wirepb.Counter) []fair.Total {
 	totals := make([]fair.Total, len(counters))
 	for i, c := range counters {
 		totals[i] = fair.Total{
--- a/wire/count.go
+++ b/wire/count.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// ControlCount adds up the control bytes of connections, ended ones included. Its
+// ControlByteCounter adds up the control bytes of connections, ended ones included. Its
 // zero value is ready; it is safe for use by several goroutines.
-type ControlCount struct {
+type ControlByteCounter struct {
 	mutex sync.Mutex
 	past  uint64
 	peers map[*Peer]bool
 }
 
 // Add counts a connection from now on.
-func (c *ControlCount) Add(p *Peer) {
+func (c *ControlByteCounter) Add(p *Peer) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.peers == nil {
@@ -21,7 +21,7 @@
 }
 
 // Remove keeps what a connection that has ended has counted.
-func (c *ControlCount) Remove(p *Peer) {
+func (c *ControlByteCounter) Remove(p *Peer) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	sent, received := p.ControlBytes()
@@ -30,7 +30,7 @@
 }
 
 // Total returns the bytes of control traffic sent and received so far.
-func (c *ControlCount) Total() uint64 {
+func (c *ControlByteCounter) Total() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	n := c.past
--- a/wire/records.go
+++ b/wire/records.go
@@ -7,8 +7,8 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// Records turns recorded events into their message form.
-func Records(events []explain.Event) []*wirepb.Record {
+// EncodeEvents turns recorded events into their message form.
+func EncodeEvents(events []explain.Event) []*wirepb.Record {
 	records := make([]*wirepb.Record, len(events))
 	for i, e := range events {
 		records[i] = &wirepb.Record{
@@ -25,8 +25,8 @@
 	return records
 }
 
-// Events turns the message form back into recorded events.
-func Events(records []*wirepb.Record) []explain.Event {
+// DecodeEvents turns the message form back into recorded events.
+func DecodeEvents(records []*wirepb.Record) []explain.Event {
 	events := make([]explain.Event, len(records))
 	for i, r := range records {
 		events[i] = explain.Event{
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -85,7 +85,7 @@
 		_ = session.Close()
 		return nil, errors.Wrap(err, "wire: open control stream")
 	}
-	return greet(ctx, session, stream, hello)
+	return handshake(ctx, session, stream, hello)
 }
 
 // Accept says hello as the side that was dialled and returns the peer. It takes
@@ -102,7 +102,7 @@
 		_ = session.Close()
 		return nil, errors.Wrap(err, "wire: accept control stream")
 	}
-	return greet(ctx, session, stream, hello)
+	return handshake(ctx, session, stream, hello)
 }
 
 func sessionConfig() *yamux.Config {
@@ -115,7 +115,7 @@
 	return c
 }
 
-func greet(ctx context.Context, session *yamux.Session, stream *yamux.Stream, hello *wirepb.Hello) (*Peer, error) {
+func handshake(ctx context.Context, session *yamux.Session, stream *yamux.Stream, hello *wirepb.Hello) (*Peer, error) {
 	hello.Version = Version
 	control := &Stream{stream: stream, reader: bufio.NewReader(stream)}
 	theirs, err := exchangeHello(control, hello)
@@ -300,14 +300,14 @@
 // Close ends the stream; the other side sees the end of its input.
 func (s *Stream) Close() { _ = s.stream.Close() }
 
-// Expire lets the stream end by itself after the given time.
-func (s *Stream) Expire(after time.Duration) {
+// SetTimeout lets the stream end by itself after the given time.
+func (s *Stream) SetTimeout(after time.Duration) {
 	_ = s.stream.SetDeadline(time.Now().Add(after))
 }
 
-// Shut ends the stream after ctx has ended, and returns a function that
+// CloseWhenDone ends the stream after ctx has ended, and returns a function that
 // releases the watch.
-func (s *Stream) Shut(ctx context.Context) (release func() bool) {
+func (s *Stream) CloseWhenDone(ctx context.Context) (release func() bool) {
 	return context.AfterFunc(ctx, func() {
 		_ = s.stream.SetDeadline(time.Unix(1, 0))
 		_ = s.stream.Close()
