--- a/config/config.go
+++ b/config/config.go
@@ -1,20 +1,21 @@
-// Package config is the operators' accepted configuration: one document with one
-// revision, kept in the platform's key-value service and held by every node.
+// Package config defines the configuration accepted from the operators: one document
+// with one revision, stored in the platform's key-value service and cached by every
+// node.
 //
 // # Usage
 //
 // An operator's change goes through a [Store], which writes by compare-and-swap
-// and settles a lost answer by reading back the change's id:
+// and resolves a lost response by reading back the change's id:
 //
 //	outcome := store.Propose(ctx, expect, func(d *config.Document) error { … })
 //
-// Every node keeps a [Holder]; whatever brings it a document (a peer, the
-// service) offers it, and the holder never steps back to a lower revision:
+// Every node has a [Holder]. Documents received from a peer or from the service are
+// offered to it, and it never goes back to a lower revision:
 //
-//	taken := holder.Offer(doc)
+//	updated := holder.Offer(doc)
 //
-// The package does not decide how revisions travel; routers and agents do that
-// with their own messages.
+// The package does not distribute revisions; routers and agents do that with their
+// own messages.
 package config
 
 import (
@@ -29,20 +30,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind tells what a pool's servers are.
+// Kind is the kind of service that a pool's servers provide.
 type Kind string
 
-// The kinds of pools.
+// Kinds of pools.
 const (
 	Model   Kind = "model"
 	Service Kind = "service"
 )
 
-// Document is a whole configuration.
+// Document is a complete configuration.
 type Document struct {
 	Revision    uint64    `json:"revision"`
-	Change      string    `json:"change"` // id of the change that made this revision
-	Recent      []string  `json:"recent"` // ids of the latest changes, oldest first
+	Change      string    `json:"change"` // id of the change that produced this revision
+	Recent      []string  `json:"recent"` // ids of the most recent changes, oldest first
 	NextAccount uint32    `json:"next_account"`
 	Accounts    []Account `json:"accounts"`
 	Pools       []Pool    `json:"pools"`
@@ -52,7 +53,7 @@
 
 // Account is a client account.
 type Account struct {
-	ID         uint32 `json:"id"` // never used again
+	ID         uint32 `json:"id"` // never reused
 	Name       string `json:"name"`
 	Share      uint32 `json:"share"`
 	Disabled   bool   `json:"disabled,omitempty"`
@@ -60,13 +61,13 @@
 	Keys       []Key  `json:"keys"`
 }
 
-// Key is an account's credential, kept only as a hash.
+// Key is an API key of an account, of which only the hash is stored.
 type Key struct {
 	Hash    string    `json:"hash"`              // SHA-256, hexadecimal
 	Expires time.Time `json:"expires,omitempty"` // zero: never
 }
 
-// Pool is a set of backend servers that can do the same work.
+// Pool is a set of interchangeable backend servers.
 type Pool struct {
 	Name string `json:"name"`
 	Kind Kind   `json:"kind"`
@@ -80,20 +81,19 @@
 	Leaving bool     `json:"leaving,omitempty"`
 }
 
-// Limits are the fleet's limits and cost weights. A zero value of a field means
-// its default.
+// Limits holds the fleet's limits and cost weights. A zero field means its default.
 type Limits struct {
-	MaxWaiting   uint32 `json:"max_waiting,omitempty"`    // requests of an account at a router; 256
+	MaxWaiting   uint32 `json:"max_waiting,omitempty"`    // queued requests of an account at a router; 256
 	MaxBodyBytes uint32 `json:"max_body_bytes,omitempty"` // bytes; 4 MiB
 	UrgentCredit uint32 `json:"urgent_credit,omitempty"`  // weighted tokens; 4,000
 	DebtCap      uint32 `json:"debt_cap,omitempty"`       // weighted tokens; 60,000
-	InputWeight  uint32 `json:"input_weight,omitempty"`   // thousandths a token; 250
-	OutputWeight uint32 `json:"output_weight,omitempty"`  // thousandths a token; 1,000
-	CachedWeight uint32 `json:"cached_weight,omitempty"`  // thousandths a token; 25
+	InputWeight  uint32 `json:"input_weight,omitempty"`   // thousandths per token; 250
+	OutputWeight uint32 `json:"output_weight,omitempty"`  // thousandths per token; 1,000
+	CachedWeight uint32 `json:"cached_weight,omitempty"`  // thousandths per token; 25
 	CallCost     uint32 `json:"call_cost,omitempty"`      // weighted tokens; 100
 }
 
-// WithDefaults returns the limits with every zero replaced by its default.
+// WithDefaults returns l with every zero field replaced by its default.
 func (l Limits) WithDefaults() Limits {
 	defaults := []struct {
 		field *uint32
@@ -116,72 +116,72 @@
 	return l
 }
 
-// Bounds of what a document may hold.
+// Bounds on the values of a document.
 const (
-	MaxShare    = 1_000_000
-	maxBody     = 8 << 20
-	maxDocument = 1 << 20 // what one value of the platform's service holds
+	MaxShare         = 1_000_000
+	maxBodyBytes     = 8 << 20
+	maxDocumentBytes = 1 << 20 // largest value that the platform's key-value service stores
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?$`)
 
-// Validate returns every fault of the document, joined; nil when it has none.
+// Validate returns all errors of the document, joined, or nil if it is valid.
 func (d *Document) Validate() error {
-	var faults []error
-	fault := func(format string, a ...any) { faults = append(faults, errors.Newf(format, a...)) }
-	d.validateAccounts(fault)
-	d.validatePools(fault)
-	if d.Limits.MaxBodyBytes > maxBody {
-		fault("limits.max_body_bytes: %d is above %d", d.Limits.MaxBodyBytes, maxBody)
+	var errs []error
+	addError := func(format string, a ...any) { errs = append(errs, errors.Newf(format, a...)) }
+	d.validateAccounts(addError)
+	d.validatePools(addError)
+	if d.Limits.MaxBodyBytes > maxBodyBytes {
+		addError("limits.max_body_bytes: %d is above %d", d.Limits.MaxBodyBytes, maxBodyBytes)
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-func (d *Document) validateAccounts(fault func(string, ...any)) {
+func (d *Document) validateAccounts(addError func(string, ...any)) {
 	names := map[string]bool{}
 	for i, a := range d.Accounts {
 		if !namePattern.MatchString(a.Name) {
-			fault("accounts[%d].name: %q is not a name of a-z, 0-9, dot, dash and underscore", i, a.Name)
+			addError("accounts[%d].name: %q is not a name of a-z, 0-9, dot, dash and underscore", i, a.Name)
 		}
 		if names[a.Name] {
-			fault("accounts[%d].name: %q stands twice", i, a.Name)
+			addError("accounts[%d].name: %q stands twice", i, a.Name)
 		}
 		names[a.Name] = true
 		if a.Share == 0 || a.Share > MaxShare {
-			fault("accounts[%d].share: %d is not from 1 to %d", i, a.Share, MaxShare)
+			addError("accounts[%d].share: %d is not from 1 to %d", i, a.Share, MaxShare)
 		}
 	}
 }
 
-func (d *Document) validatePools(fault func(string, ...any)) {
+func (d *Document) validatePools(addError func(string, ...any)) {
 	pools := map[string]Kind{}
 	for i, p := range d.Pools {
 		if !namePattern.MatchString(p.Name) {
-			fault("pools[%d].name: %q is not a name of a-z, 0-9, dot, dash and underscore", i, p.Name)
+			addError("pools[%d].name: %q is not a name of a-z, 0-9, dot, dash and underscore", i, p.Name)
 		}
-		if _, twice := pools[p.Name]; twice {
-			fault("pools[%d].name: %q stands twice", i, p.Name)
+		if _, duplicate := pools[p.Name]; duplicate {
+			addError("pools[%d].name: %q stands twice", i, p.Name)
 		}
 		if p.Kind != Model && p.Kind != Service {
-			fault("pools[%d].kind: %q is neither model nor service", i, p.Kind)
+			addError("pools[%d].kind: %q is neither model nor service", i, p.Kind)
 		}
 		pools[p.Name] = p.Kind
 	}
 	servers := map[string]bool{}
 	for i, s := range d.Servers {
 		if !namePattern.MatchString(s.Name) || servers[s.Name] {
-			fault("servers[%d].name: %q is not a name or stands twice", i, s.Name)
+			addError("servers[%d].name: %q is not a name or stands twice", i, s.Name)
 		}
 		servers[s.Name] = true
 		for _, p := range s.Pools {
 			if _, known := pools[p]; !known {
-				fault("servers[%d].pools: no pool is called %q", i, p)
+				addError("servers[%d].pools: no pool is called %q", i, p)
 			}
 		}
 	}
 }
 
-// Clone returns a copy that shares nothing with d.
+// Clone returns a deep copy of d.
 func (d *Document) Clone() *Document {
 	c := *d
 	c.Recent = slices.Clone(d.Recent)
@@ -197,7 +197,7 @@
 	return &c
 }
 
-// Account returns the account of that name, or nil.
+// Account returns the account with the given name, or nil.
 func (d *Document) Account(name string) *Account {
 	i := slices.IndexFunc(d.Accounts, func(a Account) bool { return a.Name == name })
 	if i < 0 {
@@ -206,7 +206,7 @@
 	return &d.Accounts[i]
 }
 
-// Pool returns the pool of that name, or nil.
+// Pool returns the pool with the given name, or nil.
 func (d *Document) Pool(name string) *Pool {
 	i := slices.IndexFunc(d.Pools, func(p Pool) bool { return p.Name == name })
 	if i < 0 {
@@ -215,7 +215,7 @@
 	return &d.Pools[i]
 }
 
-// Server returns the backend server of that name, or nil.
+// Server returns the backend server with the given name, or nil.
 func (d *Document) Server(name string) *Server {
 	i := slices.IndexFunc(d.Servers, func(s Server) bool { return s.Name == name })
 	if i < 0 {
@@ -224,14 +224,15 @@
 	return &d.Servers[i]
 }
 
-// HashKey returns the form in which a key is kept.
+// HashKey returns the SHA-256 hash of a key in hexadecimal, the form in which it is
+// stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Authenticate returns the account whose key this is, or nil. A disabled account
-// is returned too; the caller tells its reason.
+// Authenticate returns the account that the key belongs to, or nil. It also returns
+// disabled accounts, so that the caller can report why the request is refused.
 func (d *Document) Authenticate(key string, now time.Time) *Account {
 	hash := []byte(HashKey(key))
 	var found *Account
@@ -246,19 +247,19 @@
 	return found
 }
 
-// Encode returns the document as it is kept and sent.
+// Encode returns the document in the form in which it is stored and sent.
 func (d *Document) Encode() ([]byte, error) {
 	b, err := json.Marshal(d)
 	if err != nil {
 		return nil, errors.Wrapf(err, "config: encode revision %d", d.Revision)
 	}
-	if len(b) > maxDocument {
-		return nil, errors.Newf("config: encode revision %d: %d bytes do not fit in %d", d.Revision, len(b), maxDocument)
+	if len(b) > maxDocumentBytes {
+		return nil, errors.Newf("config: encode revision %d: %d bytes do not fit in %d", d.Revision, len(b), maxDocumentBytes)
 	}
 	return b, nil
 }
 
-// Decode reads a document that Encode has made.
+// Decode parses a document encoded by Encode.
 func Decode(b []byte) (*Document, error) {
 	d := &Document{}
 	if err := json.Unmarshal(b, d); err != nil {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -30,10 +30,10 @@
 		want   any
 	}{
 		{"accepted", 1, addAccount("b"), config.Accepted{}},
-		{"whichever is current", 0, addAccount("b"), config.Accepted{}},
+		{"any revision", 0, addAccount("b"), config.Accepted{}},
 		{"conflict", 7, addAccount("b"), config.Conflict{}},
-		{"breaks a rule", 0, addAccount("Not A Name"), config.Rejected{}},
-		{"change refuses", 0, func(*config.Document) error { return errors.New("no") }, config.Rejected{}},
+		{"invalid document", 0, addAccount("Not A Name"), config.Rejected{}},
+		{"change fails", 0, func(*config.Document) error { return errors.New("no") }, config.Rejected{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestLostAnswerIsSettledByReadingBack loses the answers of writes that took
-// effect; each change must stand exactly once.
-func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
+// TestLostAnswerResolvedByRereading drops the response to a write that took
+// effect; the change must be in the document exactly once.
+func TestLostAnswerResolvedByRereading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p kvtest.Service
 		s := config.Store{KV: &p}
@@ -59,9 +59,9 @@
 	})
 }
 
-// TestLostAnswerUnderALaterChange lets another operator's change land before the
-// lost answer is settled.
-func TestLostAnswerUnderALaterChange(t *testing.T) {
+// TestLostAnswerWithConcurrentChange has another operator's change accepted before
+// the write whose response was lost is resolved.
+func TestLostAnswerWithConcurrentChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p kvtest.Service
 		s := config.Store{KV: &p}
@@ -82,9 +82,10 @@
 	})
 }
 
-// TestRacingOperatorsLoseNothing races operators through losses of answers; every
-// accepted change is in the last document once, and revisions have no gaps.
-func TestRacingOperatorsLoseNothing(t *testing.T) {
+// TestConcurrentOperatorsLoseNoChange has several operators propose changes at the
+// same time while responses are lost. Every accepted change must be in the final
+// document once, and revisions must have no gaps.
+func TestConcurrentOperatorsLoseNoChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p kvtest.Service
 		p.SetFaults(kvtest.Faults{LoseWriteResponses: 3, Delay: time.Millisecond})
@@ -112,7 +113,7 @@
 	})
 }
 
-func TestHolderNeverStepsBack(t *testing.T) {
+func TestHolderRejectsLowerRevision(t *testing.T) {
 	var h config.Holder
 	require.Zero(t, h.Revision())
 	require.True(t, h.Offer(&config.Document{Revision: 5}))
@@ -124,7 +125,7 @@
 	<-changed
 }
 
-func TestValidateNamesEveryFault(t *testing.T) {
+func TestValidateReportsEveryError(t *testing.T) {
 	d := config.Document{
 		Accounts: []config.Account{{Name: "A"}, {Name: "ok", Share: 1}, {Name: "ok", Share: 1}},
 		Pools:    []config.Pool{{Name: "p", Kind: "odd"}},
--- a/config/holder.go
+++ b/config/holder.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// Holder keeps the configuration in force at a node. Its zero value holds an
-// empty document of revision zero. It is safe for use by several goroutines.
+// Holder holds the configuration in force on a node. The zero value holds an
+// empty document of revision zero. It is safe for concurrent use.
 type Holder struct {
 	mutex   sync.RWMutex
 	current *Document
 	changed chan struct{}
 }
 
-// Current returns the document in force; it must not be changed.
+// Current returns the document in force. The caller must not modify it.
 func (h *Holder) Current() *Document {
 	h.mutex.RLock()
 	defer h.mutex.RUnlock()
@@ -23,8 +23,8 @@
 // Revision returns the revision in force.
 func (h *Holder) Revision() uint64 { return h.Current().Revision }
 
-// Offer puts d in force if its revision is higher than the one in force, and
-// reports whether it did.
+// Offer makes d the current document if its revision is higher than the current
+// one, and reports whether it did.
 func (h *Holder) Offer(d *Document) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -39,7 +39,7 @@
 	return true
 }
 
-// Changed returns a channel that is closed when a newer revision is in force.
+// Changed returns a channel that is closed when a newer revision comes into force.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/config/store.go
+++ b/config/store.go
@@ -11,52 +11,53 @@
 	"opalbridge.dev/kv"
 )
 
-// DocumentKey is where the platform's service keeps the document.
+// DocumentKey is the key of the document in the platform's key-value service.
 const DocumentKey = "opalbridge/configuration"
 
 const (
-	proposeTries = 8
-	firstPause   = 20 * time.Millisecond
-	// recentChanges is how many later changes may pass before a lost answer can
-	// no longer be settled.
-	recentChanges = 64
+	maxAttempts    = 8
+	initialBackoff = 20 * time.Millisecond
+	// maxRecentChanges is the number of change ids that a document keeps. A write
+	// whose response was lost can be resolved as long as its id is among them.
+	maxRecentChanges = 64
 )
 
-// Outcome is what became of a proposed change: [Accepted], [Conflict],
+// Outcome is the result of a proposed change: [Accepted], [Conflict],
 // [Rejected] or [Indeterminate].
 type Outcome interface{ outcome() }
 
-// Accepted says that the change is in the service under this document.
+// Accepted means that the change was written; Document contains it.
 type Accepted struct{ Document *Document }
 
-// Conflict says that the operator's revision is not the current one.
+// Conflict means that the revision the operator expected is not the current one.
 type Conflict struct{ Current uint64 }
 
-// Rejected says that the change breaks a rule; nothing was written.
+// Rejected means that the change is invalid; nothing was written.
 type Rejected struct{ Reason error }
 
-// Indeterminate says that the service could not tell whether the change was
-// written. Change is the id by which it can be found out later.
+// Indeterminate means that it is unknown whether the change was written. Change is
+// its id, by which this can be determined later.
 type Indeterminate struct {
 	Change string
 	Reason error
 }
 
-func (Accepted) outcome()  {}
-func (Conflict) outcome()  {}
-func (Rejected) outcome()  {}
+func (Accepted) outcome()      {}
+func (Conflict) outcome()      {}
+func (Rejected) outcome()      {}
 func (Indeterminate) outcome() {}
 
-// Store reads and changes the document in the platform's service.
+// Store reads and updates the document in the platform's key-value service.
 type Store struct {
 	KV kv.KV
-	// Local returns the document in force here; nil: none is known. The service may come back
-	// from a copy that lacks it.
+	// Local returns the document in force on this node. It is used to detect and
+	// repair a service that was restored from an older backup. If the function is
+	// nil, nothing is repaired.
 	Local func() *Document
 }
 
-// Load returns the accepted document and the version the service gives it; an
-// empty document of version zero when there is none yet.
+// Load returns the accepted document and its version in the service, or an
+// empty document and version zero if there is none yet.
 func (s *Store) Load(ctx context.Context) (*Document, uint64, error) {
 	e, err := s.KV.Get(ctx, DocumentKey)
 	if err != nil {
@@ -65,8 +66,8 @@
 	return decodeEntry(e)
 }
 
-// Watch waits until the service holds a version other than the one given, or
-// until it ends the watch.
+// Watch waits until the service holds a version other than the given one, or
+// until the service ends the watch, and returns the document and its version.
 func (s *Store) Watch(ctx context.Context, version uint64) (*Document, uint64, error) {
 	e, err := s.KV.Watch(ctx, DocumentKey, version)
 	if err != nil {
@@ -86,18 +87,18 @@
 // Propose applies change to the current document and writes the result as the
 // next revision. When expect is not zero it must be the current revision.
 //
-// A write whose answer is lost is settled by reading back the change's id; the
-// change is never written twice. When another operator's write comes between,
-// a change without expect is applied anew to the document that won.
+// If the response to a write is lost, Propose reads the document back and looks for
+// the change's id; a change never takes effect twice. If another operator's write
+// comes first, a change without expect is applied again to the new document.
 func (s *Store) Propose(ctx context.Context, expect uint64, change func(*Document) error) Outcome {
 	id := rand.Text()
-	pause := firstPause
-	var last error
-	for range proposeTries {
+	backoff := initialBackoff
+	var lastErr error
+	for range maxAttempts {
 		current, version, err := s.Load(ctx)
 		if err != nil {
-			last = err
-			if !rest(ctx, &pause) {
+			lastErr = err
+			if !sleepBackoff(ctx, &backoff) {
 				break
 			}
 			continue
@@ -106,8 +107,8 @@
 			return Accepted{Document: current}
 		}
 		if restored, err := s.Restore(ctx, current, version); restored || err != nil {
-			last = err
-			if !rest(ctx, &pause) {
+			lastErr = err
+			if !sleepBackoff(ctx, &backoff) {
 				break
 			}
 			continue
@@ -124,44 +125,46 @@
 		case Accepted, Rejected:
 			return o
 		case Conflict:
-			// The next turn reads who won; it may have been this very change.
+			// The next iteration reads the current document, which may already
+			// contain this change.
 		case Indeterminate:
-			settled, known := s.settle(ctx, version, next)
-			if known {
-				return settled
+			resolved, ok := s.resolveWrite(ctx, version, next)
+			if ok {
+				return resolved
 			}
 			return o
 		}
-		if !rest(ctx, &pause) {
+		if !sleepBackoff(ctx, &backoff) {
 			break
 		}
 	}
-	if last == nil {
-		last = errors.New("config: propose: too many conflicts")
+	if lastErr == nil {
+		lastErr = errors.New("config: propose: too many conflicts")
 	}
-	return Indeterminate{Change: id, Reason: last}
+	return Indeterminate{Change: id, Reason: lastErr}
 }
 
-// Restore writes the document in force here to a service that holds an earlier one, under that
-// version: it has come back from a copy, and what was accepted since stays in force. It returns
-// whether the service held an earlier one; whoever goes on reads it anew. Another node may have
-// restored it meanwhile.
-func (s *Store) Restore(ctx context.Context, current *Document, version uint64) (earlier bool, err error) {
+// Restore writes the local document to a service that holds a lower revision, by
+// compare-and-swap on the given version. This happens after the service was restored
+// from an older backup, and keeps the changes accepted since the backup in force.
+// Restore reports whether the service's document was stale, in which case the caller
+// must read it again: another node may have restored it in the meantime.
+func (s *Store) Restore(ctx context.Context, current *Document, version uint64) (stale bool, err error) {
 	if s.Local == nil {
 		return false, nil
 	}
-	known := s.Local()
-	if known.Revision <= current.Revision {
+	local := s.Local()
+	if local.Revision <= current.Revision {
 		return false, nil
 	}
-	b, err := known.Encode()
+	b, err := local.Encode()
 	if err != nil {
-		return true, errors.Wrapf(err, "config: restore revision %d", known.Revision)
+		return true, errors.Wrapf(err, "config: restore revision %d", local.Revision)
 	}
 	if _, err = s.KV.CompareAndSwap(ctx, DocumentKey, version, b); errors.Is(err, kv.ErrConflict) {
 		return true, nil
 	}
-	return true, errors.Wrapf(err, "config: restore revision %d", known.Revision)
+	return true, errors.Wrapf(err, "config: restore revision %d", local.Revision)
 }
 
 func apply(current *Document, id string, change func(*Document) error) (*Document, error) {
@@ -175,7 +178,7 @@
 	next.Revision = current.Revision + 1
 	next.Change = id
 	next.Recent = append(next.Recent, id)
-	if extra := len(next.Recent) - recentChanges; extra > 0 {
+	if extra := len(next.Recent) - maxRecentChanges; extra > 0 {
 		next.Recent = slices.Delete(next.Recent, 0, extra)
 	}
 	return next, nil
@@ -197,18 +200,19 @@
 	}
 }
 
-// settle finds out what became of a write whose answer was lost, by looking for
-// its id among the latest changes. While the version is unchanged the same write
-// is offered again: both carry that version, so at most one can take effect.
-func (s *Store) settle(ctx context.Context, version uint64, next *Document) (Outcome, bool) {
-	pause := firstPause
-	for range proposeTries {
-		current, now, err := s.Load(ctx)
+// resolveWrite determines the result of a write whose response was lost, by looking
+// for its id among the recent changes. While the version is unchanged it retries the
+// write: both writes are conditional on that version, so at most one takes effect.
+// It reports false if the result remains unknown.
+func (s *Store) resolveWrite(ctx context.Context, version uint64, next *Document) (Outcome, bool) {
+	backoff := initialBackoff
+	for range maxAttempts {
+		current, latest, err := s.Load(ctx)
 		switch {
 		case err != nil:
 		case slices.Contains(current.Recent, next.Change):
 			return Accepted{Document: current}, true
-		case now == version:
+		case latest == version:
 			o := s.write(ctx, version, next)
 			if _, accepted := o.(Accepted); accepted {
 				return o, true
@@ -216,18 +220,19 @@
 		default:
 			return nil, false
 		}
-		if !rest(ctx, &pause) {
+		if !sleepBackoff(ctx, &backoff) {
 			return nil, false
 		}
 	}
 	return nil, false
 }
 
-// rest waits and doubles the pause; it reports false when ctx has ended.
-func rest(ctx context.Context, pause *time.Duration) bool {
-	t := time.NewTimer(*pause)
+// sleepBackoff sleeps for the given backoff and doubles it. It reports false if ctx
+// is done first.
+func sleepBackoff(ctx context.Context, backoff *time.Duration) bool {
+	t := time.NewTimer(*backoff)
 	defer t.Stop()
-	*pause *= 2
+	*backoff *= 2
 	select {
 	case <-t.C:
 		return true
