--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,14 +1,14 @@
-// Package settings reads a process's settings file: YAML, strict, with every fault
-// told at once and by its line.
+// Package settings parses the settings file of a process. The file is YAML and parsed
+// strictly; all errors are reported together, each with its line.
 //
 // # Usage
 //
 //	s, err := settings.Parse(settings.Router, content)
-//	var faults settings.Faults
-//	if errors.As(err, &faults) { … }
+//	var fieldErrors settings.FieldErrors
+//	if errors.As(err, &fieldErrors) { … }
 //
-// What all nodes must agree on is not here but in the configuration that the
-// operators change by remote procedure calls.
+// Values that all nodes must agree on are not settings. They are part of the
+// configuration, which operators change by remote procedure calls.
 package settings
 
 import (
@@ -26,20 +26,21 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Role is which process the settings are for.
+// Role is the kind of process that the settings are for.
 type Role string
 
-// The roles.
+// Roles of processes.
 const (
 	Router  Role = "router"
 	Agent   Role = "agent"
 	Gateway Role = "gateway"
 )
 
-// Roles are all roles.
+// Roles lists all roles.
 var Roles = []Role{Router, Agent, Gateway}
 
-// Settings are a process's settings.
+// Settings holds the settings of a process. Fields that don't apply to its role are
+// zero.
 type Settings struct {
 	Name              string
 	Hall              string
@@ -61,24 +62,24 @@
 	PeerCA            string
 	Records           int
 
-	// Of a gateway.
+	// The following fields apply to gateways only.
 	FrontAddress string
 	ReadyAddress string
 	StoreAddress string
 	Seeds        []string
 	MemoryMB     int
-	CPULimit    float64
-	FileLimit  int
-	RetryRatio  float64
-	RetryExtra  float64
-	RetryWindow time.Duration
+	CPULimit     float64
+	FileLimit    int
+	RetryRatio   float64
+	RetryExtra   float64
+	RetryWindow  time.Duration
 	ShareWindow  time.Duration
 	ColdFactor   float64
 	ColdExtra    float64
 	Regions      map[string]string
 }
 
-// FieldError is one thing wrong with a settings file.
+// FieldError is an error at one key of a settings file.
 type FieldError struct {
 	Line    int
 	Key     string
@@ -88,7 +89,7 @@
 // Error implements error.
 func (f FieldError) Error() string { return fmt.Sprintf("line %d: %s: %s", f.Line, f.Key, f.Message) }
 
-// FieldErrors are all that is wrong with a settings file.
+// FieldErrors holds all errors of a settings file.
 type FieldErrors []FieldError
 
 // Error implements error.
@@ -110,7 +111,7 @@
 	set      func(s *Settings, text string) error
 }
 
-// Fields returns the keys that a role's settings may have, in their order.
+// Fields returns the keys that the settings of a role may contain, in table order.
 func Fields(r Role) []Field {
 	var list []Field
 	for _, f := range fields {
@@ -122,99 +123,99 @@
 }
 
 var (
-	all     = []Role{Router, Agent, Gateway}
-	both    = []Role{Router, Agent}
-	router  = []Role{Router}
-	agent   = []Role{Agent}
-	gateway = []Role{Gateway}
+	allRoles       = []Role{Router, Agent, Gateway}
+	routerAndAgent = []Role{Router, Agent}
+	router         = []Role{Router}
+	agent          = []Role{Agent}
+	gateway        = []Role{Gateway}
 )
 
 var fields = []Field{
-	{"name", all, true, "", "Name of this process, unique in the fleet. An agent has the name of its server in the configuration.",
-		func(s *Settings, t string) error { s.Name = t; return notEmpty(t) }},
-	{"hall", all, true, "", "Hall in which the host stands.",
-		func(s *Settings, t string) error { s.Hall = t; return notEmpty(t) }},
-	{"region", all, false, "", "Region of the hall, for reports.",
+	{"name", allRoles, true, "", "Name of this process, unique in the fleet. An agent has the name of its server in the configuration.",
+		func(s *Settings, t string) error { s.Name = t; return checkNotEmpty(t) }},
+	{"hall", allRoles, true, "", "Hall in which the host stands.",
+		func(s *Settings, t string) error { s.Hall = t; return checkNotEmpty(t) }},
+	{"region", allRoles, false, "", "Region of the hall, for reports.",
 		func(s *Settings, t string) error { s.Region = t; return nil }},
 	{"caller_address", router, true, "", "IP and port on which callers and operators are served.",
-		func(s *Settings, t string) error { s.CallerAddress = t; return ipPort(t) }},
-	{"peer_address", all, true, "", "IP and port on which other processes of the fleet are served.",
-		func(s *Settings, t string) error { s.PeerAddress = t; return ipPort(t) }},
-	{"admin_address", all, false, "", "IP and port of metrics, traces and readiness; empty: not served.",
-		func(s *Settings, t string) error { s.AdminAddress = t; return optional(t, ipPort) }},
+		func(s *Settings, t string) error { s.CallerAddress = t; return checkAddrPort(t) }},
+	{"peer_address", allRoles, true, "", "IP and port on which other processes of the fleet are served.",
+		func(s *Settings, t string) error { s.PeerAddress = t; return checkAddrPort(t) }},
+	{"admin_address", allRoles, false, "", "IP and port of metrics, traces and readiness; empty: not served.",
+		func(s *Settings, t string) error { s.AdminAddress = t; return checkOptional(t, checkAddrPort) }},
 	{"platform_url", router, true, "", "URL of the platform's key-value service and live list.",
-		func(s *Settings, t string) error { s.PlatformURL = t; return httpURL(t) }},
+		func(s *Settings, t string) error { s.PlatformURL = t; return checkURL(t) }},
 	{"operator_token_hash", router, true, "", "SHA-256 of the operators' token, in hexadecimal (opalbridge hash makes it).",
-		func(s *Settings, t string) error { s.OperatorTokenHash = t; return hash(t) }},
+		func(s *Settings, t string) error { s.OperatorTokenHash = t; return checkHash(t) }},
 	{"server_url", agent, true, "", "URL of the backend server beside the agent.",
-		func(s *Settings, t string) error { s.ServerURL = t; return httpURL(t) }},
+		func(s *Settings, t string) error { s.ServerURL = t; return checkURL(t) }},
 	{"slots", agent, false, "8", "Requests the server is given at once at most.",
-		func(s *Settings, t string) error { return integer(&s.Slots, t, 1, 4096) }},
+		func(s *Settings, t string) error { return setInt(&s.Slots, t, 1, 4096) }},
 	{"degree", router, false, "0", "Agents of each pool the router connects to; 0: all.",
-		func(s *Settings, t string) error { return integer(&s.Degree, t, 0, 100000) }},
-	{"report_interval", both, false, "2s", "Time between exchanges of service counters (a duration such as 500ms).",
+		func(s *Settings, t string) error { return setInt(&s.Degree, t, 0, 100000) }},
+	{"report_interval", routerAndAgent, false, "2s", "Time between exchanges of service counters (a duration such as 500ms).",
 		func(s *Settings, t string) error {
-			return duration(&s.ReportInterval, t, 100*time.Millisecond, time.Minute)
+			return setDuration(&s.ReportInterval, t, 100*time.Millisecond, time.Minute)
 		}},
-	{"stop_timeout", all, false, "10m", "A planned stop waits so long for requests in flight (a duration such as 10m).",
-		func(s *Settings, t string) error { return duration(&s.StopTimeout, t, 0, 24*time.Hour) }},
-	{"log_level", all, false, "info", "Least level that is logged: debug, info, warn or error.",
-		func(s *Settings, t string) error { return level(&s.LogLevel, t) }},
-	{"otlp_url", all, false, "", "OTLP/HTTP endpoint that takes traces; empty: none.",
-		func(s *Settings, t string) error { s.OTLPURL = t; return optional(t, httpURL) }},
-	{"certificate", both, false, "", "File of this process's TLS certificate chain (PEM); read again when it changes.",
+	{"stop_timeout", allRoles, false, "10m", "A planned stop waits so long for requests in flight (a duration such as 10m).",
+		func(s *Settings, t string) error { return setDuration(&s.StopTimeout, t, 0, 24*time.Hour) }},
+	{"log_level", allRoles, false, "info", "Least level that is logged: debug, info, warn or error.",
+		func(s *Settings, t string) error { return setLevel(&s.LogLevel, t) }},
+	{"otlp_url", allRoles, false, "", "OTLP/HTTP endpoint that takes traces; empty: none.",
+		func(s *Settings, t string) error { s.OTLPURL = t; return checkOptional(t, checkURL) }},
+	{"certificate", routerAndAgent, false, "", "File of this process's TLS certificate chain (PEM); read again when it changes.",
 		func(s *Settings, t string) error { s.Certificate = t; return nil }},
-	{"certificate_key", both, false, "", "File of the certificate's key (PEM).",
+	{"certificate_key", routerAndAgent, false, "", "File of the certificate's key (PEM).",
 		func(s *Settings, t string) error { s.CertificateKey = t; return nil }},
-	{"peer_ca", both, false, "", "File of the authority whose certificates the fleet's processes show each other (PEM). Empty: no TLS between processes.",
+	{"peer_ca", routerAndAgent, false, "", "File of the authority whose certificates the fleet's processes show each other (PEM). Empty: no TLS between processes.",
 		func(s *Settings, t string) error { s.PeerCA = t; return nil }},
-	{"records", both, false, "4096", "Decisions kept in memory for explanations; 0: none.",
-		func(s *Settings, t string) error { return integer(&s.Records, t, 0, 1<<20) }},
+	{"records", routerAndAgent, false, "4096", "Decisions kept in memory for explanations; 0: none.",
+		func(s *Settings, t string) error { return setInt(&s.Records, t, 0, 1<<20) }},
 	{"front_address", gateway, true, "", "IP and port on which callers are served.",
-		func(s *Settings, t string) error { s.FrontAddress = t; return ipPort(t) }},
+		func(s *Settings, t string) error { s.FrontAddress = t; return checkAddrPort(t) }},
 	{"ready_address", gateway, true, "", "IP and port on which the balancer asks whether the gateway takes connections.",
-		func(s *Settings, t string) error { s.ReadyAddress = t; return ipPort(t) }},
+		func(s *Settings, t string) error { s.ReadyAddress = t; return checkAddrPort(t) }},
 	{"store_address", gateway, true, "", "IP and port of the platform's store.",
-		func(s *Settings, t string) error { s.StoreAddress = t; return ipPort(t) }},
+		func(s *Settings, t string) error { s.StoreAddress = t; return checkAddrPort(t) }},
 	{"seeds", gateway, false, "", "IP numbers, by commas, where other gateways may be; a port is ignored.",
-		func(s *Settings, t string) error { return addresses(&s.Seeds, t) }},
+		func(s *Settings, t string) error { return setAddresses(&s.Seeds, t) }},
 	{"memory_mb", gateway, false, "0", "Memory of the process in MB, of which the garbage collector keeps clear; 0: no limit.",
-		func(s *Settings, t string) error { return integer(&s.MemoryMB, t, 0, 1<<20) }},
+		func(s *Settings, t string) error { return setInt(&s.MemoryMB, t, 0, 1<<20) }},
 	{"processor", gateway, false, "1", "Share of a core that the process may use; those of a hall that have most pass news on for the others.",
-		func(s *Settings, t string) error { return number(&s.CPULimit, t, 0, 1024) }},
+		func(s *Settings, t string) error { return setFloat(&s.CPULimit, t, 0, 1024) }},
 	{"descriptors", gateway, false, "0", "Open files and sockets that the process may have; 0: the system's own limit.",
-		func(s *Settings, t string) error { return integer(&s.FileLimit, t, 0, 1<<20) }},
+		func(s *Settings, t string) error { return setInt(&s.FileLimit, t, 0, 1<<20) }},
 	{"repeat_ratio", gateway, false, "0.2", "Requests that the fleet may send to servers again in a window, for each request of it.",
-		func(s *Settings, t string) error { return number(&s.RetryRatio, t, 0, 10) }},
+		func(s *Settings, t string) error { return setFloat(&s.RetryRatio, t, 0, 10) }},
 	{"repeat_extra", gateway, false, "20", "Requests that the fleet may send again in a window besides.",
-		func(s *Settings, t string) error { return number(&s.RetryExtra, t, 0, 1e6) }},
+		func(s *Settings, t string) error { return setFloat(&s.RetryExtra, t, 0, 1e6) }},
 	{"repeat_window", gateway, false, "10s", "Window of repeat_ratio and repeat_extra (a duration such as 10s).",
-		func(s *Settings, t string) error { return duration(&s.RetryWindow, t, time.Second, time.Hour) }},
+		func(s *Settings, t string) error { return setDuration(&s.RetryWindow, t, time.Second, time.Hour) }},
 	{"share_window", gateway, false, "4s", "Window in which accounts' shares are kept (a duration such as 4s).",
-		func(s *Settings, t string) error { return duration(&s.ShareWindow, t, time.Second, time.Hour) }},
+		func(s *Settings, t string) error { return setDuration(&s.ShareWindow, t, time.Second, time.Hour) }},
 	{"cold_factor", gateway, false, "1", "The fleet may send a cold server, in any second, as many requests as the configuration says that it bears in one, times this, plus cold_extra.",
-		func(s *Settings, t string) error { return number(&s.ColdFactor, t, 0, 100) }},
+		func(s *Settings, t string) error { return setFloat(&s.ColdFactor, t, 0, 100) }},
 	{"cold_extra", gateway, false, "0", "See cold_factor. It is left for gateways that have not heard yet that the server is cold.",
-		func(s *Settings, t string) error { return number(&s.ColdExtra, t, 0, 1e6) }},
+		func(s *Settings, t string) error { return setFloat(&s.ColdExtra, t, 0, 1e6) }},
 	{"regions", gateway, false, "", "Region of each hall, as HALL=REGION by commas, for accounts and routes that are bound to regions.",
-		func(s *Settings, t string) error { return regions(&s.Regions, t) }},
+		func(s *Settings, t string) error { return setRegions(&s.Regions, t) }},
 }
 
-// Parse reads the settings of a role. The error is Faults when the content is
-// YAML but not right.
+// Parse parses the settings of a role. If the content is valid YAML but not valid
+// settings, the error is a FieldErrors.
 func Parse(r Role, content []byte) (*Settings, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(content, &document); err != nil {
 		return nil, errors.Wrap(err, "settings: not YAML")
 	}
-	p := &parser{settings: &Settings{}, fields: Fields(r), seen: map[string]int{}}
-	p.defaults()
-	p.document(&document)
-	p.missing()
-	p.together()
-	if len(p.faults) > 0 {
-		slices.SortStableFunc(p.faults, func(a, b FieldError) int { return a.Line - b.Line })
-		return nil, p.faults
+	p := &parser{settings: &Settings{}, fields: Fields(r), lines: map[string]int{}}
+	p.applyDefaults()
+	p.parseDocument(&document)
+	p.checkRequired()
+	p.checkCombinations()
+	if len(p.errs) > 0 {
+		slices.SortStableFunc(p.errs, func(a, b FieldError) int { return a.Line - b.Line })
+		return nil, p.errs
 	}
 	return p.settings, nil
 }
@@ -222,15 +223,15 @@
 type parser struct {
 	settings *Settings
 	fields   []Field
-	seen     map[string]int // line of each key
-	faults   FieldErrors
+	lines    map[string]int // line of each key in the file
+	errs     FieldErrors
 }
 
-func (p *parser) fault(line int, key, format string, a ...any) {
-	p.faults = append(p.faults, FieldError{Line: line, Key: key, Message: fmt.Sprintf(format, a...)})
+func (p *parser) addError(line int, key, format string, a ...any) {
+	p.errs = append(p.errs, FieldError{Line: line, Key: key, Message: fmt.Sprintf(format, a...)})
 }
 
-func (p *parser) defaults() {
+func (p *parser) applyDefaults() {
 	for _, f := range p.fields {
 		if f.Default != "" {
 			if err := f.set(p.settings, f.Default); err != nil {
@@ -240,65 +241,66 @@
 	}
 }
 
-func (p *parser) document(d *yaml.Node) {
+func (p *parser) parseDocument(d *yaml.Node) {
 	if d.Kind == 0 {
-		return // an empty file: all keys are missing
+		return // empty file: checkRequired reports the missing keys
 	}
 	root := d.Content[0]
 	if root.Kind != yaml.MappingNode {
-		p.fault(root.Line, "file", "must be a mapping of keys to values")
+		p.addError(root.Line, "file", "must be a mapping of keys to values")
 		return
 	}
 	for i := 0; i+1 < len(root.Content); i += 2 {
-		p.pair(root.Content[i], root.Content[i+1])
+		p.parsePair(root.Content[i], root.Content[i+1])
 	}
 }
 
-func (p *parser) pair(key, value *yaml.Node) {
-	at := slices.IndexFunc(p.fields, func(f Field) bool { return f.Key == key.Value })
-	if at < 0 {
-		p.fault(key.Line, key.Value, "no such key%s", p.suggest(key.Value))
+func (p *parser) parsePair(key, value *yaml.Node) {
+	index := slices.IndexFunc(p.fields, func(f Field) bool { return f.Key == key.Value })
+	if index < 0 {
+		p.addError(key.Line, key.Value, "no such key%s", p.suggest(key.Value))
 		return
 	}
-	if first, twice := p.seen[key.Value]; twice {
-		p.fault(key.Line, key.Value, "stands twice, first on line %d", first)
+	if first, duplicate := p.lines[key.Value]; duplicate {
+		p.addError(key.Line, key.Value, "stands twice, first on line %d", first)
 		return
 	}
-	p.seen[key.Value] = key.Line
+	p.lines[key.Value] = key.Line
 	if value.Kind != yaml.ScalarNode {
-		p.fault(value.Line, key.Value, "must be a single value")
+		p.addError(value.Line, key.Value, "must be a single value")
 		return
 	}
-	if err := p.fields[at].set(p.settings, value.Value); err != nil {
-		p.fault(value.Line, key.Value, "%v", err)
+	if err := p.fields[index].set(p.settings, value.Value); err != nil {
+		p.addError(value.Line, key.Value, "%v", err)
 	}
 }
 
-func (p *parser) missing() {
+func (p *parser) checkRequired() {
 	for _, f := range p.fields {
-		if _, seen := p.seen[f.Key]; f.Required && !seen {
-			p.fault(0, f.Key, "missing: %s", f.Doc)
+		if _, present := p.lines[f.Key]; f.Required && !present {
+			p.addError(0, f.Key, "missing: %s", f.Doc)
 		}
 	}
 }
 
-// together checks what several keys must agree on.
-func (p *parser) together() {
+// checkCombinations checks the rules that involve several keys.
+func (p *parser) checkCombinations() {
 	s := p.settings
 	if (s.Certificate == "") != (s.CertificateKey == "") {
-		p.fault(p.seen["certificate"], "certificate", "certificate and certificate_key must stand together")
+		p.addError(p.lines["certificate"], "certificate", "certificate and certificate_key must stand together")
 	}
 	if s.PeerCA != "" && s.Certificate == "" {
-		p.fault(p.seen["peer_ca"], "peer_ca", "needs certificate and certificate_key")
+		p.addError(p.lines["peer_ca"], "peer_ca", "needs certificate and certificate_key")
 	}
 }
 
-// suggest returns the known key nearest to a misspelt one.
+// suggest returns a hint that names the known key closest to a misspelt one, or an
+// empty string if none is close.
 func (p *parser) suggest(key string) string {
-	best, least := "", len(key)/2+1
+	best, bestDistance := "", len(key)/2+1
 	for _, f := range p.fields {
-		if d := distance(key, f.Key); d < least {
-			best, least = f.Key, d
+		if d := editDistance(key, f.Key); d < bestDistance {
+			best, bestDistance = f.Key, d
 		}
 	}
 	if best == "" {
@@ -307,8 +309,8 @@
 	return fmt.Sprintf("; did you mean %s?", best)
 }
 
-// distance is the number of single-letter changes between two words.
-func distance(a, b string) int {
+// editDistance returns the Levenshtein distance of a and b in bytes.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
@@ -328,27 +330,27 @@
 	return row[len(b)]
 }
 
-func notEmpty(t string) error {
+func checkNotEmpty(t string) error {
 	if t == "" {
 		return errors.New("must not be empty")
 	}
 	return nil
 }
 
-func optional(t string, check func(string) error) error {
+func checkOptional(t string, check func(string) error) error {
 	if t == "" {
 		return nil
 	}
 	return check(t)
 }
 
-func ipPort(t string) error {
+func checkAddrPort(t string) error {
 	host, _, err := net.SplitHostPort(t)
 	if err != nil {
 		return errors.Newf("%q is not an IP and port such as 10.0.0.1:8080", t)
 	}
 	if _, err := netip.ParseAddr(host); err != nil {
-		return errors.Newf("%q is not an IP number", host)
+		return errors.Newf("%q is not an IP address", host)
 	}
 	if _, err := netip.ParseAddrPort(t); err != nil {
 		return errors.Newf("%q has no valid port", t)
@@ -356,7 +358,7 @@
 	return nil
 }
 
-func httpURL(t string) error {
+func checkURL(t string) error {
 	u, err := url.Parse(t)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
 		return errors.Newf("%q is not an http or https URL", t)
@@ -364,7 +366,7 @@
 	return nil
 }
 
-func hash(t string) error {
+func checkHash(t string) error {
 	const digits = 64
 	for _, c := range t {
 		if !strings.ContainsRune("0123456789abcdef", c) {
@@ -377,70 +379,70 @@
 	return nil
 }
 
-func integer(to *int, t string, least, most int) error {
+func setInt(to *int, t string, lower, upper int) error {
 	v, err := strconv.Atoi(t)
-	if err != nil || v < least || v > most {
-		return errors.Newf("%q is not a whole number from %d to %d", t, least, most)
+	if err != nil || v < lower || v > upper {
+		return errors.Newf("%q is not a whole number from %d to %d", t, lower, upper)
 	}
 	*to = v
 	return nil
 }
 
-func number(to *float64, t string, least, most float64) error {
+func setFloat(to *float64, t string, lower, upper float64) error {
 	v, err := strconv.ParseFloat(t, 64)
-	if err != nil || !(v >= least && v <= most) {
-		return errors.Newf("%q is not a number from %g to %g", t, least, most)
+	if err != nil || !(v >= lower && v <= upper) {
+		return errors.Newf("%q is not a number from %g to %g", t, lower, upper)
 	}
 	*to = v
 	return nil
 }
 
-func addresses(to *[]string, t string) error {
+func setAddresses(to *[]string, t string) error {
 	*to = nil
 	for _, a := range strings.Split(t, ",") {
 		a = strings.TrimSpace(a)
 		if a == "" {
 			continue
 		}
-		if _, err := netip.ParseAddr(a); err != nil && ipPort(a) != nil {
-			return errors.Newf("%q is not an IP number", a)
+		if _, err := netip.ParseAddr(a); err != nil && checkAddrPort(a) != nil {
+			return errors.Newf("%q is not an IP address", a)
 		}
 		*to = append(*to, a)
 	}
 	return nil
 }
 
-func regions(to *map[string]string, t string) error {
+func setRegions(to *map[string]string, t string) error {
 	*to = map[string]string{}
-	for _, pair := range strings.Split(t, ",") {
-		if pair = strings.TrimSpace(pair); pair == "" {
+	for _, entry := range strings.Split(t, ",") {
+		if entry = strings.TrimSpace(entry); entry == "" {
 			continue
 		}
-		hall, region, ok := strings.Cut(pair, "=")
+		hall, region, ok := strings.Cut(entry, "=")
 		if !ok || hall == "" || region == "" {
-			return errors.Newf("%q is not HALL=REGION", pair)
+			return errors.Newf("%q is not HALL=REGION", entry)
 		}
-		if _, twice := (*to)[hall]; twice {
-			return errors.Newf("hall %q stands twice", hall)
+		if _, duplicate := (*to)[hall]; duplicate {
+			return errors.Newf("hall %q is listed twice", hall)
 		}
 		(*to)[hall] = region
 	}
 	return nil
 }
 
-func duration(to *time.Duration, t string, least, most time.Duration) error {
+func setDuration(to *time.Duration, t string, lower, upper time.Duration) error {
 	v, err := time.ParseDuration(t)
 	if err != nil {
 		return errors.Newf("%q is not a duration with a unit, such as 500ms", t)
 	}
-	if v < least || v > most {
-		return errors.Newf("%s is not from %s to %s", v, least, most)
+	if v < lower || v > upper {
+		return errors.Newf("%s is not from %s to %s", v, lower, upper)
 	}
 	*to = v
 	return nil
 }
 
-func level(to *zerolog.Level, t string) error {
+func setLevel(to *zerolog.Level, t string) error {
 	v, err := zerolog.ParseLevel(t)
 	if err != nil || t == "" {
 		return errors.Newf("%q is not debug, info, warn or error", t)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"opalbridge.dev/settings"
 )
 
-const good = `name: model-1
+const valid = `name: model-1
 hall: quito-1
 peer_address: 10.0.0.5:7000
 server_url: http://127.0.0.1:9000
@@ -18,14 +18,15 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := settings.Parse(settings.Agent, []byte(good))
+	s, err := settings.Parse(settings.Agent, []byte(valid))
 	require.NoError(t, err)
 	require.Equal(t, 500*time.Millisecond, s.ReportInterval)
 	require.Equal(t, 8, s.Slots, "the default")
 }
 
-// TestTenFaults holds that a file with ten faults names each with its line.
-func TestTenFaults(t *testing.T) {
+// TestParseReportsEveryError checks that every error of a file is reported with its
+// line.
+func TestParseReportsEveryError(t *testing.T) {
 	content := `name: ""
 nmae: x
 hall: h
@@ -40,10 +41,10 @@
 certificate: c.pem
 `
 	_, err := settings.Parse(settings.Agent, []byte(content))
-	var faults settings.FieldErrors
-	require.True(t, errors.As(err, &faults))
+	var fieldErrors settings.FieldErrors
+	require.True(t, errors.As(err, &fieldErrors))
 	lines := map[int]string{}
-	for _, f := range faults {
+	for _, f := range fieldErrors {
 		lines[f.Line] = f.Message
 	}
 	require.Len(t, lines, 11)
@@ -52,7 +53,7 @@
 	require.Contains(t, lines[8], "unit")
 }
 
-func TestMissingKeysAreNamed(t *testing.T) {
+func TestParseReportsMissingKeys(t *testing.T) {
 	_, err := settings.Parse(settings.Router, nil)
 	for _, key := range []string{"name", "hall", "caller_address", "peer_address", "platform_url", "operator_token_hash"} {
 		require.ErrorContains(t, err, key+": missing")
@@ -60,7 +61,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(valid))
 	f.Add([]byte("a: [b"))
 	f.Add([]byte("- 1\n- 2\n"))
 	f.Add([]byte("name: &a {x: *a}\n"))
