--- a/wire/control.go
+++ b/wire/control.go
@@ -7,14 +7,14 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// Reasons of an End that is not complete, where the server is not at fault.
+// Reasons of an incomplete wirepb.End that are not errors of the server.
 const (
-	ReasonDeadline   = "the caller's deadline passed"
+	ReasonDeadline           = "the caller's deadline passed"
 	ReasonCallerDisconnected = "the caller left"
 )
 
-// NewControl returns a control message with this body, which must be one of the
-// wirepb.Control_… types.
+// NewControl returns a control message with the given body, which must be one of
+// the wirepb.Control_… types.
 func NewControl(revision uint64, body any) *wirepb.Control {
 	m := &wirepb.Control{Revision: revision}
 	switch b := body.(type) {
@@ -48,7 +48,7 @@
 	return m
 }
 
-// EncodeTotals turns totals into their message form.
+// EncodeTotals converts totals to protobuf messages.
 func EncodeTotals(totals []fair.Total) []*wirepb.Counter {
 	counters := make([]*wirepb.Counter, len(totals))
 	for i, t := range totals {
@@ -64,7 +64,7 @@
 	return counters
 }
 
-// DecodeTotals turns the message form back into totals.
+// DecodeTotals converts protobuf messages to totals.
 func DecodeTotals(counters []*wirepb.Counter) []fair.Total {
 	totals := make([]fair.Total, len(counters))
 	for i, c := range counters {
--- a/wire/count.go
+++ b/wire/count.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// ControlByteCounter adds up the control bytes of connections, ended ones included. Its
-// zero value is ready; it is safe for use by several goroutines.
+// ControlByteCounter sums the bytes of control messages over all connections, closed
+// ones included. The zero value is ready to use. It is safe for concurrent use.
 type ControlByteCounter struct {
-	mutex sync.Mutex
-	past  uint64
-	peers map[*Peer]bool
+	mutex       sync.Mutex
+	closedBytes uint64
+	peers       map[*Peer]bool
 }
 
-// Add counts a connection from now on.
+// Add starts counting the bytes of a connection.
 func (c *ControlByteCounter) Add(p *Peer) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -20,20 +20,20 @@
 	c.peers[p] = true
 }
 
-// Remove keeps what a connection that has ended has counted.
+// Remove drops a closed connection and keeps its bytes in the total.
 func (c *ControlByteCounter) Remove(p *Peer) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	sent, received := p.ControlBytes()
-	c.past += sent + received
+	c.closedBytes += sent + received
 	delete(c.peers, p)
 }
 
-// Total returns the bytes of control traffic sent and received so far.
+// Total returns the number of bytes of control messages sent and received so far.
 func (c *ControlByteCounter) Total() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	n := c.past
+	n := c.closedBytes
 	for p := range c.peers {
 		sent, received := p.ControlBytes()
 		n += sent + received
--- a/wire/records.go
+++ b/wire/records.go
@@ -7,7 +7,7 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// EncodeEvents turns recorded events into their message form.
+// EncodeEvents converts recorded events to protobuf messages.
 func EncodeEvents(events []explain.Event) []*wirepb.Record {
 	records := make([]*wirepb.Record, len(events))
 	for i, e := range events {
@@ -25,7 +25,7 @@
 	return records
 }
 
-// DecodeEvents turns the message form back into recorded events.
+// DecodeEvents converts protobuf messages to recorded events.
 func DecodeEvents(records []*wirepb.Record) []explain.Event {
 	events := make([]explain.Event, len(records))
 	for i, r := range records {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,21 +1,21 @@
-// Package wire carries opalbridge's own messages between routers and agents:
-// protobuf messages, length-delimited, over yamux streams on one connection.
+// Package wire implements the protocol between routers and agents: length-delimited
+// protobuf messages over yamux streams on one connection.
 //
-// A connection has one control stream, opened by the side that dialled, on
-// which both sides first say hello and then exchange [wirepb.Control] messages.
-// Every other stream carries one [wirepb.Call] and its answer, so that a slow
-// caller holds up only its own stream.
+// A connection has one control stream, opened by the side that dialled. On it both
+// sides first send a hello message and then exchange [wirepb.Control] messages.
+// Every other stream carries one [wirepb.Call] and its response, so that a slow
+// caller blocks only its own stream.
 //
 // # Usage
 //
-//	p, err := wire.Connect(ctx, conn, hello, options)
+//	p, err := wire.Connect(ctx, conn, hello)
 //	for m := range p.Control() { … }
-//	s, err := p.Open(ctx)
+//	s, err := p.Open()
 //	err = s.Write(&wirepb.Call{…})
 //
-// The package decides nothing: it frames, counts bytes and cuts off a peer that
-// stalls or sends what cannot be decoded. Clustering and discovery are not its
-// business.
+// The package frames messages, counts their bytes and closes the connection to a peer
+// that stalls or sends messages that cannot be decoded. It makes no scheduling
+// decisions and does no clustering or discovery.
 package wire
 
 import (
@@ -37,35 +37,36 @@
 )
 
 const (
-	// Version is the protocol version that the hello message names.
+	// Version is the protocol version sent in the hello message.
 	Version = 1
-	// MaxMessage is the largest message in bytes that a peer may send.
+	// MaxMessage is the size limit in bytes of messages from a peer.
 	MaxMessage = 16 << 20
-	// maxControl is the largest control message in bytes; a configuration is
-	// the largest of them.
-	maxControl = 2 << 20
-	// controlQueue bounds the control messages that wait to be sent or handled.
-	// When the outgoing one is full the peer is cut off: it has stalled.
-	controlQueue = 4096
-	helloTimeout = 5 * time.Second
-	writeTimeout = 10 * time.Second
+	// maxControlMessage is the size limit in bytes of control messages. The largest
+	// of them carries a configuration.
+	maxControlMessage = 2 << 20
+	// controlQueueSize is the capacity of the queues of control messages to be sent
+	// and to be handled. If the outgoing queue is full, the peer has stalled and the
+	// connection is closed.
+	controlQueueSize = 4096
+	helloTimeout     = 5 * time.Second
+	writeTimeout     = 10 * time.Second
 )
 
-// Errors that callers tell apart.
+// Errors that callers can distinguish.
 var (
-	ErrVersion = errors.New("wire: peer speaks another protocol version")
-	ErrStalled = errors.New("wire: peer does not take its messages")
+	ErrVersion = errors.New("wire: peer uses another protocol version")
+	ErrStalled = errors.New("wire: peer does not read its messages")
 	ErrClosed  = errors.New("wire: connection closed")
 )
 
 // Peer is an established connection to another process.
 type Peer struct {
-	// Hello is what the other side said of itself.
+	// Hello is the hello message of the other side.
 	Hello *wirepb.Hello
 
 	session  *yamux.Session
-	incoming chan *wirepb.Control // full: the reader waits, and TCP pushes back
-	outgoing chan *wirepb.Control // full: the peer is cut off, see controlQueue
+	incoming chan *wirepb.Control // if full, the reader blocks and TCP applies backpressure
+	outgoing chan *wirepb.Control // if full, the connection is closed; see controlQueueSize
 	sent     atomic.Uint64
 	received atomic.Uint64
 	closing  atomic.Bool
@@ -73,8 +74,8 @@
 	reason   error
 }
 
-// Connect says hello as the side that dialled and returns the peer. It takes
-// over conn, which it closes on error.
+// Connect performs the handshake as the side that dialled and returns the peer. It
+// takes ownership of conn and closes it on error.
 func Connect(ctx context.Context, conn net.Conn, hello *wirepb.Hello) (*Peer, error) {
 	session, err := yamux.Client(conn, sessionConfig())
 	if err != nil {
@@ -88,16 +89,16 @@
 	return handshake(ctx, session, stream, hello)
 }
 
-// Accept says hello as the side that was dialled and returns the peer. It takes
-// over conn, which it closes on error.
+// Accept performs the handshake as the side that was dialled and returns the peer. It
+// takes ownership of conn and closes it on error.
 func Accept(ctx context.Context, conn net.Conn, hello *wirepb.Hello) (*Peer, error) {
 	session, err := yamux.Server(conn, sessionConfig())
 	if err != nil {
 		return nil, errors.Wrap(err, "wire: open session")
 	}
-	wait, cancel := context.WithTimeout(ctx, helloTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	stream, err := session.AcceptStreamWithContext(wait)
+	stream, err := session.AcceptStreamWithContext(waitCtx)
 	if err != nil {
 		_ = session.Close()
 		return nil, errors.Wrap(err, "wire: accept control stream")
@@ -118,16 +119,16 @@
 func handshake(ctx context.Context, session *yamux.Session, stream *yamux.Stream, hello *wirepb.Hello) (*Peer, error) {
 	hello.Version = Version
 	control := &Stream{stream: stream, reader: bufio.NewReader(stream)}
-	theirs, err := exchangeHello(control, hello)
+	remote, err := exchangeHello(control, hello)
 	if err != nil {
 		_ = session.Close()
 		return nil, err
 	}
 	p := &Peer{
-		Hello:    theirs,
+		Hello:    remote,
 		session:  session,
-		incoming: make(chan *wirepb.Control, controlQueue),
-		outgoing: make(chan *wirepb.Control, controlQueue),
+		incoming: make(chan *wirepb.Control, controlQueueSize),
+		outgoing: make(chan *wirepb.Control, controlQueueSize),
 		closed:   make(chan struct{}),
 	}
 	go p.readControl(ctx, control)
@@ -141,16 +142,16 @@
 	if err := control.Write(first); err != nil {
 		return nil, err
 	}
-	var answer wirepb.Control
-	if err := control.read(&answer, maxControl); err != nil {
+	var reply wirepb.Control
+	if err := control.read(&reply, maxControlMessage); err != nil {
 		return nil, errors.Wrap(err, "wire: read hello")
 	}
 	_ = control.stream.SetDeadline(time.Time{})
-	theirs := answer.GetHello()
-	if theirs == nil || theirs.Version != Version {
-		return nil, errors.Wrapf(ErrVersion, "wire: hello of version %d", theirs.GetVersion())
+	remote := reply.GetHello()
+	if remote == nil || remote.Version != Version {
+		return nil, errors.Wrapf(ErrVersion, "wire: hello of version %d", remote.GetVersion())
 	}
-	return theirs, nil
+	return remote, nil
 }
 
 func (p *Peer) readControl(ctx context.Context, control *Stream) {
@@ -159,7 +160,7 @@
 	defer stop()
 	for {
 		m := &wirepb.Control{}
-		if err := control.read(m, maxControl); err != nil {
+		if err := control.read(m, maxControlMessage); err != nil {
 			p.Close(err)
 			return
 		}
@@ -190,11 +191,12 @@
 	}
 }
 
-// Control returns the peer's control messages. It is closed when the connection
-// ends; Reason then tells why.
+// Control returns the channel of the control messages received from the peer. It is
+// closed when the connection ends; Reason then returns the cause.
 func (p *Peer) Control() <-chan *wirepb.Control { return p.incoming }
 
-// Send queues a control message. A peer whose queue is full is cut off.
+// Send queues a control message. If the queue is full, it closes the connection with
+// ErrStalled.
 func (p *Peer) Send(m *wirepb.Control) {
 	select {
 	case p.outgoing <- m:
@@ -203,7 +205,7 @@
 	}
 }
 
-// Open starts a stream for one call.
+// Open opens a stream for one call.
 func (p *Peer) Open() (*Stream, error) {
 	s, err := p.session.OpenStream()
 	if err != nil {
@@ -212,7 +214,7 @@
 	return &Stream{stream: s, reader: bufio.NewReader(s)}, nil
 }
 
-// Accept waits for the peer to start a stream.
+// Accept waits for the peer to open a stream.
 func (p *Peer) Accept(ctx context.Context) (*Stream, error) {
 	s, err := p.session.AcceptStreamWithContext(ctx)
 	if err != nil {
@@ -221,8 +223,9 @@
 	return &Stream{stream: s, reader: bufio.NewReader(s)}, nil
 }
 
-// Close ends the connection for the reason given; only the first call counts. The
-// others do not wait for it: the session takes its time to end.
+// Close closes the connection with the given reason. Only the first call has an
+// effect. Later calls return at once, without waiting for the session to close,
+// which can take a while.
 func (p *Peer) Close(reason error) {
 	if !p.closing.CompareAndSwap(false, true) {
 		return
@@ -232,10 +235,10 @@
 	_ = p.session.Close()
 }
 
-// Closed is closed when the connection has ended.
+// Closed returns a channel that is closed when the connection has ended.
 func (p *Peer) Closed() <-chan struct{} { return p.closed }
 
-// Reason tells why the connection ended; nil while it lasts.
+// Reason returns the reason given to Close, or nil while the connection is open.
 func (p *Peer) Reason() error {
 	select {
 	case <-p.closed:
@@ -245,21 +248,21 @@
 	}
 }
 
-// ControlBytes returns how many bytes of control messages were sent and
-// received, without the framing.
+// ControlBytes returns the number of bytes of control messages sent and received,
+// without framing.
 func (p *Peer) ControlBytes() (sent, received uint64) {
 	return p.sent.Load(), p.received.Load()
 }
 
-// Stream carries one call and its answer.
+// Stream carries one call and its response.
 type Stream struct {
 	stream *yamux.Stream
 	reader *bufio.Reader
-	mutex  sync.Mutex // guards buffer and the order of messages
+	mutex  sync.Mutex // guards buffer and serializes writes
 	buffer []byte
 }
 
-// Write sends one message.
+// Write sends one message. It is safe for concurrent use.
 func (s *Stream) Write(m proto.Message) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -284,29 +287,29 @@
 // Read receives one message of at most MaxMessage bytes.
 func (s *Stream) Read(m proto.Message) error { return s.read(m, MaxMessage) }
 
-func (s *Stream) read(m proto.Message, most int64) error {
-	return Decode(s.reader, m, most)
+func (s *Stream) read(m proto.Message, maxSize int64) error {
+	return Decode(s.reader, m, maxSize)
 }
 
-// Decode reads one length-delimited message of at most the given bytes.
-func Decode(r *bufio.Reader, m proto.Message, most int64) error {
-	o := protodelim.UnmarshalOptions{MaxSize: most}
+// Decode reads one length-delimited message of at most maxSize bytes.
+func Decode(r *bufio.Reader, m proto.Message, maxSize int64) error {
+	o := protodelim.UnmarshalOptions{MaxSize: maxSize}
 	if err := o.UnmarshalFrom(r, m); err != nil {
 		return errors.Wrap(err, "wire: read")
 	}
 	return nil
 }
 
-// Close ends the stream; the other side sees the end of its input.
+// Close closes the stream. The other side reads io.EOF.
 func (s *Stream) Close() { _ = s.stream.Close() }
 
-// SetTimeout lets the stream end by itself after the given time.
+// SetTimeout sets the deadline of all reads and writes to the given time from now.
 func (s *Stream) SetTimeout(after time.Duration) {
 	_ = s.stream.SetDeadline(time.Now().Add(after))
 }
 
-// CloseWhenDone ends the stream after ctx has ended, and returns a function that
-// releases the watch.
+// CloseWhenDone closes the stream when ctx is done, failing pending reads and writes.
+// The returned function cancels this.
 func (s *Stream) CloseWhenDone(ctx context.Context) (release func() bool) {
 	return context.AfterFunc(ctx, func() {
 		_ = s.stream.SetDeadline(time.Unix(1, 0))
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -46,20 +46,20 @@
 		s, err := router.Open()
 		require.NoError(t, err)
 		require.NoError(t, s.Write(&wirepb.Call{Body: &wirepb.Call_Revoke{Revoke: &wirepb.Revoke{Request: "r"}}}))
-		theirs, err := agent.Accept(context.Background())
+		accepted, err := agent.Accept(context.Background())
 		require.NoError(t, err)
 		var c wirepb.Call
-		require.NoError(t, theirs.Read(&c))
+		require.NoError(t, accepted.Read(&c))
 		require.Equal(t, "r", c.GetRevoke().Request)
 	})
 }
 
-// TestStalledPeerIsCutOff shows that a peer which takes nothing does not fill
-// memory.
-func TestStalledPeerIsCutOff(t *testing.T) {
+// TestStalledPeerIsClosed checks that the connection to a peer that reads nothing is
+// closed, so that queued messages don't fill memory.
+func TestStalledPeerIsClosed(t *testing.T) {
 	bubbletest.Run(t, func(t *testing.T) {
 		router, agent := connect(t)
-		for range 20_000 { // the agent's side never reads its control channel
+		for range 20_000 { // the agent never reads its control channel
 			router.Send(&wirepb.Control{Body: &wirepb.Control_Ping{Ping: &wirepb.Ping{}}})
 		}
 		<-router.Closed()
@@ -68,13 +68,13 @@
 	})
 }
 
-func TestRubbishEndsTheConnection(t *testing.T) {
+func TestAcceptRejectsMalformedInput(t *testing.T) {
 	bubbletest.Run(t, func(t *testing.T) {
 		a, b := net.Pipe()
 		go func() {
 			_, _ = a.Write(bytes.Repeat([]byte("rubbish "), 100))
 		}()
-		go func() { _, _ = io.Copy(io.Discard, a) }() // what the other side writes must be taken
+		go func() { _, _ = io.Copy(io.Discard, a) }() // net.Pipe is unbuffered: writes block until they are read
 		_, err := wire.Accept(context.Background(), b, &wirepb.Hello{})
 		require.Error(t, err)
 		a.Close()
@@ -90,7 +90,7 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, content []byte) {
 		var c wirepb.Call
-		const most = 1 << 16
-		_ = wire.Decode(bufio.NewReader(bytes.NewReader(content)), &c, most)
+		const maxSize = 1 << 16
+		_ = wire.Decode(bufio.NewReader(bytes.NewReader(content)), &c, maxSize)
 	})
 }
