--- a/kv/kv.go
+++ b/kv/kv.go
@@ -1,13 +1,13 @@
-// Package kv is what a router with agents needs of the platform it runs on: a small
-// key-value service and a list of live hosts, each behind a narrow interface.
+// Package kv defines the interfaces through which routers and agents use the platform:
+// a small key-value service and a list of live hosts.
 //
 // # Usage
 //
 //	var store kv.KV = platform.KV{Store: &platform.Store{Address: "10.0.0.1:2379"}}
 //	e, err := store.Get(ctx, "opalbridge/configuration")
 //
-// Package platform implements both over the users' platform; another platform is met
-// by another implementation. A stand-in in memory is in kvtest.
+// Package platform implements both for the users' platform; another platform needs
+// another implementation. Package kvtest has an in-memory fake for tests.
 package kv
 
 import (
@@ -16,43 +16,43 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors that callers tell apart. Any other error from a write leaves it unknown
-// whether the write took effect.
+// Errors that callers can distinguish. After any other error from a write it is
+// unknown whether the write took effect.
 var (
 	ErrConflict    = errors.New("kv: version conflict")
-	ErrUnavailable = errors.New("kv: service unavailable") // refused before any effect
+	ErrUnavailable = errors.New("kv: service unavailable") // the call had no effect
 )
 
-// Entry is a value and the version the service gives it; version zero means that
-// there is none.
+// Entry is a value and its version in the service. Version zero means that the key
+// does not exist.
 type Entry struct {
 	Value   []byte
 	Version uint64
 }
 
-// KV is the platform's key-value service. It takes about 100 writes and 2,000
-// reads a second, holds values up to 1 MB, has outages and loses answers
-// (source: the users' brief, "What the platform gives").
+// KV is the platform's key-value service. It handles about 100 writes and 2,000 reads
+// per second and stores values of up to 1 MB. Outages and lost responses must be
+// expected.
 type KV interface {
 	Get(ctx context.Context, key string) (Entry, error)
-	// CompareAndSwap writes the value if the key's version is the one given and
-	// returns the new version, or ErrConflict.
+	// CompareAndSwap writes the value if the key has the given version, and returns
+	// the new version. Otherwise it returns ErrConflict.
 	CompareAndSwap(ctx context.Context, key string, version uint64, value []byte) (uint64, error)
-	// Watch waits for a version other than the one given. The service may end
-	// the wait early and return the unchanged entry.
+	// Watch waits until the key has a version other than the given one. The service
+	// may end the wait early and return the unchanged entry.
 	Watch(ctx context.Context, key string, version uint64) (Entry, error)
 }
 
-// Role tells which duty a host's process has.
+// Role is the role of the process on a host.
 type Role string
 
-// The roles of hosts.
+// Roles of hosts.
 const (
 	Router Role = "router"
 	Agent  Role = "agent"
 )
 
-// Host is one line of the live list.
+// Host is an entry of the list of live hosts.
 type Host struct {
 	Name    string `json:"name"`
 	Role    Role   `json:"role"`
@@ -61,7 +61,7 @@
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
-// Directory is the platform's list of live hosts. It lags and may be wrong.
+// Directory is the platform's list of live hosts. It may be stale or wrong.
 type Directory interface {
 	Hosts(ctx context.Context) ([]Host, error)
 }
--- a/kv/kvtest/kvtest.go
+++ b/kv/kvtest/kvtest.go
@@ -1,13 +1,13 @@
-// Package kvtest is a small stand-in for the platform: a key-value service
-// with versions and watches, and a list of live hosts that can lag.
+// Package kvtest provides an in-memory fake of the platform: a key-value service with
+// versions and watches, and a list of live hosts.
 //
 // # Usage
 //
 //	s := &kvtest.Service{}
 //	s.SetFaults(kvtest.Faults{Down: true})
 //
-// It keeps everything in memory and is for tests only; platformtest has one that speaks
-// the platform's protocol.
+// It is for tests only. Package platformtest has a fake that implements the platform's
+// protocol.
 package kvtest
 
 import (
@@ -22,63 +22,64 @@
 	"opalbridge.dev/kv"
 )
 
-// WatchTimeout is how long a watch waits before it returns the unchanged entry.
+// WatchTimeout is the time after which a watch returns the unchanged entry.
 const WatchTimeout = 30 * time.Second
 
-// Faults tell the service how to misbehave.
+// Faults configures fault injection.
 type Faults struct {
-	Down       bool          // every call is refused before any effect
-	Delay      time.Duration // every call waits first
-	LoseWriteResponses int           // so many writes take effect, and their answer is lost
+	Down               bool          // all calls fail without effect
+	Delay              time.Duration // delay before each call
+	LoseWriteResponses int           // number of writes that take effect but return ErrResponseLost
 }
 
-// Calls counts what the service was asked.
+// Calls counts the calls of the service by kind.
 type Calls struct{ Reads, Writes, Watches int }
 
-// Service is the stand-in. Its zero value is empty and healthy.
+// Service is the fake platform. The zero value is empty and has no faults.
 type Service struct {
-	mutex   sync.Mutex
-	entries map[string]kv.Entry
-	hosts   []kv.Host
-	faults  Faults
-	calls   Calls
-	returns uint64 // how often it has come back from a copy
-	changed chan struct{}
+	mutex    sync.Mutex
+	entries  map[string]kv.Entry
+	hosts    []kv.Host
+	faults   Faults
+	calls    Calls
+	restores uint64 // number of calls of RestoreSnapshot
+	changed  chan struct{}
 }
 
-// Snapshot is what the service held at one moment.
+// Snapshot holds the entries of a service at one point in time.
 type Snapshot map[string]kv.Entry
 
-// returnedBits are those of a version that the service gives within one of its returns.
-const returnedBits = 40
+// versionBits is the number of low bits of a version that count writes. The bits above
+// them hold the number of restores.
+const versionBits = 40
 
-// Snapshot returns what the service holds.
+// Snapshot returns a copy of the current entries.
 func (s *Service) Snapshot() Snapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.entries)
 }
 
-// RestoreSnapshot lets the service come back from a copy: what was written since is gone, and all
-// entries have versions that they never had before.
+// RestoreSnapshot replaces the entries by those of a snapshot, as a restore from a backup
+// does: later writes are lost, and all entries get versions that they never had before.
 func (s *Service) RestoreSnapshot(c Snapshot) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.returns++
+	s.restores++
 	s.entries = map[string]kv.Entry{}
 	for key, e := range c {
-		e.Version = s.returns<<returnedBits | e.Version&(1<<returnedBits-1)
+		e.Version = s.restores<<versionBits | e.Version&(1<<versionBits-1)
 		s.entries[key] = e
 	}
 	if s.changed != nil {
-		s.wake()
+		s.notifyWatchers()
 	}
 }
 
-// ErrResponseLost stands for an answer that did not arrive.
-var ErrResponseLost = errors.New("kvtest: answer lost")
+// ErrResponseLost is returned by a write that took effect but whose response is lost.
+var ErrResponseLost = errors.New("kvtest: response lost")
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(f Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -92,7 +93,7 @@
 	return s.calls
 }
 
-// SetHost adds or replaces a host of the live list.
+// SetHost adds a host to the list of live hosts, or replaces it.
 func (s *Service) SetHost(h kv.Host) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -100,7 +101,7 @@
 	s.hosts = append(s.hosts, h)
 }
 
-// RemoveHost takes a host off the live list.
+// RemoveHost removes a host from the list of live hosts.
 func (s *Service) RemoveHost(name string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -109,7 +110,7 @@
 
 // Hosts implements kv.Directory.
 func (s *Service) Hosts(ctx context.Context) ([]kv.Host, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Reads++ }); err != nil {
+	if err := s.begin(ctx, func(c *Calls) { c.Reads++ }); err != nil {
 		return nil, err
 	}
 	defer s.mutex.Unlock()
@@ -118,7 +119,7 @@
 
 // Get implements kv.KV.
 func (s *Service) Get(ctx context.Context, key string) (kv.Entry, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Reads++ }); err != nil {
+	if err := s.begin(ctx, func(c *Calls) { c.Reads++ }); err != nil {
 		return kv.Entry{}, err
 	}
 	defer s.mutex.Unlock()
@@ -127,7 +128,7 @@
 
 // CompareAndSwap implements kv.KV.
 func (s *Service) CompareAndSwap(ctx context.Context, key string, version uint64, value []byte) (uint64, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Writes++ }); err != nil {
+	if err := s.begin(ctx, func(c *Calls) { c.Writes++ }); err != nil {
 		return 0, err
 	}
 	defer s.mutex.Unlock()
@@ -138,7 +139,7 @@
 		s.entries = map[string]kv.Entry{}
 	}
 	s.entries[key] = kv.Entry{Value: slices.Clone(value), Version: version + 1}
-	s.wake()
+	s.notifyWatchers()
 	if s.faults.LoseWriteResponses > 0 {
 		s.faults.LoseWriteResponses--
 		return 0, ErrResponseLost
@@ -148,11 +149,11 @@
 
 // Watch implements kv.KV.
 func (s *Service) Watch(ctx context.Context, key string, version uint64) (kv.Entry, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Watches++ }); err != nil {
+	if err := s.begin(ctx, func(c *Calls) { c.Watches++ }); err != nil {
 		return kv.Entry{}, err
 	}
-	end := time.NewTimer(WatchTimeout)
-	defer end.Stop()
+	timeout := time.NewTimer(WatchTimeout)
+	defer timeout.Stop()
 	for {
 		e := s.entries[key]
 		changed := s.changed
@@ -162,7 +163,7 @@
 		}
 		select {
 		case <-changed:
-		case <-end.C:
+		case <-timeout.C:
 			return e, nil
 		case <-ctx.Done():
 			return kv.Entry{}, ctx.Err()
@@ -171,8 +172,9 @@
 	}
 }
 
-// enter counts a call, applies the faults and, without error, holds the mutex.
-func (s *Service) enter(ctx context.Context, count func(*Calls)) error {
+// begin counts a call and applies the faults. If it returns nil, the caller holds the
+// mutex.
+func (s *Service) begin(ctx context.Context, count func(*Calls)) error {
 	s.mutex.Lock()
 	count(&s.calls)
 	f := s.faults
@@ -194,7 +196,7 @@
 	return nil
 }
 
-func (s *Service) wake() {
+func (s *Service) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
