--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,14 +1,14 @@
-// Package operator serves the operators' remote procedure calls, which are their
-// only way in. The calls are described in operatorpb/operator.proto; every router
-// serves them.
+// Package operator implements the operators' remote procedure calls, the only interface
+// for operators. They are defined in operatorpb/operator.proto and served by every
+// router.
 //
 // # Usage
 //
 //	s := &operator.Service{Store: store, Fleet: router, TokenHash: hash}
 //	mux.Handle(s.Handler())
 //
-// A change is accepted when it is in the platform's service; it is in force at
-// every node within seconds.
+// A change is accepted once it is written to the platform's key-value service. It comes
+// into force on every node within seconds.
 package operator
 
 import (
@@ -31,13 +31,15 @@
 	"opalbridge.dev/router"
 )
 
-// OldKeyGracePeriod is how long an account's earlier key stays valid after a rotation.
+// OldKeyGracePeriod is the time for which an account's previous key stays valid after a
+// rotation.
 const OldKeyGracePeriod = time.Hour
 
-// CurrentRevisionHeader carries the current revision in the answer to a conflict.
+// CurrentRevisionHeader is the header of a conflict response that contains the current
+// revision.
 const CurrentRevisionHeader = "Opalbridge-Current-Revision"
 
-// Fleet is what the service asks of the router it runs in.
+// Fleet is the interface of the router that the service runs in.
 type Fleet interface {
 	Revision() uint64
 	Nodes(ctx context.Context) []router.NodeView
@@ -54,8 +56,8 @@
 
 var _ operatorpbconnect.OperatorHandler = (*Service)(nil)
 
-// Handler returns the path and handler of the calls. Calls without the operators'
-// token are refused.
+// Handler returns the path and the HTTP handler of the calls. Calls without the
+// operators' token are rejected.
 func (s *Service) Handler() (path string, handler http.Handler) {
 	return operatorpbconnect.NewOperatorHandler(s, connect.WithInterceptors(connect.UnaryInterceptorFunc(s.authenticate)))
 }
@@ -70,7 +72,8 @@
 	}
 }
 
-// propose makes a change and turns its outcome into an answer.
+// propose proposes a change and converts its outcome to a document or an error with a
+// Connect code.
 func (s *Service) propose(ctx context.Context, expect uint64, change func(*config.Document) error) (*config.Document, error) {
 	switch o := s.Store.Propose(ctx, expect, change).(type) {
 	case config.Accepted:
@@ -80,9 +83,9 @@
 		err.Meta().Set(CurrentRevisionHeader, fmt.Sprint(o.Current))
 		return nil, err
 	case config.Rejected:
-		var known *connect.Error
-		if errors.As(o.Reason, &known) {
-			return nil, known
+		var connectErr *connect.Error
+		if errors.As(o.Reason, &connectErr) {
+			return nil, connectErr
 		}
 		return nil, connect.NewError(connect.CodeInvalidArgument, o.Reason)
 	case config.Indeterminate:
@@ -97,17 +100,17 @@
 	return connect.NewError(connect.CodeNotFound, errors.Newf("there is no %s %q", kind, name))
 }
 
-// GetConfiguration implements the call of that name.
+// GetConfiguration implements operatorpbconnect.OperatorHandler.
 func (s *Service) GetConfiguration(ctx context.Context, _ *connect.Request[operatorpb.GetConfigurationRequest]) (*connect.Response[operatorpb.Configuration], error) {
 	d, _, err := s.Store.Load(ctx)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	return connect.NewResponse(configuration(d)), nil
+	return connect.NewResponse(encodeConfiguration(d)), nil
 }
 
-func configuration(d *config.Document) *operatorpb.Configuration {
-	c := &operatorpb.Configuration{Revision: d.Revision, Limits: limits(d.Limits)}
+func encodeConfiguration(d *config.Document) *operatorpb.Configuration {
+	c := &operatorpb.Configuration{Revision: d.Revision, Limits: encodeLimits(d.Limits)}
 	for _, a := range d.Accounts {
 		c.Accounts = append(c.Accounts, &operatorpb.Account{Name: a.Name, Share: a.Share, Disabled: a.Disabled, MaxWaiting: a.MaxWaiting})
 	}
@@ -120,7 +123,7 @@
 	return c
 }
 
-func limits(l config.Limits) *operatorpb.Limits {
+func encodeLimits(l config.Limits) *operatorpb.Limits {
 	l = l.WithDefaults()
 	return &operatorpb.Limits{
 		MaxWaiting:   l.MaxWaiting,
@@ -134,7 +137,7 @@
 	}
 }
 
-// CreateAccount implements the call of that name.
+// CreateAccount implements operatorpbconnect.OperatorHandler.
 func (s *Service) CreateAccount(ctx context.Context, r *connect.Request[operatorpb.CreateAccountRequest]) (*connect.Response[operatorpb.CreateAccountResponse], error) {
 	a := r.Msg.Account
 	if a == nil {
@@ -154,10 +157,10 @@
 	return connect.NewResponse(&operatorpb.CreateAccountResponse{Key: key, Revision: d.Revision}), nil
 }
 
-// NewKey returns a new account's key.
+// NewKey returns a new random account key.
 func NewKey() string { return "ob-" + rand.Text() }
 
-// AddAccount adds an account with this key to a document and numbers it.
+// AddAccount adds an account with the given key to a document and assigns its ID.
 func AddAccount(d *config.Document, a config.Account, key string) {
 	d.NextAccount++
 	a.ID = d.NextAccount
@@ -165,10 +168,10 @@
 	d.Accounts = append(d.Accounts, a)
 }
 
-// UpdateAccount implements the call of that name.
+// UpdateAccount implements operatorpbconnect.OperatorHandler.
 func (s *Service) UpdateAccount(ctx context.Context, r *connect.Request[operatorpb.UpdateAccountRequest]) (*connect.Response[operatorpb.Changed], error) {
 	m := r.Msg
-	return s.changed(ctx, m.Expect, func(d *config.Document) error {
+	return s.applyChange(ctx, m.Expect, func(d *config.Document) error {
 		a := d.Account(m.Name)
 		if a == nil {
 			return notFound("account", m.Name)
@@ -186,7 +189,7 @@
 	})
 }
 
-func (s *Service) changed(ctx context.Context, expect uint64, change func(*config.Document) error) (*connect.Response[operatorpb.Changed], error) {
+func (s *Service) applyChange(ctx context.Context, expect uint64, change func(*config.Document) error) (*connect.Response[operatorpb.Changed], error) {
 	d, err := s.propose(ctx, expect, change)
 	if err != nil {
 		return nil, err
@@ -194,7 +197,7 @@
 	return connect.NewResponse(&operatorpb.Changed{Revision: d.Revision}), nil
 }
 
-// RotateKey implements the call of that name.
+// RotateKey implements operatorpbconnect.OperatorHandler.
 func (s *Service) RotateKey(ctx context.Context, r *connect.Request[operatorpb.RotateKeyRequest]) (*connect.Response[operatorpb.CreateAccountResponse], error) {
 	key := NewKey()
 	d, err := s.propose(ctx, r.Msg.Expect, func(d *config.Document) error {
@@ -218,13 +221,13 @@
 	return connect.NewResponse(&operatorpb.CreateAccountResponse{Key: key, Revision: d.Revision}), nil
 }
 
-// PutPool implements the call of that name.
+// PutPool implements operatorpbconnect.OperatorHandler.
 func (s *Service) PutPool(ctx context.Context, r *connect.Request[operatorpb.PutPoolRequest]) (*connect.Response[operatorpb.Changed], error) {
 	m := r.Msg.Pool
 	if m == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New("pool: missing"))
 	}
-	return s.changed(ctx, r.Msg.Expect, func(d *config.Document) error {
+	return s.applyChange(ctx, r.Msg.Expect, func(d *config.Document) error {
 		p := config.Pool{Name: m.Name, Kind: config.Kind(m.Kind)}
 		if old := d.Pool(m.Name); old != nil {
 			*old = p
@@ -235,9 +238,9 @@
 	})
 }
 
-// DeletePool implements the call of that name.
+// DeletePool implements operatorpbconnect.OperatorHandler.
 func (s *Service) DeletePool(ctx context.Context, r *connect.Request[operatorpb.DeletePoolRequest]) (*connect.Response[operatorpb.Changed], error) {
-	return s.changed(ctx, r.Msg.Expect, func(d *config.Document) error {
+	return s.applyChange(ctx, r.Msg.Expect, func(d *config.Document) error {
 		if d.Pool(r.Msg.Name) == nil {
 			return notFound("pool", r.Msg.Name)
 		}
@@ -246,13 +249,13 @@
 	})
 }
 
-// PutServer implements the call of that name.
+// PutServer implements operatorpbconnect.OperatorHandler.
 func (s *Service) PutServer(ctx context.Context, r *connect.Request[operatorpb.PutServerRequest]) (*connect.Response[operatorpb.Changed], error) {
 	m := r.Msg.Server
 	if m == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New("server: missing"))
 	}
-	return s.changed(ctx, r.Msg.Expect, func(d *config.Document) error {
+	return s.applyChange(ctx, r.Msg.Expect, func(d *config.Document) error {
 		v := config.Server{Name: m.Name, Hall: m.Hall, Pools: m.Pools, Leaving: m.Leaving}
 		if old := d.Server(m.Name); old != nil {
 			*old = v
@@ -263,9 +266,9 @@
 	})
 }
 
-// DeleteServer implements the call of that name.
+// DeleteServer implements operatorpbconnect.OperatorHandler.
 func (s *Service) DeleteServer(ctx context.Context, r *connect.Request[operatorpb.DeleteServerRequest]) (*connect.Response[operatorpb.Changed], error) {
-	return s.changed(ctx, r.Msg.Expect, func(d *config.Document) error {
+	return s.applyChange(ctx, r.Msg.Expect, func(d *config.Document) error {
 		if d.Server(r.Msg.Name) == nil {
 			return notFound("server", r.Msg.Name)
 		}
@@ -274,13 +277,13 @@
 	})
 }
 
-// PutLimits implements the call of that name.
+// PutLimits implements operatorpbconnect.OperatorHandler.
 func (s *Service) PutLimits(ctx context.Context, r *connect.Request[operatorpb.PutLimitsRequest]) (*connect.Response[operatorpb.Changed], error) {
 	l := r.Msg.Limits
 	if l == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New("limits: missing"))
 	}
-	return s.changed(ctx, r.Msg.Expect, func(d *config.Document) error {
+	return s.applyChange(ctx, r.Msg.Expect, func(d *config.Document) error {
 		d.Limits = config.Limits{
 			MaxWaiting:   l.MaxWaiting,
 			MaxBodyBytes: l.MaxBodyBytes,
@@ -295,11 +298,11 @@
 	})
 }
 
-// Status implements the call of that name.
+// Status implements operatorpbconnect.OperatorHandler.
 func (s *Service) Status(ctx context.Context, _ *connect.Request[operatorpb.StatusRequest]) (*connect.Response[operatorpb.StatusResponse], error) {
 	m := &operatorpb.StatusResponse{Revision: s.Fleet.Revision()}
 	for _, v := range s.Fleet.Nodes(ctx) {
-		m.Nodes = append(m.Nodes, node(v))
+		m.Nodes = append(m.Nodes, encodeNode(v))
 	}
 	for _, a := range s.Fleet.Accounts(ctx) {
 		m.Accounts = append(m.Accounts, &operatorpb.AccountStatus{
@@ -309,7 +312,7 @@
 	return connect.NewResponse(m), nil
 }
 
-func node(v router.NodeView) *operatorpb.Node {
+func encodeNode(v router.NodeView) *operatorpb.Node {
 	n := &operatorpb.Node{Name: v.Host.Name, Role: string(v.Host.Role), Hall: v.Host.Hall}
 	st := v.Status
 	if st == nil {
@@ -326,7 +329,7 @@
 	return n
 }
 
-// Explain implements the call of that name.
+// Explain implements operatorpbconnect.OperatorHandler.
 func (s *Service) Explain(ctx context.Context, r *connect.Request[operatorpb.ExplainRequest]) (*connect.Response[operatorpb.ExplainResponse], error) {
 	if (r.Msg.Request == "") == (r.Msg.Account == "") {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New("name either a request or an account"))
