--- a/telemetry/gateway.go
+++ b/telemetry/gateway.go
@@ -9,7 +9,7 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// GatewayMetrics records a gateway's requests.
+// GatewayMetrics holds the request metrics of a gateway.
 type GatewayMetrics struct {
 	requests metric.Int64Counter
 	attempts metric.Int64Counter
@@ -17,25 +17,27 @@
 	whole    metric.Float64Histogram
 }
 
-// NewGatewayMetrics returns the instruments of a gateway.
+// NewGatewayMetrics creates the instruments of a gateway.
 func NewGatewayMetrics(m metric.Meter) (*GatewayMetrics, error) {
 	var c GatewayMetrics
-	var faults [4]error
-	c.requests, faults[0] = m.Int64Counter("opalbridge.gateway.requests", metric.WithDescription("requests that ended, by service, kind and result"))
-	c.attempts, faults[1] = m.Int64Counter("opalbridge.gateway.attempts", metric.WithDescription("sends to servers, by service; over opalbridge.gateway.requests"))
-	c.first, faults[2] = m.Float64Histogram("opalbridge.gateway.first", metric.WithUnit("s"), metric.WithDescription("time from arrival to the first byte passed on"))
-	c.whole, faults[3] = m.Float64Histogram("opalbridge.gateway.whole", metric.WithUnit("s"), metric.WithDescription("time from arrival to the end"))
-	return &c, errors.Wrap(errors.Join(faults[:]...), "telemetry: gateway")
+	var errs [4]error
+	c.requests, errs[0] = m.Int64Counter("opalbridge.gateway.requests", metric.WithDescription("requests that ended, by service, kind and result"))
+	c.attempts, errs[1] = m.Int64Counter("opalbridge.gateway.attempts", metric.WithDescription("sends to servers, by service; over opalbridge.gateway.requests"))
+	c.first, errs[2] = m.Float64Histogram("opalbridge.gateway.first", metric.WithUnit("s"), metric.WithDescription("time from arrival to the first byte passed on"))
+	c.whole, errs[3] = m.Float64Histogram("opalbridge.gateway.whole", metric.WithUnit("s"), metric.WithDescription("time from arrival to the end"))
+	return &c, errors.Wrap(errors.Join(errs[:]...), "telemetry: gateway")
 }
 
-// RecordRequest counts a request that has ended; first is 0 when no byte was passed on.
+// RecordRequest records a finished request. The times first and whole, to the first byte
+// and to the end of the response, count from the arrival of the request; first is 0 if
+// no byte was sent to the caller.
 func (c *GatewayMetrics) RecordRequest(service, kind, result string, attempts int, first, whole time.Duration) {
 	ctx := context.Background()
-	by := attribute.String("service", service)
-	c.requests.Add(ctx, 1, metric.WithAttributes(by, attribute.String("kind", kind), attribute.String("result", result)))
-	c.attempts.Add(ctx, int64(attempts), metric.WithAttributes(by))
+	byService := attribute.String("service", service)
+	c.requests.Add(ctx, 1, metric.WithAttributes(byService, attribute.String("kind", kind), attribute.String("result", result)))
+	c.attempts.Add(ctx, int64(attempts), metric.WithAttributes(byService))
 	if first > 0 {
-		c.first.Record(ctx, first.Seconds(), metric.WithAttributes(by))
+		c.first.Record(ctx, first.Seconds(), metric.WithAttributes(byService))
 	}
-	c.whole.Record(ctx, whole.Seconds(), metric.WithAttributes(by))
+	c.whole.Record(ctx, whole.Seconds(), metric.WithAttributes(byService))
 }
--- a/telemetry/lines.go
+++ b/telemetry/lines.go
@@ -9,95 +9,97 @@
 	"time"
 )
 
-// Sizes and times of a process's log.
+// Limits of a LogWriter.
 const (
-	// Lines that wait to be written; more are dropped and counted.
-	lineQueue = 2048
-	// Waiting lines are written together this often.
-	lineEvery = 100 * time.Millisecond
-	// Bytes written a second at most, so that a flood costs neither the host's
-	// processor nor its disk; what is beyond is dropped and counted.
-	mostLineBytes = 256 << 10
-	// Bytes handed to the system at once. A pipe takes so many whole or not at all
-	// (PIPE_BUF of POSIX on Linux); of longer writes, a reader got a part when its buffer
-	// was full or the process was killed: 500 of 27,000 lines were broken.
-	mostPiece = 4 << 10
+	// Capacity of the queue in lines. Further lines are dropped and counted.
+	queueSize = 2048
+	// Interval at which queued lines are written, in one batch.
+	flushInterval = 100 * time.Millisecond
+	// Maximum bytes written per second, so that a flood of lines uses up neither the
+	// host's processor nor its disk. Lines beyond it are dropped and counted.
+	maxBytesPerSecond = 256 << 10
+	// Maximum bytes per write, which is PIPE_BUF on Linux: writes to a pipe of up to
+	// this size are atomic. With longer writes, a reader got partial lines if its buffer
+	// was full or the process was killed: 500 of 27,000 lines were truncated.
+	maxWriteSize = 4 << 10
 )
 
-// LogWriter is a writer for log lines that never blocks: lines are queued and written by
-// Run. It is safe for use by several goroutines.
+// LogWriter is an io.Writer for log lines that never blocks: Write queues a line, and Run
+// writes the queued lines. It is safe for concurrent use.
 type LogWriter struct {
 	queue   chan []byte
 	dropped atomic.Int64
 	out     io.Writer
 }
 
-// NewLogWriter returns a writer of lines to out.
+// NewLogWriter returns a LogWriter that writes to out.
 func NewLogWriter(out io.Writer) *LogWriter {
-	return &LogWriter{queue: make(chan []byte, lineQueue), out: out}
+	return &LogWriter{queue: make(chan []byte, queueSize), out: out}
 }
 
-// Write queues one line. It never fails: what finds no room is counted.
+// Write queues one line. It never fails: if the queue is full, the line is dropped and
+// counted.
 func (l *LogWriter) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...) // the caller uses its buffer again
+	queued := append([]byte(nil), line...) // the caller reuses its buffer
 	select {
-	case l.queue <- kept:
+	case l.queue <- queued:
 	default:
 		l.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (l *LogWriter) Dropped() int64 { return l.dropped.Load() }
 
-// Run writes queued lines until ctx ends, then those that are left.
+// Run writes queued lines until ctx is done, then writes the remaining ones and returns.
 func (l *LogWriter) Run(ctx context.Context) {
-	tick := time.NewTicker(lineEvery)
+	tick := time.NewTicker(flushInterval)
 	defer tick.Stop()
-	budget := mostLineBytes
-	second := time.Now()
-	told := int64(0)
+	budget := maxBytesPerSecond
+	windowStart := time.Now()
+	reported := int64(0)
 	for {
-		ended := false
+		done := false
 		select {
 		case <-ctx.Done():
-			ended = true
+			done = true
 		case now := <-tick.C:
-			if now.Sub(second) >= time.Second {
-				budget, second = mostLineBytes, now
+			if now.Sub(windowStart) >= time.Second {
+				budget, windowStart = maxBytesPerSecond, now
 			}
 		}
 		batch := l.batch(&budget)
-		if d := l.dropped.Load(); d > told && budget > 0 {
-			told = d
+		if d := l.dropped.Load(); d > reported && budget > 0 {
+			reported = d
 			batch = fmt.Appendf(batch, `{"level":"warn","event":"log.dropped","lines":%d,"message":"lines since the start that were not written"}`+"\n", d)
 		}
 		l.write(batch)
-		if ended {
+		if done {
 			return
 		}
 	}
 }
 
-// write hands lines over in pieces that hold whole lines only. A line that is longer than
-// a piece goes alone.
+// write writes the lines of batch in chunks of at most maxWriteSize bytes that contain
+// whole lines only. A longer line is written by itself.
 func (l *LogWriter) write(batch []byte) {
 	for len(batch) > 0 {
-		piece := len(batch)
-		if piece > mostPiece {
-			piece = bytes.LastIndexByte(batch[:mostPiece], '\n') + 1
+		size := len(batch)
+		if size > maxWriteSize {
+			size = bytes.LastIndexByte(batch[:maxWriteSize], '\n') + 1
 		}
-		if piece == 0 {
-			piece = bytes.IndexByte(batch, '\n') + 1
+		if size == 0 {
+			size = bytes.IndexByte(batch, '\n') + 1
 		}
-		// Nobody can be told of a log that can't be written.
-		_, _ = l.out.Write(batch[:piece])
-		batch = batch[piece:]
+		// A failure to write the log can't be reported anywhere.
+		_, _ = l.out.Write(batch[:size])
+		batch = batch[size:]
 	}
 }
 
-// batch takes the queued lines, as far as the budget goes.
+// batch returns the queued lines that fit into the budget of bytes. It reduces the budget
+// by their size and drops and counts the others.
 func (l *LogWriter) batch(budget *int) []byte {
 	var batch []byte
 	for {
--- a/telemetry/lines_test.go
+++ b/telemetry/lines_test.go
@@ -16,27 +16,27 @@
 	"opalbridge.dev/telemetry"
 )
 
-// sink is a writer that can be stuck.
-type sink struct {
+// syncBuffer is a bytes.Buffer that is safe for concurrent use.
+type syncBuffer struct {
 	mutex sync.Mutex
 	bytes.Buffer
 }
 
-func (s *sink) Write(p []byte) (int, error) {
+func (s *syncBuffer) Write(p []byte) (int, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.Buffer.Write(p)
 }
 
-func (s *sink) text() string {
+func (s *syncBuffer) text() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.String()
 }
 
-func TestLinesAreWritten(t *testing.T) {
+func TestLogWriterWritesLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var out sink
+		var out syncBuffer
 		l := telemetry.NewLogWriter(&out)
 		ctx, cancel := context.WithCancel(t.Context())
 		go l.Run(ctx)
@@ -46,25 +46,25 @@
 		_, _ = io.WriteString(l, "two\n")
 		cancel()
 		synctest.Wait()
-		require.Equal(t, "one\ntwo\n", out.text(), "what waits at the end is written")
+		require.Equal(t, "one\ntwo\n", out.text(), "lines queued at the end are written")
 	})
 }
 
-// TestLinesAreBounded: a flood neither blocks nor is written whole, and what was
-// dropped is counted and told.
-func TestLinesAreBounded(t *testing.T) {
+// TestLogWriterLimitsRate checks that a flood of lines neither blocks the caller nor is
+// written in full, and that dropped lines are counted and reported.
+func TestLogWriterLimitsRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var out sink
+		var out syncBuffer
 		l := telemetry.NewLogWriter(&out)
 		ctx, cancel := context.WithCancel(t.Context())
 		line := strings.Repeat("x", 999) + "\n"
-		for range 5000 { // nobody reads yet
+		for range 5000 { // Run is not started yet
 			_, _ = io.WriteString(l, line)
 		}
 		go l.Run(ctx)
 		time.Sleep(500 * time.Millisecond)
 		written := len(out.text())
-		require.Less(t, written, 300<<10, "bytes of the first second")
+		require.Less(t, written, 300<<10, "bytes written in the first second")
 		time.Sleep(5 * time.Second)
 		require.Contains(t, out.text(), `"event":"log.dropped"`)
 		require.Positive(t, l.Dropped())
@@ -73,7 +73,7 @@
 	})
 }
 
-func BenchmarkLine(b *testing.B) {
+func BenchmarkLogWriter(b *testing.B) {
 	l := telemetry.NewLogWriter(io.Discard)
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
@@ -85,27 +85,28 @@
 	}
 }
 
-// pieces is a writer that keeps what it gets in one call apart.
-type pieces struct {
-	mutex sync.Mutex
-	list  []string
+// writeRecorder is a writer that records the data of each call separately.
+type writeRecorder struct {
+	mutex  sync.Mutex
+	writes []string
 }
 
-func (p *pieces) Write(b []byte) (int, error) {
+func (p *writeRecorder) Write(b []byte) (int, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.list = append(p.list, string(b))
+	p.writes = append(p.writes, string(b))
 	return len(b), nil
 }
 
-// TestLinesLeaveWhole: whoever reads up to any piece, since the process was killed or its
-// own buffer was full, has read whole lines.
-func TestLinesLeaveWhole(t *testing.T) {
-	const pipeBuffer = 4096 // what a pipe takes whole or not at all
+// TestLogWriterWritesWholeLines checks that every single write ends with a complete line,
+// so that a reader gets no partial line if the process is killed or the reader's buffer
+// is full after any of them.
+func TestLogWriterWritesWholeLines(t *testing.T) {
+	const pipeBuffer = 4096 // PIPE_BUF: larger writes to a pipe are not atomic
 	lengths := []int{1, 2, 300, 4095, 4096, 4097, 9000}
 	for _, length := range lengths {
 		synctest.Test(t, func(t *testing.T) {
-			var out pieces
+			var out writeRecorder
 			l := telemetry.NewLogWriter(&out)
 			ctx, cancel := context.WithCancel(t.Context())
 			want := 0
@@ -117,11 +118,11 @@
 			cancel()
 			l.Run(ctx)
 			got := 0
-			for _, p := range out.list {
+			for _, p := range out.writes {
 				got += len(p)
 				require.True(t, strings.HasSuffix(p, "\n"))
 				if len(p) > pipeBuffer {
-					require.Equal(t, 1, strings.Count(p, "\n"), "only a line that is longer goes alone")
+					require.Equal(t, 1, strings.Count(p, "\n"), "a longer line is written by itself")
 				}
 			}
 			require.Equal(t, want, got)
@@ -129,8 +130,9 @@
 	}
 }
 
-// TestLinesThroughAPipe: a reader that reads little at odd times gets whole lines.
-func TestLinesThroughAPipe(t *testing.T) {
+// TestLogWriterThroughPipe checks that a reader with a small buffer of odd size gets whole
+// lines from a pipe.
+func TestLogWriterThroughPipe(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	l := telemetry.NewLogWriter(writer)
--- a/telemetry/router.go
+++ b/telemetry/router.go
@@ -9,7 +9,7 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// RouterMetrics records a router's requests and retries.
+// RouterMetrics holds the request and retry metrics of a router.
 type RouterMetrics struct {
 	requests metric.Int64Counter
 	retries  metric.Int64Counter
@@ -17,42 +17,43 @@
 	total    metric.Float64Histogram
 }
 
-// NewRouterMetrics returns the instruments of a router.
+// NewRouterMetrics creates the instruments of a router.
 func NewRouterMetrics(m metric.Meter) (*RouterMetrics, error) {
 	var r RouterMetrics
-	var faults [4]error
-	r.requests, faults[0] = m.Int64Counter("opalbridge.requests", metric.WithDescription("requests that got their outcome, by account, pool, outcome and cause"))
-	r.retries, faults[1] = m.Int64Counter("opalbridge.retries", metric.WithDescription("attempts after the first; over opalbridge.requests"))
-	r.wait, faults[2] = m.Float64Histogram("opalbridge.wait", metric.WithUnit("s"), metric.WithDescription("time from arrival to the placement at an agent"))
-	r.total, faults[3] = m.Float64Histogram("opalbridge.total", metric.WithUnit("s"), metric.WithDescription("time from arrival to the outcome"))
-	if err := errors.Join(faults[:]...); err != nil {
+	var errs [4]error
+	r.requests, errs[0] = m.Int64Counter("opalbridge.requests", metric.WithDescription("requests that got their outcome, by account, pool, outcome and cause"))
+	r.retries, errs[1] = m.Int64Counter("opalbridge.retries", metric.WithDescription("attempts after the first; over opalbridge.requests"))
+	r.wait, errs[2] = m.Float64Histogram("opalbridge.wait", metric.WithUnit("s"), metric.WithDescription("time from arrival to the placement at an agent"))
+	r.total, errs[3] = m.Float64Histogram("opalbridge.total", metric.WithUnit("s"), metric.WithDescription("time from arrival to the outcome"))
+	if err := errors.Join(errs[:]...); err != nil {
 		return nil, errors.Wrap(err, "telemetry: requests")
 	}
 	return &r, nil
 }
 
-// Request counts one request's outcome.
+// Request records the outcome of a request, its time until placement and its total
+// time.
 func (r *RouterMetrics) Request(account, pool, outcome, cause string, urgent bool, wait, total time.Duration) {
-	set := metric.WithAttributes(attribute.String("account", account), attribute.String("pool", pool), attribute.String("outcome", outcome), attribute.String("cause", cause))
+	attributes := metric.WithAttributes(attribute.String("account", account), attribute.String("pool", pool), attribute.String("outcome", outcome), attribute.String("cause", cause))
 	ctx := context.Background()
-	r.requests.Add(ctx, 1, set)
-	pools := metric.WithAttributes(attribute.String("pool", pool), attribute.Bool("urgent", urgent))
-	r.wait.Record(ctx, wait.Seconds(), pools)
-	r.total.Record(ctx, total.Seconds(), pools)
+	r.requests.Add(ctx, 1, attributes)
+	poolAttributes := metric.WithAttributes(attribute.String("pool", pool), attribute.Bool("urgent", urgent))
+	r.wait.Record(ctx, wait.Seconds(), poolAttributes)
+	r.total.Record(ctx, total.Seconds(), poolAttributes)
 }
 
-// Retry counts one attempt after the first.
+// Retry counts an attempt after the first.
 func (r *RouterMetrics) Retry(reason string) {
 	r.retries.Add(context.Background(), 1, metric.WithAttributes(attribute.String("reason", reason)))
 }
 
-// Gauge is a value that is read when the metrics are.
+// Gauge is a metric whose value is read at collection time.
 type Gauge struct {
 	Name, Description, Unit string
 	Read                    func() float64
 }
 
-// RegisterGauges registers gauges.
+// RegisterGauges registers the gauges with the meter.
 func RegisterGauges(m metric.Meter, gauges []Gauge) error {
 	for _, g := range gauges {
 		_, err := m.Float64ObservableGauge(g.Name, metric.WithDescription(g.Description), metric.WithUnit(g.Unit),
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry sets up a process's metrics and traces by OpenTelemetry.
+// Package telemetry sets up the OpenTelemetry metrics and traces of a process.
 //
 // # Usage
 //
@@ -7,9 +7,9 @@
 //	mux.Handle("/metrics", t.Metrics())
 //	mux.Handle("/traces/{request}", t.Traces())
 //
-// Metrics are served for Prometheus. Spans go to an OTLP/HTTP endpoint when one is
-// configured; the latest are kept in memory too, so that a request's trace can be
-// looked at without one.
+// Metrics are served in the Prometheus format. Spans are exported to an OTLP/HTTP
+// endpoint if one is configured. The most recent spans are also kept in memory, so that
+// the trace of a request can be viewed without such an endpoint.
 package telemetry
 
 import (
@@ -32,15 +32,15 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Options set up a Telemetry.
+// Options configures a Telemetry.
 type Options struct {
 	Service  string
 	Node     string
 	OTLP     string // URL of an OTLP/HTTP endpoint for traces; empty: none
-	MaxSpans int    // latest spans kept in memory; 0: none
+	MaxSpans int    // most recent spans kept in memory; 0: none
 }
 
-// Telemetry holds a process's providers.
+// Telemetry holds the metric and trace providers of a process.
 type Telemetry struct {
 	registry *prometheus.Registry
 	meters   *sdkmetric.MeterProvider
@@ -48,7 +48,7 @@
 	spans    *spanRing
 }
 
-// New returns the providers; Shutdown ends them.
+// New creates the providers. The caller must call Shutdown when done.
 func New(ctx context.Context, o Options) (*Telemetry, error) {
 	r := resource.NewSchemaless(attribute.String("service.name", o.Service), attribute.String("service.instance.id", o.Node))
 	registry := prometheus.NewRegistry()
@@ -59,7 +59,7 @@
 	t := &Telemetry{
 		registry: registry,
 		meters:   sdkmetric.NewMeterProvider(sdkmetric.WithReader(exporter), sdkmetric.WithResource(r)),
-		spans:    &spanRing{most: o.MaxSpans},
+		spans:    &spanRing{capacity: o.MaxSpans},
 	}
 	options := []sdktrace.TracerProviderOption{sdktrace.WithResource(r)}
 	if o.MaxSpans > 0 {
@@ -79,33 +79,34 @@
 	return t, nil
 }
 
-// Shutdown sends what is left and ends the providers.
+// Shutdown flushes pending data and shuts down the providers.
 func (t *Telemetry) Shutdown(ctx context.Context) error {
 	return errors.Join(t.tracers.Shutdown(ctx), t.meters.Shutdown(ctx))
 }
 
-// Tracer returns the tracer of that name.
+// Tracer returns the tracer with the given name.
 func (t *Telemetry) Tracer(name string) trace.Tracer { return t.tracers.Tracer(name) }
 
-// Meter returns the meter of that name.
+// Meter returns the meter with the given name.
 func (t *Telemetry) Meter(name string) metric.Meter { return t.meters.Meter(name) }
 
-// Metrics serves the metrics for Prometheus.
+// Metrics returns a handler that serves the metrics in the Prometheus format.
 func (t *Telemetry) Metrics() http.Handler {
 	return promhttp.HandlerFor(t.registry, promhttp.HandlerOpts{})
 }
 
-// Traces serves the spans kept in memory that belong to a request.
+// Traces returns a handler that serves the spans in memory of the traces in which the
+// request occurs, as JSON. The request is the path value "request".
 func (t *Telemetry) Traces() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
-		_ = e.Encode(t.spans.request(r.PathValue("request")))
+		_ = e.Encode(t.spans.byRequest(r.PathValue("request")))
 	})
 }
 
-// Span is a finished span as Traces shows it.
+// Span is a finished span as served by Traces.
 type Span struct {
 	Trace    string        `json:"trace"`
 	Span     string        `json:"span"`
@@ -116,12 +117,12 @@
 	Request  string        `json:"request,omitempty"`
 }
 
-// spanRing keeps the latest finished spans.
+// spanRing is a ring buffer of the most recent finished spans.
 type spanRing struct {
-	most  int
-	mutex sync.Mutex
-	spans []Span
-	next  int
+	capacity int
+	mutex    sync.Mutex
+	spans    []Span
+	next     int
 }
 
 // ExportSpans implements sdktrace.SpanExporter.
@@ -129,21 +130,21 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, o := range spans {
-		k := Span{
+		span := Span{
 			Trace: o.SpanContext().TraceID().String(), Span: o.SpanContext().SpanID().String(),
 			Parent: o.Parent().SpanID().String(), Name: o.Name(), Start: o.StartTime(), Duration: o.EndTime().Sub(o.StartTime()),
 		}
 		for _, a := range o.Attributes() {
 			if a.Key == "request" {
-				k.Request = a.Value.AsString()
+				span.Request = a.Value.AsString()
 			}
 		}
-		if len(s.spans) < s.most {
-			s.spans = append(s.spans, k)
+		if len(s.spans) < s.capacity {
+			s.spans = append(s.spans, span)
 			continue
 		}
-		s.spans[s.next] = k
-		s.next = (s.next + 1) % s.most
+		s.spans[s.next] = span
+		s.next = (s.next + 1) % s.capacity
 	}
 	return nil
 }
@@ -151,20 +152,20 @@
 // Shutdown implements sdktrace.SpanExporter.
 func (s *spanRing) Shutdown(context.Context) error { return nil }
 
-// request returns the spans of the traces in which the request occurs.
-func (s *spanRing) request(id string) []Span {
+// byRequest returns the spans of all traces in which the request occurs.
+func (s *spanRing) byRequest(id string) []Span {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	traces := map[string]bool{}
-	for _, k := range s.spans {
-		if k.Request == id {
-			traces[k.Trace] = true
+	for _, span := range s.spans {
+		if span.Request == id {
+			traces[span.Trace] = true
 		}
 	}
 	found := []Span{}
-	for _, k := range s.spans {
-		if traces[k.Trace] {
-			found = append(found, k)
+	for _, span := range s.spans {
+		if traces[span.Trace] {
+			found = append(found, span)
 		}
 	}
 	return found
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -16,7 +16,7 @@
 	"opalbridge.dev/telemetry"
 )
 
-// TestTracesAreExported has an OTLP/HTTP endpoint take the spans.
+// TestTracesAreExported checks that spans are sent to the OTLP/HTTP endpoint.
 func TestTracesAreExported(t *testing.T) {
 	var posts atomic.Int64
 	endpoint := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -43,7 +43,7 @@
 	requests.Request("quito", "small", "not-run", "deadline", true, time.Second, time.Second)
 	requests.Retry("lost")
 	require.NoError(t, telemetry.RegisterGauges(o.Meter("m"), []telemetry.Gauge{{Name: "g", Read: func() float64 { return 7 }}}))
-	for range 3 { // more than are kept
+	for range 3 { // more than MaxSpans
 		_, span := o.Tracer("t").Start(ctx, "hop", trace.WithAttributes(attribute.String("request", "r")))
 		span.End()
 	}
@@ -61,10 +61,10 @@
 }
 
 func get(t *testing.T, url string) string {
-	answer, err := http.Get(url)
+	response, err := http.Get(url)
 	require.NoError(t, err)
-	defer answer.Body.Close()
-	b, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	b, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	return string(b)
 }
