--- a/cmd/opalbridge/run.go
+++ b/cmd/opalbridge/run.go
@@ -160,7 +160,7 @@
 	mux.Handle(path, calls)
 	mux.Handle("/", r.Handler())
 	err = telemetry.Observe(t.Meter("router"), []telemetry.Gauge{
-		{Name: "opalbridge.open", Description: "requests not yet answered", Read: func() float64 { return float64(r.Open()) }},
+		{Name: "opalbridge.open", Description: "requests not yet answered", Read: func() float64 { return float64(r.OpenRequests()) }},
 		{Name: "opalbridge.control", Unit: "By", Description: "control bytes sent and received since the start", Read: func() float64 { return float64(r.ControlBytes()) }},
 		{Name: "opalbridge.revision", Description: "configuration revision in force", Read: func() float64 { return float64(r.Revision()) }},
 	})
@@ -200,8 +200,8 @@
 	}
 	log.Info().Str("callers", callers.Addr().String()).Str("peers", peers.Addr().String()).Msg("router started")
 	<-ctx.Done()
-	log.Info().Int("open", parts.router.Open()).Msg("stopping: new requests are refused, open ones are answered")
-	waitStop(s.StopTimeout, parts.router.Drain(), func() { log.Info().Int("open", parts.router.Open()).Msg("waiting for open requests") })
+	log.Info().Int("open", parts.router.OpenRequests()).Msg("stopping: new requests are refused, open ones are answered")
+	waitStop(s.StopTimeout, parts.router.Drain(), func() { log.Info().Int("open", parts.router.OpenRequests()).Msg("waiting for open requests") })
 	_ = parts.http.Close()
 	end()
 	<-parts.done
--- a/fleettest/fleet.go
+++ b/fleettest/fleet.go
@@ -371,7 +371,7 @@
 		}
 	}
 	q := &router.Request{
-		ID: c.ID, Account: c.Account, AccountID: id, Pool: c.Pool, Urgent: c.Urgent, Repeatable: !c.NoRepeat, Key: c.Key,
+		ID: c.ID, Account: c.Account, AccountID: id, Pool: c.Pool, Urgent: c.Urgent, Repeatable: !c.NoRepeat, IdempotencyKey: c.Key,
 		Deadline: time.Now().Add(c.Deadline), Method: http.MethodPost, Path: "/v1/chat/completions",
 		Headers: []*wirepb.Header{{Name: TallyHeader, Value: c.Account}}, MaxWaiting: 1 << 20,
 	}
--- a/router/agents.go
+++ b/router/agents.go
@@ -28,7 +28,7 @@
 		defer t.Stop()
 		for {
 			changed := s.router.members.changed()
-			s.choose(ctx, connections)
+			s.updateLinks(ctx, connections)
 			select {
 			case <-t.C: // summing may have begun or ended
 			case <-changed:
@@ -42,23 +42,23 @@
 }
 
 // choose keeps the links that are wanted, ends the others and starts new ones.
-func (s *agents) choose(ctx context.Context, connections *duty.Group) {
-	wanted := map[string]kv.Host{}
-	for _, h := range s.router.members.wantedAgents() {
-		wanted[h.Name] = h
+func (s *agents) updateLinks(ctx context.Context, connections *duty.Group) {
+	desired := map[string]kv.Host{}
+	for _, h := range s.router.members.desiredAgents() {
+		desired[h.Name] = h
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for name, l := range s.links {
-		h, keep := wanted[name]
+		h, keep := desired[name]
 		l.setListed(keep)
-		s.tellLeaving(l, h.Leaving)
-		if l.given() || (keep && h.Address != l.host.Address) {
+		s.sendLeaving(l, h.Leaving)
+		if l.shouldDrop() || (keep && h.Address != l.host.Address) {
 			l.cancel()
 			delete(s.links, name)
 		}
 	}
-	for name, h := range wanted {
+	for name, h := range desired {
 		if s.links[name] != nil {
 			continue
 		}
@@ -66,47 +66,47 @@
 		l := newLink(h, cancel)
 		s.links[name] = l
 		connections.Go(alive, "agent "+name, func(ctx context.Context) {
-			s.router.keep(ctx, l, s.use)
+			s.router.maintain(ctx, l, s.serve)
 		})
 	}
 }
 
 // tellLeaving passes on to an agent what the live list says of its host.
-func (s *agents) tellLeaving(l *link, leaving bool) {
-	if p := l.news(leaving); p != nil {
-		p.Send(s.router.message(&wirepb.Control_Leaving{Leaving: &wirepb.Leaving{On: leaving}}))
+func (s *agents) sendLeaving(l *link, leaving bool) {
+	if p := l.markLeavingSent(leaving); p != nil {
+		p.Send(s.router.controlMessage(&wirepb.Control_Leaving{Leaving: &wirepb.Leaving{On: leaving}}))
 	}
 }
 
-func (s *agents) use(_ context.Context, p *wire.Peer) {
+func (s *agents) serve(_ context.Context, p *wire.Peer) {
 	r := s.router
-	r.dispatcher.tell(upEvent{peer: p})
+	r.dispatcher.send(agentConnectedEvent{peer: p})
 	r.sendDocumentIfNewer(p, p.Hello.Revision)
 	for m := range p.Control() {
-		s.take(p, m)
+		s.handle(p, m)
 	}
-	r.dispatcher.tell(downEvent{peer: p})
-	r.summing.lost(p)
+	r.dispatcher.send(agentDisconnectedEvent{peer: p})
+	r.aggregator.agentLost(p)
 }
 
 var errUnexpected = errors.New("router: message that an agent does not send")
 
-func (s *agents) take(p *wire.Peer, m *wirepb.Control) {
+func (s *agents) handle(p *wire.Peer, m *wirepb.Control) {
 	r := s.router
-	r.noteRevision(p, m)
+	r.requestNewerDocument(p, m)
 	switch b := m.Body.(type) {
 	case *wirepb.Control_Grant:
-		r.dispatcher.tell(grantEvent{peer: p, grant: b.Grant})
+		r.dispatcher.send(grantEvent{peer: p, grant: b.Grant})
 	case *wirepb.Control_Load:
-		r.dispatcher.tell(loadEvent{peer: p, load: b.Load})
+		r.dispatcher.send(loadEvent{peer: p, load: b.Load})
 	case *wirepb.Control_Report:
-		r.summing.tell(reportEvent{peer: p, report: b.Report})
+		r.aggregator.send(reportEvent{peer: p, report: b.Report})
 	case *wirepb.Control_Document:
-		r.offerContent(p, b.Document.Content)
+		r.applyEncodedDocument(p, b.Document.Content)
 	case *wirepb.Control_DocumentRequest:
 		r.sendDocument(p)
 	case *wirepb.Control_Ping:
-		p.Send(r.message(&wirepb.Control_Pong{Pong: &wirepb.Pong{Sent: b.Ping.Sent}}))
+		p.Send(r.controlMessage(&wirepb.Control_Pong{Pong: &wirepb.Pong{Sent: b.Ping.Sent}}))
 	case *wirepb.Control_Pong:
 	default:
 		p.Close(errUnexpected)
@@ -131,7 +131,7 @@
 
 // find returns the connection to an agent, waiting for it until ctx ends. It
 // returns nil when there is none.
-func (s *agents) find(ctx context.Context, name string, not *wire.Peer) *wire.Peer {
+func (s *agents) waitForPeer(ctx context.Context, name string, not *wire.Peer) *wire.Peer {
 	for {
 		s.mutex.Lock()
 		l := s.links[name]
@@ -146,7 +146,7 @@
 		if p != nil {
 			select { // the broken connection is about to be taken off
 			case <-p.Closed():
-				if !sleep(ctx, firstRedial) {
+				if !sleep(ctx, minRedialInterval) {
 					return nil
 				}
 				continue
@@ -170,11 +170,11 @@
 }
 
 // offerContent offers a document that a peer has sent.
-func (r *Router) offerContent(p *wire.Peer, content []byte) {
+func (r *Router) applyEncodedDocument(p *wire.Peer, content []byte) {
 	d, err := config.Decode(content)
 	if err != nil {
 		p.Close(err)
 		return
 	}
-	r.offer(d, "peer "+p.Hello.Node)
+	r.applyDocument(d, "peer "+p.Hello.Node)
 }
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -18,21 +18,21 @@
 )
 
 // try makes one attempt at the agent of the placement.
-func (f *flight) try(ctx context.Context, p placement) attempt.Next {
+func (f *flight) runAttempt(ctx context.Context, p placement) attempt.Next {
 	ctx, span := f.router.options.Tracer.Start(ctx, "router.dispatch", trace.WithAttributes(attribute.String("agent", p.peer.Hello.Node)))
 	defer span.End()
-	f.lastBusy = false
+	f.lastAgentBusy = false
 	f.life.Fire(attempt.Send)
 	f.router.record(explain.Event{Kind: explain.Choose, Request: f.request.ID, Account: f.request.Account, Attempt: f.life.Attempts(),
-		Text: fmt.Sprintf("%s, after waiting %s", p.why, f.ticket.waited.Round(time.Millisecond))})
+		Text: fmt.Sprintf("%s, after waiting %s", p.reason, f.ticket.waitTime.Round(time.Millisecond))})
 	s, err := p.peer.Open()
 	if err != nil {
 		return f.life.Fire(attempt.Decline) // nothing was sent
 	}
-	err = s.Write(&wirepb.Call{Body: &wirepb.Call_Start{Start: f.start(ctx, p)}})
+	err = s.Write(&wirepb.Call{Body: &wirepb.Call_Start{Start: f.startMessage(ctx, p)}})
 	var next attempt.Next
 	if err == nil {
-		next = f.read(ctx, p, s)
+		next = f.readAnswer(ctx, p, s)
 	} else {
 		next = f.life.Fire(attempt.Lose)
 	}
@@ -45,14 +45,14 @@
 			next = f.resume(ctx, p)
 		default:
 			if _, again := next.(attempt.Again); !again {
-				f.router.dispatcher.tell(endEvent{ticket: f.ticket, agent: p.peer.Hello.Node, cost: f.cost})
+				f.router.dispatcher.send(endEvent{ticket: f.ticket, agent: p.peer.Hello.Node, cost: f.cost})
 			}
 			return next
 		}
 	}
 }
 
-func (f *flight) start(ctx context.Context, p placement) *wirepb.Start {
+func (f *flight) startMessage(ctx context.Context, p placement) *wirepb.Start {
 	q := f.request
 	carrier := propagation.MapCarrier{}
 	propagation.TraceContext{}.Inject(ctx, carrier)
@@ -66,9 +66,9 @@
 		Pool:           q.Pool,
 		Urgent:         q.Urgent,
 		Repeatable:     q.Repeatable,
-		IdempotencyKey: q.Key,
+		IdempotencyKey: q.IdempotencyKey,
 		BudgetMs:       time.Until(q.Deadline.Add(-deadlineReserve)).Milliseconds(),
-		Estimate:       uint64(f.ticket.estimate),
+		Estimate:       uint64(f.ticket.expectedCost),
 		Method:         q.Method,
 		Path:           q.Path,
 		Headers:        q.Headers,
@@ -80,59 +80,59 @@
 
 // read takes the answer from a stream. When the caller leaves or the deadline
 // passes it tells the agent to stop.
-func (f *flight) read(ctx context.Context, p placement, s *wire.Stream) attempt.Next {
+func (f *flight) readAnswer(ctx context.Context, p placement, s *wire.Stream) attempt.Next {
 	release := context.AfterFunc(ctx, func() {
 		_ = s.Write(&wirepb.Call{Body: &wirepb.Call_Cancel{Cancel: &wirepb.Cancel{Reason: context.Cause(ctx).Error()}}})
-		s.Expire(cancelTime)
+		s.Expire(cancelTimeout)
 	})
 	defer release()
 	var head *wirepb.Head
 	for {
 		var m wirepb.Piece
 		if err := s.Read(&m); err != nil {
-			return f.lost(ctx, p, err)
+			return f.handleLost(ctx, p, err)
 		}
 		switch b := m.Body.(type) {
 		case *wirepb.Piece_NotRun:
-			return f.declined(b.NotRun)
+			return f.handleNotRun(b.NotRun)
 		case *wirepb.Piece_Admitted:
 			f.life.Fire(attempt.Admit)
 		case *wirepb.Piece_Head:
 			head = b.Head
-			if f.mayTryElsewhere(head) {
+			if f.canRetryElsewhere(head) {
 				_ = s.Write(&wirepb.Call{Body: &wirepb.Call_Cancel{Cancel: &wirepb.Cancel{Reason: "tried elsewhere"}}})
 				return f.life.Fire(attempt.Vanish)
 			}
 		case *wirepb.Piece_Chunk:
-			if next, stop := f.chunk(ctx, p, s, head, b.Chunk); stop {
+			if next, stop := f.handleChunk(ctx, p, s, head, b.Chunk); stop {
 				return next
 			}
 		case *wirepb.Piece_End:
-			return f.end(head, b.End)
+			return f.handleEnd(head, b.End)
 		case *wirepb.Piece_Unknown:
-			return f.unknown(b.Unknown)
+			return f.handleUnknown(b.Unknown)
 		default:
 			p.peer.Close(errUnexpected)
-			return f.lost(ctx, p, errUnexpected)
+			return f.handleLost(ctx, p, errUnexpected)
 		}
 	}
 }
 
 // mayTryElsewhere reports whether an answer is a server's own failure that another
 // server may not share, to a request that may run again.
-func (f *flight) mayTryElsewhere(head *wirepb.Head) bool {
-	return head.Status >= http.StatusInternalServerError && f.request.Repeatable && f.next == 0 &&
-		f.retries < mostRetries && f.life.State() == attempt.Admitted
+func (f *flight) canRetryElsewhere(head *wirepb.Head) bool {
+	return head.Status >= http.StatusInternalServerError && f.request.Repeatable && f.nextChunk == 0 &&
+		f.retries < maxRetries && f.life.State() == attempt.Admitted
 }
 
 // chunk passes one piece of the answer on, if it is the next one.
-func (f *flight) chunk(ctx context.Context, p placement, s *wire.Stream, head *wirepb.Head, c *wirepb.Chunk) (attempt.Next, bool) {
-	if c.Number != f.next || f.life.State() == attempt.Sent {
+func (f *flight) handleChunk(ctx context.Context, p placement, s *wire.Stream, head *wirepb.Head, c *wirepb.Chunk) (attempt.Next, bool) {
+	if c.Number != f.nextChunk || f.life.State() == attempt.Sent {
 		p.peer.Close(errUnexpected)
-		return f.lost(ctx, p, errUnexpected), true
+		return f.handleLost(ctx, p, errUnexpected), true
 	}
-	f.pass(head)
-	f.next++
+	f.writeHead(head)
+	f.nextChunk++
 	f.life.Fire(attempt.Answer)
 	if err := f.sink.Write(c.Content); err != nil {
 		_ = s.Write(&wirepb.Call{Body: &wirepb.Call_Cancel{Cancel: &wirepb.Cancel{Reason: err.Error()}}})
@@ -142,36 +142,36 @@
 }
 
 // pass hands the answer's head to the caller, once.
-func (f *flight) pass(head *wirepb.Head) {
-	if f.headed || head == nil {
+func (f *flight) writeHead(head *wirepb.Head) {
+	if f.headWritten || head == nil {
 		return
 	}
-	f.headed = true
+	f.headWritten = true
 	f.sink.Head(int(head.Status), head.Headers)
 }
 
-func (f *flight) end(head *wirepb.Head, e *wirepb.End) attempt.Next {
+func (f *flight) handleEnd(head *wirepb.Head, e *wirepb.End) attempt.Next {
 	f.cost = e.Cost
-	if !e.Complete || e.Chunks != f.next || (head == nil && !f.headed) {
-		return f.because(f.life.Fire(attempt.Cut), e.Reason)
+	if !e.Complete || e.Chunks != f.nextChunk || (head == nil && !f.headWritten) {
+		return f.withReason(f.life.Fire(attempt.Cut), e.Reason)
 	}
-	f.pass(head)
+	f.writeHead(head)
 	return f.life.Fire(attempt.Finish)
 }
 
 // because gives the outcome of a cut answer its reason.
-func (f *flight) because(n attempt.Next, reason string) attempt.Next {
+func (f *flight) withReason(n attempt.Next, reason string) attempt.Next {
 	stop, stopped := n.(attempt.Stop)
 	if ran, cut := stop.Outcome.(attempt.Ran); stopped && cut && reason != "" {
 		ran.Reason = reason
-		ran.Cause = causeOf(reason)
+		ran.Cause = causeForReason(reason)
 		stop.Outcome = ran
 	}
 	return stop
 }
 
 // causeOf tells the agent's own reasons for a cut apart.
-func causeOf(reason string) attempt.Cause {
+func causeForReason(reason string) attempt.Cause {
 	switch reason {
 	case wire.ReasonDeadline:
 		return attempt.Deadline
@@ -182,8 +182,8 @@
 	}
 }
 
-func (f *flight) declined(n *wirepb.NotRun) attempt.Next {
-	f.lastBusy = n.Busy
+func (f *flight) handleNotRun(n *wirepb.NotRun) attempt.Next {
+	f.lastAgentBusy = n.Busy
 	if !n.Busy {
 		f.refused = refusal{cause: attempt.Refused, reason: n.Reason, retryAfter: time.Duration(n.RetryAfterMs) * time.Millisecond}
 	}
@@ -191,7 +191,7 @@
 }
 
 // unknown ends an attempt of which the agent itself cannot tell.
-func (f *flight) unknown(u *wirepb.Unknown) attempt.Next {
+func (f *flight) handleUnknown(u *wirepb.Unknown) attempt.Next {
 	if f.life.State() == attempt.Sent {
 		f.life.Fire(attempt.Lose)
 	}
@@ -207,19 +207,19 @@
 
 // lost follows a broken stream. When the caller is gone anyway nobody asks
 // further.
-func (f *flight) lost(ctx context.Context, p placement, err error) attempt.Next {
+func (f *flight) handleLost(ctx context.Context, p placement, err error) attempt.Next {
 	f.router.record(explain.Event{Kind: explain.Lose, Request: f.request.ID, Account: f.request.Account, Attempt: f.life.Attempts(),
 		Text: fmt.Sprintf("lost sight of the attempt at %s: %v", p.peer.Hello.Node, err)})
 	next := f.life.Fire(attempt.Lose)
 	if ctx.Err() == nil {
 		return next
 	}
-	return f.abandoned(ctx)
+	return f.abandon(ctx)
 }
 
 // abandoned ends a request whose caller has left, or whose time is up, while an
 // attempt may run.
-func (f *flight) abandoned(ctx context.Context) attempt.Next {
+func (f *flight) abandon(ctx context.Context) attempt.Next {
 	cause, reason := attempt.CallerLeft, "the caller left"
 	if errors.Is(context.Cause(ctx), errDeadline) {
 		cause, reason = attempt.Deadline, "the deadline passed while it ran"
--- a/router/baseline.go
+++ b/router/baseline.go
@@ -15,37 +15,37 @@
 }
 
 // baselineDispatch binds waiting requests as long as an agent seems to have room.
-func (d *dispatcher) baselineDispatch() {
+func (d *dispatcher) dispatchBaseline() {
 	if d.router.options.Queueing == LateBinding {
 		return
 	}
 	if d.baseline.served == nil {
 		d.baseline.served = map[fair.Account]float64{}
 	}
-	for d.baselineOne() {
+	for d.dispatchBaselineOne() {
 	}
 }
 
-func (d *dispatcher) baselineOne() bool {
+func (d *dispatcher) dispatchBaselineOne() bool {
 	keys := d.queue.Keys()
-	slices.SortFunc(keys, d.baselineOrder)
+	slices.SortFunc(keys, d.compareBaseline)
 	for _, k := range keys {
 		request := d.queue.Peek(k)
 		t := d.tickets[request]
-		v, why := d.free(t)
+		v, why := d.pickAgent(t)
 		if v == nil {
 			continue
 		}
 		d.queue.Remove(request)
 		delete(d.tickets, request)
-		d.baseline.served[k.Account] += d.estimate(k, request.Estimate) / d.share(k.Account)
+		d.baseline.served[k.Account] += d.expectedCost(k, request.Estimate) / d.accountShare(k.Account)
 		d.bind(t, v, 0, why)
 		return true
 	}
 	return false
 }
 
-func (d *dispatcher) baselineOrder(a, b dispatch.Key) int {
+func (d *dispatcher) compareBaseline(a, b dispatch.Key) int {
 	if d.router.options.Queueing == RouterFair {
 		if c := cmp.Compare(d.baseline.served[a.Account], d.baseline.served[b.Account]); c != 0 {
 			return c
@@ -57,7 +57,7 @@
 	return cmp.Compare(a.Account, b.Account)
 }
 
-func (d *dispatcher) share(a fair.Account) float64 {
+func (d *dispatcher) accountShare(a fair.Account) float64 {
 	for _, c := range d.router.holder.Current().Accounts {
 		if c.ID == uint32(a) {
 			return float64(c.Share)
--- a/router/configuration.go
+++ b/router/configuration.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	firstPause   = 200 * time.Millisecond
-	longestPause = 10 * time.Second
+	minBackoff   = 200 * time.Millisecond
+	maxBackoff   = 10 * time.Second
 	watchTimeout = time.Minute
 	// idleCheck is how often a router that holds no watch looks whether it should.
-	idleCheck = 2 * time.Second
+	dutyCheckInterval = 2 * time.Second
 )
 
 // watchConfiguration is the duty that learns revisions from the platform's
@@ -28,32 +28,32 @@
 // every router reads it once at its start.
 func (r *Router) watchConfiguration(ctx context.Context) {
 	var version uint64
-	pause := firstPause
+	backoff := minBackoff
 	for first := true; ; first = false {
-		if !first && !r.members.holds("configuration") {
-			if !sleep(ctx, idleCheck) {
+		if !first && !r.members.holdsDuty("configuration") {
+			if !sleep(ctx, dutyCheckInterval) {
 				return
 			}
 			continue
 		}
-		d, now, err := r.readConfiguration(ctx, first, version)
+		d, current, err := r.readConfiguration(ctx, first, version)
 		if err == nil {
-			err = r.restore(ctx, d, now)
+			err = r.restore(ctx, d, current)
 		}
 		if err != nil {
-			r.outage(err)
+			r.recordOutage(err)
 			// The pause is spread so that the routers do not come back together.
-			if !sleep(ctx, pause/2+rand.N(pause)) {
+			if !sleep(ctx, backoff/2+rand.N(backoff)) {
 				return
 			}
-			pause = min(2*pause, longestPause)
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		r.recovered()
-		pause = firstPause
-		version = now
-		r.offer(d, "the platform's service")
-		r.confirm(0, d.Revision)
+		r.recordRecovery()
+		backoff = minBackoff
+		version = current
+		r.applyDocument(d, "the platform's service")
+		r.recordConfirmation(0, d.Revision)
 	}
 }
 
@@ -74,8 +74,8 @@
 func (r *Router) restore(ctx context.Context, d *config.Document, version uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
-	earlier, err := r.store.Restore(ctx, d, version)
-	if earlier {
+	stale, err := r.store.Restore(ctx, d, version)
+	if stale {
 		r.record(explain.Event{Kind: explain.Repair, Text: fmt.Sprintf("the platform's service has come back with revision %d", d.Revision)})
 		r.options.Log.Warn().Uint64("revision", r.holder.Revision()).Uint64("service", d.Revision).Err(err).Msg("platform's service is older than what is in force: written again")
 	}
@@ -83,25 +83,25 @@
 }
 
 // offer puts a document in force if it is newer, and tells the neighbours.
-func (r *Router) offer(d *config.Document, from string) bool {
+func (r *Router) applyDocument(d *config.Document, from string) bool {
 	if !r.holder.Offer(d) {
 		return false
 	}
 	r.record(explain.Event{Kind: explain.Repair, Text: fmt.Sprintf("revision %d in force, from %s", d.Revision, from)})
 	r.options.Log.Info().Uint64("revision", d.Revision).Str("from", from).Msg("configuration in force")
-	r.dispatcher.tell(configEvent{})
-	r.agents.broadcast(r.message(&wirepb.Control_Ping{Ping: &wirepb.Ping{Sent: time.Now().UnixNano()}}))
+	r.dispatcher.send(configEvent{})
+	r.agents.broadcast(r.controlMessage(&wirepb.Control_Ping{Ping: &wirepb.Ping{Sent: time.Now().UnixNano()}}))
 	return true
 }
 
 // noteRevision asks a peer with a newer revision for it, and gives ours to one
 // with an older.
-func (r *Router) noteRevision(p *wire.Peer, m *wirepb.Control) {
+func (r *Router) requestNewerDocument(p *wire.Peer, m *wirepb.Control) {
 	if m.GetDocument() != nil || m.GetDocumentRequest() != nil {
 		return
 	}
 	if m.Revision > r.holder.Revision() {
-		p.Send(r.message(&wirepb.Control_DocumentRequest{DocumentRequest: &wirepb.DocumentRequest{}}))
+		p.Send(r.controlMessage(&wirepb.Control_DocumentRequest{DocumentRequest: &wirepb.DocumentRequest{}}))
 	}
 }
 
@@ -121,75 +121,75 @@
 		r.options.Log.Error().Err(err).Msg("configuration not sent")
 		return
 	}
-	p.Send(r.message(&wirepb.Control_Document{Document: &wirepb.Document{Content: content}}))
+	p.Send(r.controlMessage(&wirepb.Control_Document{Document: &wirepb.Document{Content: content}}))
 }
 
 // freshness remembers when the service last confirmed the revision in force,
 // here or at a router that told so.
 type freshness struct {
-	mutex     sync.Mutex
-	confirmed time.Time
-	outage    time.Time // since when the service cannot be read; zero: it can
+	mutex       sync.Mutex
+	confirmedAt time.Time
+	outageSince time.Time // since when the service cannot be read; zero: it can
 }
 
-func (r *Router) confirm(age time.Duration, revision uint64) {
+func (r *Router) recordConfirmation(age time.Duration, revision uint64) {
 	if revision < r.holder.Revision() || age < 0 {
 		return
 	}
-	r.fresh.mutex.Lock()
-	defer r.fresh.mutex.Unlock()
-	if at := time.Now().Add(-age); at.After(r.fresh.confirmed) {
-		r.fresh.confirmed = at
+	r.freshness.mutex.Lock()
+	defer r.freshness.mutex.Unlock()
+	if at := time.Now().Add(-age); at.After(r.freshness.confirmedAt) {
+		r.freshness.confirmedAt = at
 	}
 }
 
 // neverConfirmed is the age told when the service was never reached.
-const neverConfirmed = 100 * 24 * time.Hour
+const unconfirmedAge = 100 * 24 * time.Hour
 
-func (r *Router) confirmedAge() time.Duration {
-	r.fresh.mutex.Lock()
-	defer r.fresh.mutex.Unlock()
-	if r.fresh.confirmed.IsZero() {
-		return neverConfirmed
+func (r *Router) confirmationAge() time.Duration {
+	r.freshness.mutex.Lock()
+	defer r.freshness.mutex.Unlock()
+	if r.freshness.confirmedAt.IsZero() {
+		return unconfirmedAge
 	}
-	return time.Since(r.fresh.confirmed)
+	return time.Since(r.freshness.confirmedAt)
 }
 
-func (r *Router) outage(err error) {
-	r.fresh.mutex.Lock()
-	defer r.fresh.mutex.Unlock()
-	if r.fresh.outage.IsZero() {
-		r.fresh.outage = time.Now()
+func (r *Router) recordOutage(err error) {
+	r.freshness.mutex.Lock()
+	defer r.freshness.mutex.Unlock()
+	if r.freshness.outageSince.IsZero() {
+		r.freshness.outageSince = time.Now()
 		r.record(explain.Event{Kind: explain.Degrade, Text: "the platform's service cannot be read: " + err.Error()})
 		r.options.Log.Warn().Err(err).Msg("platform's service not read")
 	}
 }
 
-func (r *Router) recovered() {
-	r.fresh.mutex.Lock()
-	defer r.fresh.mutex.Unlock()
-	if r.fresh.outage.IsZero() {
+func (r *Router) recordRecovery() {
+	r.freshness.mutex.Lock()
+	defer r.freshness.mutex.Unlock()
+	if r.freshness.outageSince.IsZero() {
 		return
 	}
 	r.record(explain.Event{Kind: explain.Repair,
-		Text: fmt.Sprintf("the platform's service can be read again, after %s", time.Since(r.fresh.outage).Round(time.Second))})
-	r.fresh.outage = time.Time{}
+		Text: fmt.Sprintf("the platform's service can be read again, after %s", time.Since(r.freshness.outageSince).Round(time.Second))})
+	r.freshness.outageSince = time.Time{}
 }
 
 // counted adds up the bytes that routers exchange over streams, which are control
 // traffic too.
-type counted struct {
+type byteCounter struct {
 	mutex sync.Mutex
 	bytes uint64
 }
 
-func (c *counted) add(m proto.Message) {
+func (c *byteCounter) add(m proto.Message) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.bytes += uint64(proto.Size(m))
 }
 
-func (c *counted) total() uint64 {
+func (c *byteCounter) total() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.bytes
--- a/router/dispatcher.go
+++ b/router/dispatcher.go
@@ -17,49 +17,49 @@
 // dispatcher is the duty that owns the queue of waiting requests and the view of
 // the agents. Only its goroutine touches them.
 type dispatcher struct {
-	router   *Router
-	events   chan event // full: senders wait; the dispatcher never waits for them
-	stopped  chan struct{}
-	queue    dispatch.Queue
-	tickets  map[*dispatch.Request]*ticket
-	agents   map[string]*agentView
-	dirty    map[dispatch.Key]bool
-	drain    map[fair.Account]*drainRate
-	costs    map[dispatch.Key]float64
-	baseline baseline
+	router     *Router
+	events     chan event // full: senders wait; the dispatcher never waits for them
+	stopped    chan struct{}
+	queue      dispatch.Queue
+	tickets    map[*dispatch.Request]*ticket
+	agents     map[string]*agentState
+	dirty      map[dispatch.Key]bool
+	drainRates map[fair.Account]*drainRate
+	costs      map[dispatch.Key]float64
+	baseline   baseline
 }
 
 // agentView is what the router believes of one agent.
-type agentView struct {
-	peer     *wire.Peer
-	pools    []string
-	limit    int
-	running  int
-	waiting  int
-	leaving  bool
-	sick     bool
-	told     map[dispatch.Key]int
-	prefixes []uint64 // prompt beginnings it has served, latest last
+type agentState struct {
+	peer      *wire.Peer
+	pools     []string
+	limit     int
+	running   int
+	waiting   int
+	leaving   bool
+	unhealthy bool
+	sentWants map[dispatch.Key]int
+	prefixes  []uint64 // prompt beginnings it has served, latest last
 }
 
 // prefixesKept is how many prompt beginnings are remembered of each agent.
-const prefixesKept = 64
+const maxPrefixes = 64
 
 func newDispatcher(r *Router) *dispatcher {
 	return &dispatcher{
-		router:  r,
-		events:  make(chan event, eventQueue),
-		stopped: make(chan struct{}),
-		tickets: map[*dispatch.Request]*ticket{},
-		agents:  map[string]*agentView{},
-		dirty:   map[dispatch.Key]bool{},
-		drain:   map[fair.Account]*drainRate{},
-		costs:   map[dispatch.Key]float64{},
+		router:     r,
+		events:     make(chan event, eventQueueSize),
+		stopped:    make(chan struct{}),
+		tickets:    map[*dispatch.Request]*ticket{},
+		agents:     map[string]*agentState{},
+		dirty:      map[dispatch.Key]bool{},
+		drainRates: map[fair.Account]*drainRate{},
+		costs:      map[dispatch.Key]float64{},
 	}
 }
 
 // tell passes an event to the dispatcher; it reports false when that has ended.
-func (d *dispatcher) tell(e event) bool {
+func (d *dispatcher) send(e event) bool {
 	select {
 	case d.events <- e:
 		return true
@@ -77,81 +77,81 @@
 		case <-ctx.Done():
 			return
 		}
-		d.baselineDispatch()
+		d.dispatchBaseline()
 		if len(d.events) == 0 {
-			d.flush()
+			d.sendWants()
 		}
 	}
 }
 
 func (d *dispatcher) handle(e event) {
 	switch e := e.(type) {
-	case offerEvent:
-		d.offer(e.ticket)
-	case againEvent:
-		d.again(e)
-	case leaveEvent:
-		e.reply <- d.leave(e.ticket)
+	case submitEvent:
+		d.submit(e.ticket)
+	case requeueEvent:
+		d.requeue(e)
+	case cancelEvent:
+		e.reply <- d.cancel(e.ticket)
 	case endEvent:
-		d.end(e)
+		d.recordEnd(e)
 	case declineEvent:
 		d.decline(e.placement)
-	case upEvent:
-		d.up(e.peer)
-	case downEvent:
+	case agentConnectedEvent:
+		d.agentConnected(e.peer)
+	case agentDisconnectedEvent:
 		if v := d.agents[e.peer.Hello.Node]; v != nil && v.peer == e.peer {
 			delete(d.agents, e.peer.Hello.Node)
 		}
 	case grantEvent:
-		d.granted(e)
+		d.handleGrant(e)
 	case loadEvent:
-		d.load(e)
+		d.handleLoad(e)
 	case configEvent:
 		d.configure(d.router.holder.Current())
-	case viewEvent:
-		e.reply <- d.view()
+	case snapshotEvent:
+		e.reply <- d.snapshot()
 	}
 }
 
 // offer places a request at once where there is room, or lets it wait.
-func (d *dispatcher) offer(t *ticket) {
+func (d *dispatcher) submit(t *ticket) {
 	k := t.request.Key
 	if d.router.options.Queueing == LateBinding && d.queue.Count(k) == 0 {
-		if v, why := d.free(t); v != nil {
+		if v, why := d.pickAgent(t); v != nil {
 			d.bind(t, v, 0, why)
 			return
 		}
 	}
-	rate := d.rate(k.Account)
-	if wait := rate.expect(d.queue.Waiting(k.Account)); d.tooLate(t, wait) {
-		t.answer <- refusal{cause: attempt.Deadline, reason: "the deadline would pass while it waits", retryAfter: wait}
+	rate := d.drainRate(k.Account)
+	if wait := rate.estimateWait(d.queue.Waiting(k.Account)); d.missesDeadline(t, wait) {
+		t.result <- refusal{cause: attempt.Deadline, reason: "the deadline would pass while it waits", retryAfter: wait}
 		return
 	}
-	switch o := d.queue.Offer(t.request, t.most, rate.expect(1)).(type) {
+	switch o := d.queue.Offer(t.request, t.maxWaiting, rate.estimateWait(1)).(type) {
 	case dispatch.Waiting:
 		d.tickets[t.request] = t
 		d.dirty[k] = true
 		d.router.record(explain.Event{Kind: explain.Wait, Request: t.request.ID, Account: t.account,
-			Text: fmt.Sprintf("no room at %d agents of pool %s; %d requests of the account ahead of it here", d.serving(k.Pool), k.Pool, o.Ahead)})
+			Text: fmt.Sprintf("no room at %d agents of pool %s; %d requests of the account ahead of it here", d.countServing(k.Pool), k.Pool, o.Ahead)})
 	case dispatch.Refused:
-		t.answer <- refusal{cause: attempt.TooMany, reason: o.Reason, retryAfter: o.RetryAfter}
+		t.result <- refusal{cause: attempt.TooMany, reason: o.Reason, retryAfter: o.RetryAfter}
 	}
 }
 
-func (d *dispatcher) tooLate(t *ticket, wait time.Duration) bool {
+func (d *dispatcher) missesDeadline(t *ticket, wait time.Duration) bool {
 	return wait > 0 && time.Now().Add(wait).After(t.request.Deadline)
 }
 
-func (d *dispatcher) bind(t *ticket, v *agentView, grant uint64, why string) {
+func (d *dispatcher) bind(t *ticket, v *agentState, grant uint64, why string) {
 	v.running++
-	v.remember(t.request.Prefix)
-	t.estimate = d.estimate(t.request.Key, t.request.Estimate)
-	t.waited = time.Since(t.request.Arrived)
-	d.rate(t.request.Key.Account).left(time.Now())
-	t.answer <- placement{peer: v.peer, grant: grant, why: why}
+	v.recordPrefix(t.request.Prefix)
+	t.expectedCost = d.expectedCost(t.request.Key, t.request.Estimate)
+	t.waitTime = time.Since(t.request.Arrived)
+	d.drainRate(t.request.Key.Account).recordDeparture(time.Now())
+	t.result <- placement{peer: v.peer, grant: grant, reason: why}
 }
 
-func (d *dispatcher) serving(pool string) int {
+func (d *dispatcher) countServing(pool string) int {
 	n := 0
 	for _, v := range d.agents {
 		if v.serves(pool) {
@@ -162,14 +162,14 @@
 }
 
 // again puts a request back that was bound and not run.
-func (d *dispatcher) again(e againEvent) {
+func (d *dispatcher) requeue(e requeueEvent) {
 	v := d.agents[e.agent]
 	if v != nil && e.full {
 		v.running = max(v.running-1, v.limit)
 	} else if v != nil {
 		v.running = max(0, v.running-1)
-		e.ticket.failed = append(e.ticket.failed, e.agent)
-		if other, why := d.free(e.ticket); other != nil && other != v {
+		e.ticket.failedAgents = append(e.ticket.failedAgents, e.agent)
+		if other, why := d.pickAgent(e.ticket); other != nil && other != v {
 			d.bind(e.ticket, other, 0, why)
 			return
 		}
@@ -179,16 +179,16 @@
 	d.dirty[e.ticket.request.Key] = true
 }
 
-func (d *dispatcher) leave(t *ticket) bool {
+func (d *dispatcher) cancel(t *ticket) bool {
 	delete(d.tickets, t.request)
 	d.dirty[t.request.Key] = true
 	return d.queue.Remove(t.request)
 }
 
 // costPart is the weight of the latest cost in an account's expected cost.
-const costPart = 0.2
+const costSmoothing = 0.2
 
-func (d *dispatcher) end(e endEvent) {
+func (d *dispatcher) recordEnd(e endEvent) {
 	if v := d.agents[e.agent]; v != nil {
 		v.running = max(0, v.running-1)
 	}
@@ -197,7 +197,7 @@
 	}
 	k := e.ticket.request.Key
 	if c, known := d.costs[k]; known {
-		d.costs[k] = c + costPart*(e.cost-c)
+		d.costs[k] = c + costSmoothing*(e.cost-c)
 	} else {
 		d.costs[k] = e.cost
 	}
@@ -208,12 +208,12 @@
 		v.running = max(0, v.running-1)
 	}
 	if p.grant != 0 {
-		p.peer.Send(d.router.message(&wirepb.Control_Decline{Decline: &wirepb.Decline{Grant: p.grant}}))
+		p.peer.Send(d.router.controlMessage(&wirepb.Control_Decline{Decline: &wirepb.Decline{Grant: p.grant}}))
 	}
 }
 
-func (d *dispatcher) up(p *wire.Peer) {
-	v := &agentView{peer: p, pools: p.Hello.Pools, limit: 0, told: map[dispatch.Key]int{}}
+func (d *dispatcher) agentConnected(p *wire.Peer) {
+	v := &agentState{peer: p, pools: p.Hello.Pools, limit: 0, sentWants: map[dispatch.Key]int{}}
 	if s := d.router.holder.Current().Server(p.Hello.Node); s != nil {
 		v.pools = s.Pools
 		v.leaving = s.Leaving
@@ -240,14 +240,14 @@
 }
 
 // view is what the dispatcher shows of itself.
-type view struct {
+type snapshot struct {
 	waiting map[fair.Account]int
 	agents  int
 	queued  int
 }
 
-func (d *dispatcher) view() view {
-	v := view{waiting: map[fair.Account]int{}, agents: len(d.agents), queued: d.queue.Len()}
+func (d *dispatcher) snapshot() snapshot {
+	v := snapshot{waiting: map[fair.Account]int{}, agents: len(d.agents), queued: d.queue.Len()}
 	for _, k := range d.queue.Keys() {
 		v.waiting[k.Account] = d.queue.Waiting(k.Account)
 	}
--- a/router/event.go
+++ b/router/event.go
@@ -14,11 +14,11 @@
 
 // offerEvent asks for a place for a request; the reply comes at once or when the
 // request is bound.
-type offerEvent struct{ ticket *ticket }
+type submitEvent struct{ ticket *ticket }
 
 // againEvent puts a request that was not run back at the head of its line. Full
 // says that the agent had no room.
-type againEvent struct {
+type requeueEvent struct {
 	ticket *ticket
 	agent  string
 	full   bool
@@ -26,7 +26,7 @@
 
 // leaveEvent takes a request out of the queue; the reply tells whether it was
 // still there.
-type leaveEvent struct {
+type cancelEvent struct {
 	ticket *ticket
 	reply  chan bool // capacity one
 }
@@ -41,9 +41,9 @@
 // declineEvent gives a granted place back unused.
 type declineEvent struct{ placement placement }
 
-type upEvent struct{ peer *wire.Peer }
+type agentConnectedEvent struct{ peer *wire.Peer }
 
-type downEvent struct{ peer *wire.Peer }
+type agentDisconnectedEvent struct{ peer *wire.Peer }
 
 type grantEvent struct {
 	peer  *wire.Peer
@@ -57,39 +57,39 @@
 
 type configEvent struct{}
 
-type viewEvent struct{ reply chan view } // capacity one
+type snapshotEvent struct{ reply chan snapshot } // capacity one
 
-func (offerEvent) event()   {}
-func (againEvent) event()   {}
-func (leaveEvent) event()   {}
-func (endEvent) event()     {}
-func (declineEvent) event() {}
-func (upEvent) event()      {}
-func (downEvent) event()    {}
-func (grantEvent) event()   {}
-func (loadEvent) event()    {}
-func (configEvent) event()  {}
-func (viewEvent) event()    {}
+func (submitEvent) event()            {}
+func (requeueEvent) event()           {}
+func (cancelEvent) event()            {}
+func (endEvent) event()               {}
+func (declineEvent) event()           {}
+func (agentConnectedEvent) event()    {}
+func (agentDisconnectedEvent) event() {}
+func (grantEvent) event()             {}
+func (loadEvent) event()              {}
+func (configEvent) event()            {}
+func (snapshotEvent) event()          {}
 
 // ticket is one request on its way through the dispatcher.
 type ticket struct {
-	request  *dispatch.Request
-	account  string      // name
-	most     int         // requests of the account that may wait here
-	answer   chan placed // capacity one: the dispatcher never waits
-	estimate float64     // expected cost, settled when it is bound
-	waited   time.Duration
-	failed   []string // agents where an attempt failed
+	request      *dispatch.Request
+	account      string               // name
+	maxWaiting   int                  // requests of the account that may wait here
+	result       chan placementResult // capacity one: the dispatcher never waits
+	expectedCost float64              // expected cost, settled when it is bound
+	waitTime     time.Duration
+	failedAgents []string // agents where an attempt failed
 }
 
 // placed is the dispatcher's word on a request: placement or refusal.
-type placed interface{ placed() }
+type placementResult interface{ placementResult() }
 
 // placement binds a request to an agent.
 type placement struct {
-	peer  *wire.Peer
-	grant uint64 // zero: sent without one
-	why   string
+	peer   *wire.Peer
+	grant  uint64 // zero: sent without one
+	reason string
 }
 
 // refusal says that the request will not wait here.
@@ -99,5 +99,5 @@
 	retryAfter time.Duration
 }
 
-func (placement) placed() {}
-func (refusal) placed()   {}
+func (placement) placementResult() {}
+func (refusal) placementResult()   {}
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -15,7 +15,7 @@
 )
 
 // askTime bounds a call to another node for operators.
-const askTime = 2 * time.Second
+const queryTimeout = 2 * time.Second
 
 // NodeView is one node as seen from here; Status is nil when it did not answer.
 type NodeView struct {
@@ -36,50 +36,50 @@
 func (r *Router) Nodes(ctx context.Context) []NodeView {
 	hosts := r.members.list(func(kv.Host) bool { return true })
 	views := make([]NodeView, len(hosts))
-	var asked sync.WaitGroup
+	var pending sync.WaitGroup
 	for i, h := range hosts {
 		views[i].Host = h
-		asked.Go(func() {
-			if list := r.askNode(ctx, h, &wirepb.Records{Status: true}); list != nil {
+		pending.Go(func() {
+			if list := r.queryNode(ctx, h, &wirepb.Records{Status: true}); list != nil {
 				views[i].Status = list.Status
 			}
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 	return views
 }
 
 // Explain gathers what the whole fleet recorded about a request or an account, in
 // order, and names the nodes that did not answer.
-func (r *Router) Explain(ctx context.Context, request, account string) (events []explain.Event, unreached []string) {
+func (r *Router) Explain(ctx context.Context, request, account string) (events []explain.Event, unreachable []string) {
 	hosts := r.members.list(func(kv.Host) bool { return true })
 	lists := make([]*wirepb.RecordList, len(hosts))
-	var asked sync.WaitGroup
+	var pending sync.WaitGroup
 	for i, h := range hosts {
-		asked.Go(func() {
-			lists[i] = r.askNode(ctx, h, &wirepb.Records{Request: request, Account: account})
+		pending.Go(func() {
+			lists[i] = r.queryNode(ctx, h, &wirepb.Records{Request: request, Account: account})
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 	for i, l := range lists {
 		if l == nil {
-			unreached = append(unreached, hosts[i].Name)
+			unreachable = append(unreachable, hosts[i].Name)
 			continue
 		}
 		events = append(events, wire.Events(l.Records)...)
 	}
 	slices.SortStableFunc(events, func(a, b explain.Event) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
-	return events, unreached
+	return events, unreachable
 }
 
 // askNode asks one node for its records; it returns nil when it does not answer.
-func (r *Router) askNode(ctx context.Context, h kv.Host, q *wirepb.Records) *wirepb.RecordList {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+func (r *Router) queryNode(ctx context.Context, h kv.Host, q *wirepb.Records) *wirepb.RecordList {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	if h.Name == r.options.Name {
-		return r.ownRecords(ctx, q)
+		return r.localRecords(ctx, q)
 	}
-	p, done := r.reach(ctx, h)
+	p, done := r.acquirePeer(ctx, h)
 	if p == nil {
 		return nil
 	}
@@ -103,8 +103,8 @@
 
 // reach returns a connection to a node: the one that is kept, or a new one that
 // ends with the call to done.
-func (r *Router) reach(ctx context.Context, h kv.Host) (p *wire.Peer, done func()) {
-	if p := r.kept(h.Name); p != nil {
+func (r *Router) acquirePeer(ctx context.Context, h kv.Host) (p *wire.Peer, done func()) {
+	if p := r.connectedPeer(h.Name); p != nil {
 		return p, func() {}
 	}
 	p, err := r.connect(ctx, h)
@@ -114,7 +114,7 @@
 	return p, func() { p.Close(nil) }
 }
 
-func (r *Router) kept(name string) *wire.Peer {
+func (r *Router) connectedPeer(name string) *wire.Peer {
 	r.agents.mutex.Lock()
 	l := r.agents.links[name]
 	r.agents.mutex.Unlock()
@@ -131,10 +131,10 @@
 }
 
 // ownRecords answers for this router.
-func (r *Router) ownRecords(ctx context.Context, q *wirepb.Records) *wirepb.RecordList {
+func (r *Router) localRecords(ctx context.Context, q *wirepb.Records) *wirepb.RecordList {
 	switch {
 	case q.Status:
-		return &wirepb.RecordList{Status: r.ownStatus(ctx)}
+		return &wirepb.RecordList{Status: r.localStatus(ctx)}
 	case q.Request != "":
 		return &wirepb.RecordList{Records: wire.Records(r.options.Records.Request(q.Request))}
 	default:
@@ -142,22 +142,22 @@
 	}
 }
 
-func (r *Router) ownStatus(ctx context.Context) *wirepb.NodeStatus {
+func (r *Router) localStatus(ctx context.Context) *wirepb.NodeStatus {
 	s := &wirepb.NodeStatus{
 		Node:         r.options.Name,
 		Role:         string(kv.Router),
 		Hall:         r.options.Hall,
 		Incarnation:  r.incarnation,
 		Revision:     r.holder.Revision(),
-		Running:      uint32(r.Open()),
+		Running:      uint32(r.OpenRequests()),
 		ControlBytes: r.ControlBytes(),
-		UpMs:         time.Since(r.begun).Milliseconds(),
+		UpMs:         time.Since(r.startedAt).Milliseconds(),
 		Degraded:     r.degraded(),
 	}
-	if r.summing.isSumming() {
-		s.Counters = wire.Counters(r.totals(ctx))
+	if r.aggregator.isActive() {
+		s.Counters = wire.Counters(r.fleetTotals(ctx))
 	}
-	s.Waiting = uint32(r.dispatcherView(ctx).queued)
+	s.Waiting = uint32(r.dispatcherSnapshot(ctx).queued)
 	return s
 }
 
@@ -169,34 +169,34 @@
 	if r.members.degraded() {
 		list = append(list, "the live list cannot be read")
 	}
-	r.fresh.mutex.Lock()
-	defer r.fresh.mutex.Unlock()
-	if at := r.fresh.outage; !at.IsZero() {
+	r.freshness.mutex.Lock()
+	defer r.freshness.mutex.Unlock()
+	if at := r.freshness.outageSince; !at.IsZero() {
 		list = append(list, "the platform's service cannot be read since "+at.UTC().Format(time.RFC3339))
 	}
 	return list
 }
 
-func (r *Router) dispatcherView(ctx context.Context) view {
-	reply := make(chan view, 1)
-	if !r.dispatcher.tell(viewEvent{reply: reply}) {
-		return view{}
+func (r *Router) dispatcherSnapshot(ctx context.Context) snapshot {
+	reply := make(chan snapshot, 1)
+	if !r.dispatcher.send(snapshotEvent{reply: reply}) {
+		return snapshot{}
 	}
 	select {
 	case v := <-reply:
 		return v
 	case <-ctx.Done():
-		return view{}
+		return snapshot{}
 	}
 }
 
 // Accounts returns every account's standing as seen from here.
 func (r *Router) Accounts(ctx context.Context) []AccountView {
 	totals := map[fair.Account]fair.Total{}
-	for _, t := range r.totals(ctx) {
+	for _, t := range r.fleetTotals(ctx) {
 		totals[t.Account] = t
 	}
-	waiting := r.dispatcherView(ctx).waiting
+	waiting := r.dispatcherSnapshot(ctx).waiting
 	var views []AccountView
 	for _, a := range r.holder.Current().Accounts {
 		id := fair.Account(a.ID)
@@ -212,14 +212,14 @@
 }
 
 // totals returns the fleet's totals: those summed here, or a summing router's.
-func (r *Router) totals(ctx context.Context) []fair.Total {
-	if r.summing.isSumming() {
+func (r *Router) fleetTotals(ctx context.Context) []fair.Total {
+	if r.aggregator.isActive() {
 		reply := make(chan []fair.Total, 1)
-		t, _ := query(ctx, r.summing, totalsQuery{reply: reply}, reply)
+		t, _ := query(ctx, r.aggregator, totalsQuery{reply: reply}, reply)
 		return t
 	}
-	for _, h := range r.members.summers(r.options.Hall) {
-		if list := r.askNode(ctx, h, &wirepb.Records{Status: true}); list != nil {
+	for _, h := range r.members.aggregators(r.options.Hall) {
+		if list := r.queryNode(ctx, h, &wirepb.Records{Status: true}); list != nil {
 			return wire.Totals(list.Status.GetCounters())
 		}
 	}
--- a/router/http.go
+++ b/router/http.go
@@ -28,12 +28,12 @@
 
 const (
 	defaultDeadline = 10 * time.Minute
-	longestDeadline = time.Hour
-	longestKey      = 255
-	longestHeaders  = 32 << 10 // bytes of all headers that are passed on
+	maxDeadline     = time.Hour
+	maxKeyBytes     = 255
+	maxHeaderBytes  = 32 << 10 // bytes of all headers that are passed on
 	prefixBytes     = 512
 	// hintTokens is the expected answer length when the caller sets no limit.
-	hintTokens = 256
+	defaultOutputTokens = 256
 )
 
 // Handler returns the callers' API.
@@ -47,10 +47,10 @@
 	m.Get("/ready", r.serveReady)
 	m.Get("/live", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "live\n") })
 	m.NotFound(func(w http.ResponseWriter, _ *http.Request) {
-		writeFault(w, "", &fault{status: http.StatusNotFound, code: "no_such_path", message: "there is nothing at this path"})
+		writeRequestError(w, "", &requestError{status: http.StatusNotFound, code: "no_such_path", message: "there is nothing at this path"})
 	})
 	m.MethodNotAllowed(func(w http.ResponseWriter, _ *http.Request) {
-		writeFault(w, "", &fault{status: http.StatusMethodNotAllowed, code: "method_not_allowed", message: "this path does not take this method"})
+		writeRequestError(w, "", &requestError{status: http.StatusMethodNotAllowed, code: "method_not_allowed", message: "this path does not take this method"})
 	})
 	return m
 }
@@ -66,7 +66,7 @@
 func (r *Router) serveModels(w http.ResponseWriter, q *http.Request) {
 	c := r.holder.Current()
 	if _, f := authenticate(c, q); f != nil {
-		writeFault(w, "", f)
+		writeRequestError(w, "", f)
 		return
 	}
 	type model struct {
@@ -90,10 +90,10 @@
 		f = parseModel(q, r.holder.Current())
 	}
 	if f != nil {
-		writeFault(w, q.ID, f)
+		writeRequestError(w, q.ID, f)
 		return
 	}
-	r.answer(w, h, q)
+	r.respond(w, h, q)
 }
 
 func (r *Router) serveService(w http.ResponseWriter, h *http.Request) {
@@ -102,25 +102,25 @@
 		f = parseService(q, h, r.holder.Current())
 	}
 	if f != nil {
-		writeFault(w, q.ID, f)
+		writeRequestError(w, q.ID, f)
 		return
 	}
-	r.answer(w, h, q)
+	r.respond(w, h, q)
 }
 
 // answer runs a request and writes its answer or refusal.
-func (r *Router) answer(w http.ResponseWriter, h *http.Request, q *Request) {
+func (r *Router) respond(w http.ResponseWriter, h *http.Request, q *Request) {
 	ctx := propagation.TraceContext{}.Extract(h.Context(), propagation.HeaderCarrier(h.Header))
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stop := context.AfterFunc(h.Context(), func() { cancel(errCallerLeft) })
 	defer stop()
-	s := &httpSink{writer: w, control: http.NewResponseController(w), request: q.ID}
+	s := &httpSink{writer: w, controller: http.NewResponseController(w), request: q.ID}
 	o := r.Serve(ctx, q, s)
 	if ran, ok := o.(attempt.Ran); ok && ran.Complete {
 		return
 	}
-	if s.begun {
+	if s.headWritten {
 		// The caller has part of the answer: the connection must look broken.
 		panic(http.ErrAbortHandler)
 	}
@@ -129,17 +129,17 @@
 
 // httpSink passes an answer on over HTTP, each piece as it comes.
 type httpSink struct {
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	request string
-	begun   bool
+	writer      http.ResponseWriter
+	controller  *http.ResponseController
+	request     string
+	headWritten bool
 }
 
 // Head implements Sink.
 func (s *httpSink) Head(status int, headers []*wirepb.Header) {
-	s.begun = true
+	s.headWritten = true
 	for _, h := range headers {
-		if !notPassedOn[h.Name] || h.Name == "Content-Length" {
+		if !droppedHeaders[h.Name] || h.Name == "Content-Length" {
 			s.writer.Header().Add(h.Name, h.Value)
 		}
 	}
@@ -153,5 +153,5 @@
 	if _, err := s.writer.Write(chunk); err != nil {
 		return errors.Wrap(err, "router: write answer")
 	}
-	return s.control.Flush()
+	return s.controller.Flush()
 }
--- a/router/http_test.go
+++ b/router/http_test.go
@@ -12,7 +12,7 @@
 	"opalbridge.dev/kv/kvtest"
 )
 
-func parseRouter(t testing.TB) *Router {
+func newTestRouter(t testing.TB) *Router {
 	r := &Router{options: Options{KV: &kvtest.Service{}}.withDefaults()}
 	require.True(t, r.holder.Offer(&config.Document{
 		Revision: 1,
@@ -22,8 +22,8 @@
 	return r
 }
 
-func TestParseMarks(t *testing.T) {
-	r := parseRouter(t)
+func TestParseOptionHeaders(t *testing.T) {
+	r := newTestRouter(t)
 	tests := []struct {
 		name, method, path string
 		header             http.Header
@@ -59,7 +59,7 @@
 	f.Add(`{"model":"small","max_tokens":3}`, "true", "100", "text/plain")
 	f.Add(`{"model":`, "x", "-1", ";;")
 	f.Add("", "", "99999999999999999999", "")
-	r := parseRouter(f)
+	r := newTestRouter(f)
 	f.Fuzz(func(t *testing.T, body, mark, deadline, kind string) {
 		h := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(body))
 		h.Header.Set("Authorization", "Bearer key")
--- a/router/link.go
+++ b/router/link.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	dialTimeout   = 2 * time.Second
-	firstRedial   = 100 * time.Millisecond
-	longestRedial = 5 * time.Second
+	dialTimeout       = 2 * time.Second
+	minRedialInterval = 100 * time.Millisecond
+	maxRedialInterval = 5 * time.Second
 )
 
 // link keeps a connection to one process as long as it is wanted.
@@ -21,16 +21,16 @@
 	host   kv.Host
 	cancel context.CancelFunc
 
-	mutex sync.Mutex
-	peer  *wire.Peer    // nil while it is not connected
-	up    chan struct{} // closed when peer is set
+	mutex     sync.Mutex
+	peer      *wire.Peer    // nil while it is not connected
+	connected chan struct{} // closed when peer is set
 	// unlisted is since when the live list lacks the host; zero: it names it.
-	unlisted time.Time
-	told     bool // the agent was told that its host is leaving
+	unlistedSince time.Time
+	leavingSent   bool // the agent was told that its host is leaving
 }
 
 func newLink(h kv.Host, cancel context.CancelFunc) *link {
-	return &link{host: h, cancel: cancel, up: make(chan struct{})}
+	return &link{host: h, cancel: cancel, connected: make(chan struct{})}
 }
 
 // current returns the connection, or nil and a channel that is closed when there
@@ -38,19 +38,19 @@
 func (l *link) current() (*wire.Peer, <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.peer, l.up
+	return l.peer, l.connected
 }
 
 func (l *link) set(p *wire.Peer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.peer = p
-	l.told = false
+	l.leavingSent = false
 	if p != nil {
-		close(l.up)
+		close(l.connected)
 		return
 	}
-	l.up = make(chan struct{})
+	l.connected = make(chan struct{})
 }
 
 // setListed notes whether the live list names the host.
@@ -59,58 +59,58 @@
 	defer l.mutex.Unlock()
 	switch {
 	case listed:
-		l.unlisted = time.Time{}
-	case l.unlisted.IsZero():
-		l.unlisted = time.Now()
+		l.unlistedSince = time.Time{}
+	case l.unlistedSince.IsZero():
+		l.unlistedSince = time.Now()
 	}
 }
 
 // news returns the connection if its agent has not been told yet whether its host
 // is leaving, and counts it as told.
-func (l *link) news(leaving bool) *wire.Peer {
+func (l *link) markLeavingSent(leaving bool) *wire.Peer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.peer == nil || l.told == leaving {
+	if l.peer == nil || l.leavingSent == leaving {
 		return nil
 	}
-	l.told = leaving
+	l.leavingSent = leaving
 	return l.peer
 }
 
 // given reports whether to give the host up: the list has lacked it for long and
 // it cannot be reached either. A connection that works is never ended because of
 // the list, which may be wrong.
-func (l *link) given() bool {
+func (l *link) shouldDrop() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.peer == nil && !l.unlisted.IsZero() && time.Since(l.unlisted) > unlistedTime
+	return l.peer == nil && !l.unlistedSince.IsZero() && time.Since(l.unlistedSince) > unlistedTimeout
 }
 
 // unlistedTime is how long a host that left the live list is still dialled.
-const unlistedTime = 30 * time.Second
+const unlistedTimeout = 30 * time.Second
 
 // keep dials again and again until ctx ends, and gives each connection to use,
 // which returns when it has ended.
-func (r *Router) keep(ctx context.Context, l *link, use func(context.Context, *wire.Peer)) {
-	pause := firstRedial
+func (r *Router) maintain(ctx context.Context, l *link, use func(context.Context, *wire.Peer)) {
+	backoff := minRedialInterval
 	for ctx.Err() == nil {
 		p, err := r.connect(ctx, l.host)
 		if err != nil {
 			r.options.Log.Debug().Err(err).Str("to", l.host.Name).Msg("not connected")
-			if !sleep(ctx, pause) {
+			if !sleep(ctx, backoff) {
 				return
 			}
-			pause = min(2*pause, longestRedial)
+			backoff = min(2*backoff, maxRedialInterval)
 			continue
 		}
-		pause = firstRedial
+		backoff = minRedialInterval
 		r.control.Add(p)
 		l.set(p)
 		use(ctx, p)
 		l.set(nil)
 		r.control.Remove(p)
 		r.options.Log.Info().Str("from", l.host.Name).AnErr("reason", p.Reason()).Msg("disconnected")
-		if !sleep(ctx, pause) {
+		if !sleep(ctx, backoff) {
 			return
 		}
 	}
@@ -137,7 +137,7 @@
 }
 
 // message returns a control message that names the revision in force here.
-func (r *Router) message(body any) *wirepb.Control {
+func (r *Router) controlMessage(body any) *wirepb.Control {
 	return wire.Control(r.holder.Revision(), body)
 }
 
--- a/router/members.go
+++ b/router/members.go
@@ -15,21 +15,21 @@
 
 const (
 	// listRate bounds how often all routers together read the live list, a second.
-	listRate         = 200
-	shortestListRead = 2 * time.Second
+	maxListReadsPerSecond = 200
+	minListReadInterval   = 2 * time.Second
 	// holders is how many routers of a hall take a shared duty at once.
-	holders = 2
+	dutyReplicas = 2
 )
 
 // members is the duty that reads the platform's list of live hosts. The list lags
 // and may be wrong: what rests on it is who connects to whom and who takes shared
 // duties, which costs accuracy or bytes when it errs, never a promise.
 type members struct {
-	router *Router
-	mutex  sync.Mutex
-	hosts  []kv.Host
-	change chan struct{}
-	failed bool
+	router     *Router
+	mutex      sync.Mutex
+	hosts      []kv.Host
+	changeCh   chan struct{}
+	unreadable bool
 }
 
 func (m *members) run(ctx context.Context) {
@@ -44,43 +44,43 @@
 // interval grows with the fleet, so that the service's load does not.
 func (m *members) interval() time.Duration {
 	routers := len(m.routers())
-	d := max(shortestListRead, time.Duration(routers)*time.Second/listRate)
+	d := max(minListReadInterval, time.Duration(routers)*time.Second/maxListReadsPerSecond)
 	return d/2 + rand.N(d)
 }
 
 func (m *members) read(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, shortestListRead)
+	ctx, cancel := context.WithTimeout(ctx, minListReadInterval)
 	defer cancel()
 	hosts, err := m.router.options.Directory.Hosts(ctx)
 	if err != nil {
-		m.fail(err)
+		m.recordFailure(err)
 		return
 	}
 	slices.SortFunc(hosts, func(a, b kv.Host) int { return cmp.Compare(a.Name, b.Name) })
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.failed {
-		m.failed = false
+	if m.unreadable {
+		m.unreadable = false
 		m.router.record(explain.Event{Kind: explain.Repair, Text: "the platform's live list is readable again"})
 	}
 	if slices.Equal(hosts, m.hosts) {
 		return
 	}
 	m.hosts = hosts
-	if m.change != nil {
-		close(m.change)
-		m.change = nil
+	if m.changeCh != nil {
+		close(m.changeCh)
+		m.changeCh = nil
 	}
 }
 
 // fail keeps the last list: an outage of the service changes nothing here.
-func (m *members) fail(err error) {
+func (m *members) recordFailure(err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.failed {
+	if m.unreadable {
 		return
 	}
-	m.failed = true
+	m.unreadable = true
 	m.router.record(explain.Event{Kind: explain.Degrade, Text: "the platform's live list cannot be read: " + err.Error()})
 	m.router.options.Log.Warn().Err(err).Msg("live list not read")
 }
@@ -89,17 +89,17 @@
 func (m *members) degraded() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.failed
+	return m.unreadable
 }
 
 // changed returns a channel that is closed when the list has changed.
 func (m *members) changed() <-chan struct{} {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.change == nil {
-		m.change = make(chan struct{})
+	if m.changeCh == nil {
+		m.changeCh = make(chan struct{})
 	}
-	return m.change
+	return m.changeCh
 }
 
 func (m *members) list(keep func(kv.Host) bool) []kv.Host {
@@ -119,11 +119,11 @@
 }
 
 // summers returns the routers that sum a hall's counters, by the list as it is.
-func (m *members) summers(hall string) []kv.Host {
-	return firstByHash("summing/"+hall, m.routersOf(hall), holders)
+func (m *members) aggregators(hall string) []kv.Host {
+	return highestByHash("summing/"+hall, m.routersIn(hall), dutyReplicas)
 }
 
-func (m *members) routersOf(hall string) []kv.Host {
+func (m *members) routersIn(hall string) []kv.Host {
 	return m.list(func(h kv.Host) bool {
 		return h.Role == kv.Router && !h.Leaving && h.Hall == hall
 	})
@@ -131,8 +131,8 @@
 
 // summingHall returns the hall whose routers sum the counters of agents in the
 // given hall: the same, or for a hall without routers one of the others.
-func (m *members) summingHall(hall string) string {
-	halls := m.halls()
+func (m *members) aggregationHall(hall string) string {
+	halls := m.routerHalls()
 	if len(halls) == 0 || slices.Contains(halls, hall) {
 		return hall
 	}
@@ -142,7 +142,7 @@
 }
 
 // halls returns the halls that have a router, sorted.
-func (m *members) halls() []string {
+func (m *members) routerHalls() []string {
 	var halls []string
 	for _, h := range m.routers() {
 		if !slices.Contains(halls, h.Hall) {
@@ -155,38 +155,38 @@
 
 // holds reports whether this router takes one of its hall's shared duties. One
 // that knows no list takes all of them.
-func (m *members) holds(duty string) bool {
-	all := m.routersOf(m.router.options.Hall)
+func (m *members) holdsDuty(duty string) bool {
+	all := m.routersIn(m.router.options.Hall)
 	if len(all) == 0 {
 		return true
 	}
-	first := firstByHash(duty+"/"+m.router.options.Hall, all, holders)
-	return slices.ContainsFunc(first, func(h kv.Host) bool { return h.Name == m.router.options.Name })
+	selected := highestByHash(duty+"/"+m.router.options.Hall, all, dutyReplicas)
+	return slices.ContainsFunc(selected, func(h kv.Host) bool { return h.Name == m.router.options.Name })
 }
 
 // wantedAgents returns the agents this router connects to: of each pool a subset
 // of the configured degree, and all whose counters it sums.
-func (m *members) wantedAgents() []kv.Host {
+func (m *members) desiredAgents() []kv.Host {
 	all := m.list(func(h kv.Host) bool { return h.Role == kv.Agent })
 	degree := m.router.options.Degree
 	if degree == 0 || len(all) <= degree {
 		return all
 	}
-	wanted := map[string]kv.Host{}
+	desired := map[string]kv.Host{}
 	for _, hosts := range m.byPool(all) {
-		for _, h := range firstByHash(m.router.options.Name, hosts, degree) {
-			wanted[h.Name] = h
+		for _, h := range highestByHash(m.router.options.Name, hosts, degree) {
+			desired[h.Name] = h
 		}
 	}
-	if m.router.summing.isSumming() {
+	if m.router.aggregator.isActive() {
 		for _, h := range all {
-			if m.summingHall(h.Hall) == m.router.options.Hall {
-				wanted[h.Name] = h
+			if m.aggregationHall(h.Hall) == m.router.options.Hall {
+				desired[h.Name] = h
 			}
 		}
 	}
-	list := make([]kv.Host, 0, len(wanted))
-	for _, h := range wanted {
+	list := make([]kv.Host, 0, len(desired))
+	for _, h := range desired {
 		list = append(list, h)
 	}
 	return list
@@ -206,7 +206,7 @@
 }
 
 // firstByHash returns the n hosts with the highest rendezvous hash for a key.
-func firstByHash(key string, hosts []kv.Host, n int) []kv.Host {
+func highestByHash(key string, hosts []kv.Host, n int) []kv.Host {
 	type ranked struct {
 		hash uint64
 		host kv.Host
@@ -221,11 +221,11 @@
 		}
 		return cmp.Compare(a.host.Name, b.host.Name)
 	})
-	var first []kv.Host
+	var selected []kv.Host
 	for _, r := range list[:min(n, len(list))] {
-		first = append(first, r.host)
+		selected = append(selected, r.host)
 	}
-	return first
+	return selected
 }
 
 // rendezvous hashes a key with a name; the highest of several names has the key.
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -17,7 +17,7 @@
 	exchangeTimeout = 2 * time.Second
 	// gossipTicks is in how many intervals a router speaks to each neighbour with
 	// whom it has no counters to exchange.
-	gossipTicks = 2
+	gossipPeriodTicks = 2
 )
 
 // neighbours is the duty that keeps connections to some other routers: those at
@@ -35,7 +35,7 @@
 		t := time.NewTicker(n.router.options.Interval)
 		defer t.Stop()
 		for {
-			n.choose(ctx, connections)
+			n.updateLinks(ctx, connections)
 			select {
 			case <-t.C:
 			case <-ctx.Done():
@@ -46,17 +46,17 @@
 	connections.Collect(ctx)
 }
 
-func (n *neighbours) choose(ctx context.Context, connections *duty.Group) {
-	wanted := n.wanted()
+func (n *neighbours) updateLinks(ctx context.Context, connections *duty.Group) {
+	desired := n.desired()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for name, l := range n.links {
-		if h, keep := wanted[name]; !keep || h.Address != l.host.Address {
+		if h, keep := desired[name]; !keep || h.Address != l.host.Address {
 			l.cancel()
 			delete(n.links, name)
 		}
 	}
-	for name, h := range wanted {
+	for name, h := range desired {
 		if n.links[name] != nil {
 			continue
 		}
@@ -64,39 +64,39 @@
 		l := newLink(h, cancel)
 		n.links[name] = l
 		connections.Go(alive, "router "+name, func(ctx context.Context) {
-			n.router.keep(ctx, l, n.use)
+			n.router.maintain(ctx, l, n.serve)
 		})
 	}
 }
 
-func (n *neighbours) wanted() map[string]kv.Host {
+func (n *neighbours) desired() map[string]kv.Host {
 	m := n.router.members
-	wanted := map[string]kv.Host{}
+	desired := map[string]kv.Host{}
 	all := m.routers()
 	self := slices.IndexFunc(all, func(h kv.Host) bool { return h.Name == n.router.options.Name })
 	for step := 1; step < len(all); step *= 2 {
 		h := all[(max(self, 0)+step)%len(all)]
-		wanted[h.Name] = h
+		desired[h.Name] = h
 	}
-	if n.router.summing.isSumming() {
-		for _, hall := range m.halls() {
-			for _, h := range m.summers(hall) {
-				wanted[h.Name] = h
+	if n.router.aggregator.isActive() {
+		for _, hall := range m.routerHalls() {
+			for _, h := range m.aggregators(hall) {
+				desired[h.Name] = h
 			}
 		}
 	}
-	delete(wanted, n.router.options.Name)
-	return wanted
+	delete(desired, n.router.options.Name)
+	return desired
 }
 
 // use exchanges news with a router until the connection ends.
-func (n *neighbours) use(ctx context.Context, p *wire.Peer) {
+func (n *neighbours) serve(ctx context.Context, p *wire.Peer) {
 	t := time.NewTicker(n.router.options.Interval)
 	defer t.Stop()
 	for i := 0; ; i++ {
-		sums := n.exchangesSums(p, i)
-		if sums || i%gossipTicks == 0 {
-			if err := n.exchange(ctx, p, sums); err != nil {
+		withTotals := n.shouldExchangeTotals(p, i)
+		if withTotals || i%gossipPeriodTicks == 0 {
+			if err := n.exchange(ctx, p, withTotals); err != nil {
 				p.Close(err)
 				return
 			}
@@ -115,18 +115,18 @@
 
 // exchangesSums reports whether counters go to that router this time: with one
 // summing router of each hall at a time, in turn.
-func (n *neighbours) exchangesSums(p *wire.Peer, turn int) bool {
+func (n *neighbours) shouldExchangeTotals(p *wire.Peer, turn int) bool {
 	// An exchange tells both sides; of two that dial each other one is enough.
-	if !n.router.summing.isSumming() || n.router.options.Name > p.Hello.Node {
+	if !n.router.aggregator.isActive() || n.router.options.Name > p.Hello.Node {
 		return false
 	}
-	summers := n.router.members.summers(p.Hello.Hall)
-	at := slices.IndexFunc(summers, func(h kv.Host) bool { return h.Name == p.Hello.Node })
-	return at >= 0 && turn%len(summers) == at
+	summers := n.router.members.aggregators(p.Hello.Hall)
+	index := slices.IndexFunc(summers, func(h kv.Host) bool { return h.Name == p.Hello.Node })
+	return index >= 0 && turn%len(summers) == index
 }
 
 // exchange tells a router the revision and counters known here, and hears its.
-func (n *neighbours) exchange(ctx context.Context, p *wire.Peer, sums bool) error {
+func (n *neighbours) exchange(ctx context.Context, p *wire.Peer, withTotals bool) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	s, err := p.Open()
@@ -136,8 +136,8 @@
 	defer s.Close()
 	release := s.Shut(ctx)
 	defer release()
-	ours := n.router.news(ctx, sums)
-	n.router.counted.add(ours)
+	ours := n.router.exchangeMessage(ctx, withTotals)
+	n.router.exchangeBytes.add(ours)
 	if err := s.Write(&wirepb.Call{Body: &wirepb.Call_Exchange{Exchange: ours}}); err != nil {
 		return err
 	}
@@ -146,39 +146,39 @@
 		return err
 	}
 	theirs := answer.GetExchange()
-	n.router.counted.add(theirs)
-	n.router.hear(p, theirs)
+	n.router.exchangeBytes.add(theirs)
+	n.router.applyExchange(p, theirs)
 	return nil
 }
 
 // news is what this router tells another.
-func (r *Router) news(ctx context.Context, sums bool) *wirepb.Exchange {
+func (r *Router) exchangeMessage(ctx context.Context, withTotals bool) *wirepb.Exchange {
 	e := &wirepb.Exchange{
 		Node:        r.options.Name,
 		Hall:        r.options.Hall,
 		Incarnation: r.incarnation,
 		Revision:    r.holder.Revision(),
-		ConfirmedMs: r.confirmedAge().Milliseconds(),
+		ConfirmedMs: r.confirmationAge().Milliseconds(),
 	}
-	if !sums {
+	if !withTotals {
 		return e
 	}
 	reply := make(chan []*wirepb.HallTotals, 1)
-	e.Halls, _ = query(ctx, r.summing, sumsQuery{reply: reply}, reply)
+	e.Halls, _ = query(ctx, r.aggregator, hallTotalsQuery{reply: reply}, reply)
 	return e
 }
 
 // hear takes in what another router told.
-func (r *Router) hear(p *wire.Peer, e *wirepb.Exchange) {
+func (r *Router) applyExchange(p *wire.Peer, e *wirepb.Exchange) {
 	if e == nil {
 		return
 	}
-	r.confirm(time.Duration(e.ConfirmedMs)*time.Millisecond, e.Revision)
+	r.recordConfirmation(time.Duration(e.ConfirmedMs)*time.Millisecond, e.Revision)
 	if len(e.Document) > 0 {
-		r.offerContent(p, e.Document)
+		r.applyEncodedDocument(p, e.Document)
 	}
-	if len(e.Halls) > 0 && r.summing.isSumming() {
-		r.summing.tell(sumsEvent{halls: e.Halls})
+	if len(e.Halls) > 0 && r.aggregator.isActive() {
+		r.aggregator.send(hallTotalsEvent{halls: e.Halls})
 	}
 }
 
@@ -233,21 +233,21 @@
 	case *wirepb.Call_Exchange:
 		r.serveExchange(ctx, p, s, b.Exchange)
 	case *wirepb.Call_Records:
-		_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_RecordList{RecordList: r.ownRecords(ctx, b.Records)}})
+		_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_RecordList{RecordList: r.localRecords(ctx, b.Records)}})
 	default:
 		p.Close(errUnexpected)
 	}
 }
 
 func (r *Router) serveExchange(ctx context.Context, p *wire.Peer, s *wire.Stream, theirs *wirepb.Exchange) {
-	ours := r.news(ctx, len(theirs.Halls) > 0)
+	ours := r.exchangeMessage(ctx, len(theirs.Halls) > 0)
 	if d := r.holder.Current(); d.Revision > theirs.Revision {
 		if content, err := d.Encode(); err == nil {
 			ours.Document = content
 		}
 	}
-	r.counted.add(theirs)
-	r.counted.add(ours)
+	r.exchangeBytes.add(theirs)
+	r.exchangeBytes.add(ours)
 	_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_Exchange{Exchange: ours}})
-	r.hear(p, theirs)
+	r.applyExchange(p, theirs)
 }
--- a/router/recover.go
+++ b/router/recover.go
@@ -12,7 +12,7 @@
 
 // revoke asks the same incarnation of the agent that the attempt never runs.
 func (f *flight) revoke(ctx context.Context, p placement) attempt.Next {
-	answer, reason := f.ask(ctx, p, &wirepb.Call{Body: &wirepb.Call_Revoke{Revoke: &wirepb.Revoke{
+	answer, reason := f.callAgent(ctx, p, &wirepb.Call{Body: &wirepb.Call_Revoke{Revoke: &wirepb.Revoke{
 		Request: f.request.ID, Attempt: f.life.Attempts(), Incarnation: p.peer.Hello.Incarnation,
 	}}})
 	text := reason
@@ -24,7 +24,7 @@
 		next, text = f.life.Fire(attempt.Found), "it has begun there"
 	default:
 		if ctx.Err() != nil {
-			return f.abandoned(ctx)
+			return f.abandon(ctx)
 		}
 		next = f.life.Fire(attempt.Vanish)
 	}
@@ -35,10 +35,10 @@
 
 // ask makes a short call to the incarnation that had the attempt, over another
 // connection if need be. Without an answer it tells why.
-func (f *flight) ask(ctx context.Context, p placement, c *wirepb.Call) (*wirepb.Piece, string) {
-	ctx, cancel := context.WithTimeout(ctx, recoverTime)
+func (f *flight) callAgent(ctx context.Context, p placement, c *wirepb.Call) (*wirepb.Piece, string) {
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	s, reason := f.reopen(ctx, p, c)
+	s, reason := f.sendToAgent(ctx, p, c)
 	if s == nil {
 		return nil, reason
 	}
@@ -53,12 +53,12 @@
 }
 
 // reopen finds the agent again and sends it a call.
-func (f *flight) reopen(ctx context.Context, p placement, c *wirepb.Call) (*wire.Stream, string) {
+func (f *flight) sendToAgent(ctx context.Context, p placement, c *wirepb.Call) (*wire.Stream, string) {
 	broken := p.peer
 	for {
 		peer := p.peer
 		if peer.Reason() != nil || isClosed(peer) {
-			peer = f.router.agents.find(ctx, p.peer.Hello.Node, broken)
+			peer = f.router.agents.waitForPeer(ctx, p.peer.Hello.Node, broken)
 		}
 		switch {
 		case peer == nil:
@@ -92,20 +92,20 @@
 
 // resume goes on with the answer from the next chunk.
 func (f *flight) resume(ctx context.Context, p placement) attempt.Next {
-	find, cancel := context.WithTimeout(ctx, recoverTime)
+	find, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	s, reason := f.reopen(find, p, &wirepb.Call{Body: &wirepb.Call_Resume{Resume: &wirepb.Resume{
-		Request: f.request.ID, Attempt: f.life.Attempts(), Next: f.next,
+	s, reason := f.sendToAgent(find, p, &wirepb.Call{Body: &wirepb.Call_Resume{Resume: &wirepb.Resume{
+		Request: f.request.ID, Attempt: f.life.Attempts(), Next: f.nextChunk,
 	}}})
 	f.router.record(explain.Event{Kind: explain.Resume, Request: f.request.ID, Account: f.request.Account, Attempt: f.life.Attempts(),
-		Text: fmt.Sprintf("asked %s for the answer from chunk %d on %s", p.peer.Hello.Node, f.next, reason)})
+		Text: fmt.Sprintf("asked %s for the answer from chunk %d on %s", p.peer.Hello.Node, f.nextChunk, reason)})
 	if s == nil {
 		if ctx.Err() != nil {
-			return f.abandoned(ctx)
+			return f.abandon(ctx)
 		}
 		return f.life.Fire(attempt.Vanish)
 	}
 	defer s.Close()
 	f.life.Fire(attempt.Resume)
-	return f.read(ctx, p, s)
+	return f.readAnswer(ctx, p, s)
 }
--- a/router/refuse.go
+++ b/router/refuse.go
@@ -11,32 +11,32 @@
 )
 
 // fault is a request that was refused before anything was decided about it.
-type fault struct {
-	status  int
-	code    string
-	field   string
-	message string
-	retry   time.Duration
+type requestError struct {
+	status     int
+	code       string
+	field      string
+	message    string
+	retryAfter time.Duration
 }
 
 func writeOutcome(w http.ResponseWriter, q *Request, o attempt.Outcome) {
-	f := &fault{}
+	f := &requestError{}
 	name, reason := describe(o)
 	f.message = reason
 	switch o := o.(type) {
 	case attempt.NotRun:
-		f.status, f.code = statusOf(o.Cause)
-		f.retry = max(o.RetryAfter, time.Second)
+		f.status, f.code = statusForCause(o.Cause)
+		f.retryAfter = max(o.RetryAfter, time.Second)
 	case attempt.Ran:
 		f.status, f.code = http.StatusBadGateway, "answer_cut"
 	case attempt.Unknown:
 		f.status, f.code = http.StatusBadGateway, "outcome_unknown"
 	}
-	write(w, q.ID, name, f)
+	writeError(w, q.ID, name, f)
 }
 
 // statusOf gives a cause its status and code.
-func statusOf(c attempt.Cause) (status int, code string) {
+func statusForCause(c attempt.Cause) (status int, code string) {
 	switch c {
 	case attempt.TooMany:
 		return http.StatusTooManyRequests, "too_many_waiting"
@@ -50,27 +50,29 @@
 }
 
 // writeFault answers a request that was refused before it was dispatched.
-func writeFault(w http.ResponseWriter, request string, f *fault) { write(w, request, "not-run", f) }
+func writeRequestError(w http.ResponseWriter, request string, f *requestError) {
+	writeError(w, request, "not-run", f)
+}
 
-func write(w http.ResponseWriter, request, outcome string, f *fault) {
+func writeError(w http.ResponseWriter, request, outcome string, f *requestError) {
 	h := w.Header()
 	if request != "" {
 		h.Set(RequestHeader, request)
 	}
 	h.Set(OutcomeHeader, outcome)
-	h.Set(shouldRetryHeader, strconv.FormatBool(f.retry > 0 && outcome == "not-run"))
+	h.Set(shouldRetryHeader, strconv.FormatBool(f.retryAfter > 0 && outcome == "not-run"))
 	body := map[string]any{
-		"message": f.message, "type": typeOf(f.status), "code": f.code, "param": f.field,
+		"message": f.message, "type": errorType(f.status), "code": f.code, "param": f.field,
 		"outcome": outcome, "request_id": request,
 	}
-	if f.retry > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.retry.Seconds()))))
-		body["retry_after_ms"] = f.retry.Milliseconds()
+	if f.retryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.retryAfter.Seconds()))))
+		body["retry_after_ms"] = f.retryAfter.Milliseconds()
 	}
 	writeJSON(w, f.status, map[string]any{"error": body})
 }
 
-func typeOf(status int) string {
+func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized || status == http.StatusForbidden:
 		return "authentication_error"
--- a/router/retries.go
+++ b/router/retries.go
@@ -5,9 +5,9 @@
 )
 
 const (
-	mostRetries = 5
+	maxRetries = 5
 	// Retries may be a tenth of requests, and some more after a quiet time.
-	retryPart  = 0.1
+	retryRatio = 0.1
 	retryBurst = 20
 )
 
@@ -18,13 +18,13 @@
 	spent float64
 }
 
-func (b *retryBudget) earn() {
+func (b *retryBudget) deposit() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.spent = max(0, b.spent-retryPart)
+	b.spent = max(0, b.spent-retryRatio)
 }
 
-func (b *retryBudget) take() bool {
+func (b *retryBudget) tryWithdraw() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.spent+1 > retryBurst {
--- a/router/router.go
+++ b/router/router.go
@@ -37,7 +37,7 @@
 
 const (
 	defaultInterval = 2 * time.Second
-	eventQueue      = 4096
+	eventQueueSize  = 4096
 )
 
 // Dialer opens connections to other processes.
@@ -104,25 +104,25 @@
 
 // Router is a running or ready router.
 type Router struct {
-	options     Options
-	incarnation string
-	holder      config.Holder
-	store       config.Store
-	duties      *duty.Group
-	dispatcher  *dispatcher
-	members     *members
-	agents      *agents
-	neighbours  *neighbours
-	summing     *summing
-	retries     retryBudget
-	control     wire.ControlCount
-	counted     counted
-	fresh       freshness
-	draining    atomic.Bool
-	open        atomic.Int64 // requests not yet answered
-	drained     chan struct{}
-	drainOnce   sync.Once
-	begun       time.Time
+	options       Options
+	incarnation   string
+	holder        config.Holder
+	store         config.Store
+	duties        *duty.Group
+	dispatcher    *dispatcher
+	members       *members
+	agents        *agents
+	neighbours    *neighbours
+	aggregator    *aggregator
+	retries       retryBudget
+	control       wire.ControlCount
+	exchangeBytes byteCounter
+	freshness     freshness
+	draining      atomic.Bool
+	openRequests  atomic.Int64 // requests not yet answered
+	drained       chan struct{}
+	drainOnce     sync.Once
+	startedAt     time.Time
 }
 
 // New returns a router that Start has yet to start.
@@ -137,14 +137,14 @@
 		store:       config.Store{KV: o.KV},
 		duties:      duty.NewGroup(),
 		drained:     make(chan struct{}),
-		begun:       time.Now(),
+		startedAt:   time.Now(),
 	}
 	r.store.Known = r.holder.Current
 	r.dispatcher = newDispatcher(r)
 	r.members = &members{router: r}
 	r.agents = &agents{router: r, links: map[string]*link{}}
 	r.neighbours = &neighbours{router: r, links: map[string]*link{}}
-	r.summing = newSumming(r)
+	r.aggregator = newAggregator(r)
 	return r, nil
 }
 
@@ -156,7 +156,7 @@
 	r.duties.Go(ctx, "members", r.members.run)
 	r.duties.Go(ctx, "agents", r.agents.run)
 	r.duties.Go(ctx, "neighbours", r.neighbours.run)
-	r.duties.Go(ctx, "summing", r.summing.run)
+	r.duties.Go(ctx, "summing", r.aggregator.run)
 	r.duties.Go(ctx, "configuration", r.watchConfiguration)
 	r.duties.Go(ctx, "accept", r.accept)
 	go func() {
@@ -176,11 +176,11 @@
 	return r.drained
 }
 
-// Open returns the number of requests that are not yet answered.
-func (r *Router) Open() int { return int(r.open.Load()) }
+// OpenRequests returns the number of requests that are not yet answered.
+func (r *Router) OpenRequests() int { return int(r.openRequests.Load()) }
 
 func (r *Router) checkDrained() {
-	if r.draining.Load() && r.open.Load() == 0 {
+	if r.draining.Load() && r.openRequests.Load() == 0 {
 		r.drainOnce.Do(func() { close(r.drained) })
 	}
 }
@@ -211,7 +211,7 @@
 }
 
 // ControlBytes returns the bytes of control messages sent and received so far.
-func (r *Router) ControlBytes() uint64 { return r.control.Total() + r.counted.total() }
+func (r *Router) ControlBytes() uint64 { return r.control.Total() + r.exchangeBytes.total() }
 
 // AgentsConnected returns the number of agents that are connected now.
 func (r *Router) AgentsConnected() int { return r.agents.connected() }
--- a/router/serve.go
+++ b/router/serve.go
@@ -18,21 +18,21 @@
 
 // Request is a caller's request, as the router works on it.
 type Request struct {
-	ID         string
-	Account    string
-	AccountID  uint32
-	Pool       string
-	Urgent     bool
-	Repeatable bool
-	Key        string // the caller's idempotency key; empty: none
-	Deadline   time.Time
-	Estimate   float64 // weighted tokens, a hint
-	Prefix     uint64
-	Method     string
-	Path       string
-	Headers    []*wirepb.Header
-	Content    []byte
-	MaxWaiting int
+	ID             string
+	Account        string
+	AccountID      uint32
+	Pool           string
+	Urgent         bool
+	Repeatable     bool
+	IdempotencyKey string // the caller's idempotency key; empty: none
+	Deadline       time.Time
+	Estimate       float64 // weighted tokens, a hint
+	Prefix         uint64
+	Method         string
+	Path           string
+	Headers        []*wirepb.Header
+	Content        []byte
+	MaxWaiting     int
 }
 
 // Sink takes the answer as it comes. Head comes once, before the first Write.
@@ -44,12 +44,12 @@
 const (
 	// recoverTime is how long a router looks for an agent that it lost, to revoke
 	// or resume an attempt.
-	recoverTime = 5 * time.Second
+	recoveryTimeout = 5 * time.Second
 	// cancelTime is how long it waits for the agent's last word after a cancel.
-	cancelTime = 500 * time.Millisecond
+	cancelTimeout = 500 * time.Millisecond
 	// keyFreshness is how lately the service must have confirmed the revision for
 	// a request with an idempotency key: see docs/design/attempts.md.
-	keyFreshness = attempt.Skew / 2
+	maxConfirmationAge = attempt.Skew / 2
 	// deadlineReserve of a caller's time is kept to carry the answer back.
 	deadlineReserve = 20 * time.Millisecond
 )
@@ -57,9 +57,9 @@
 // Serve runs a request from its arrival to its outcome, and passes the answer to
 // the sink. The context ends when the caller leaves.
 func (r *Router) Serve(ctx context.Context, q *Request, sink Sink) attempt.Outcome {
-	r.open.Add(1)
+	r.openRequests.Add(1)
 	defer func() {
-		r.open.Add(-1)
+		r.openRequests.Add(-1)
 		r.checkDrained()
 	}()
 	ctx, cancel := context.WithDeadlineCause(ctx, q.Deadline.Add(-deadlineReserve), errDeadline)
@@ -67,16 +67,16 @@
 	ctx, span := r.options.Tracer.Start(ctx, "router.request", trace.WithAttributes(
 		attribute.String("request", q.ID), attribute.String("account", q.Account), attribute.String("pool", q.Pool)))
 	defer span.End()
-	r.retries.earn()
+	r.retries.deposit()
 	arrived := time.Now()
 	f := &flight{router: r, request: q, sink: sink, life: attempt.NewLife(q.Repeatable)}
 	r.record(explain.Event{Kind: explain.Arrive, Request: q.ID, Account: q.Account, Text: q.describe()})
 	o := f.run(ctx)
 	name, text := describe(o)
-	cause := string(causeIn(o))
+	cause := string(causeOf(o))
 	span.SetAttributes(attribute.String("outcome", name))
 	r.record(explain.Event{Kind: explain.Outcome, Request: q.ID, Account: q.Account, Attempt: f.life.Attempts(), Text: name + ": " + text})
-	r.options.Metrics.Request(q.Account, q.Pool, name, cause, q.Urgent, f.ticketWait(), time.Since(arrived))
+	r.options.Metrics.Request(q.Account, q.Pool, name, cause, q.Urgent, f.waitTime(), time.Since(arrived))
 	return o
 }
 
@@ -114,7 +114,7 @@
 }
 
 // causeIn returns why a request did not get its whole answer; empty: it did.
-func causeIn(o attempt.Outcome) attempt.Cause {
+func causeOf(o attempt.Outcome) attempt.Cause {
 	switch o := o.(type) {
 	case attempt.NotRun:
 		return o.Cause
@@ -129,41 +129,41 @@
 
 // flight is one request under way.
 type flight struct {
-	router  *Router
-	request *Request
-	sink    Sink
-	life    *attempt.Life
-	ticket  *ticket
-	refused refusal
-	next    uint64 // number of the next chunk to pass on
-	headed  bool
-	retries int
-	cost    float64 // weighted tokens, when the agent has told it
+	router      *Router
+	request     *Request
+	sink        Sink
+	life        *attempt.Life
+	ticket      *ticket
+	refused     refusal
+	nextChunk   uint64 // number of the next chunk to pass on
+	headWritten bool
+	retries     int
+	cost        float64 // weighted tokens, when the agent has told it
 	// lastBusy says that the agent of the last attempt had no room.
-	lastBusy bool
+	lastAgentBusy bool
 }
 
-func (f *flight) ticketWait() time.Duration {
+func (f *flight) waitTime() time.Duration {
 	if f.ticket == nil {
 		return 0
 	}
-	return f.ticket.waited
+	return f.ticket.waitTime
 }
 
 func (f *flight) run(ctx context.Context) attempt.Outcome {
-	if f.request.Key != "" && f.router.confirmedAge() > keyFreshness {
-		return attempt.NotRun{Cause: attempt.Untold, Reason: "the configuration is not confirmed lately, so that idempotency keys cannot be told apart", RetryAfter: longestPause}
+	if f.request.IdempotencyKey != "" && f.router.confirmationAge() > maxConfirmationAge {
+		return attempt.NotRun{Cause: attempt.Untold, Reason: "the configuration is not confirmed lately, so that idempotency keys cannot be told apart", RetryAfter: maxBackoff}
 	}
 	f.ticket = f.newTicket()
-	f.router.dispatcher.tell(offerEvent{ticket: f.ticket})
+	f.router.dispatcher.send(submitEvent{ticket: f.ticket})
 	for {
-		p, ok := f.place(ctx)
+		p, ok := f.waitForPlacement(ctx)
 		if !ok {
 			return f.giveUp(ctx)
 		}
-		switch n := f.try(ctx, p).(type) {
+		switch n := f.runAttempt(ctx, p).(type) {
 		case attempt.Again:
-			if o, stop := f.again(ctx, p); stop {
+			if o, stop := f.requeue(ctx, p); stop {
 				return o
 			}
 		case attempt.Stop:
@@ -177,30 +177,30 @@
 func (f *flight) newTicket() *ticket {
 	q := f.request
 	k := dispatch.Key{Account: fair.Account(q.AccountID), Pool: q.Pool, Urgent: q.Urgent}
-	if q.Key != "" {
-		k.Server = f.router.ownerOf(q)
+	if q.IdempotencyKey != "" {
+		k.Server = f.router.keyOwner(q)
 	}
 	return &ticket{
 		request: &dispatch.Request{
 			ID: q.ID, Key: k, Estimate: q.Estimate, Prefix: q.Prefix, Deadline: q.Deadline, Arrived: time.Now(),
 		},
-		account: q.Account,
-		most:    q.MaxWaiting,
-		answer:  make(chan placed, 1),
+		account:    q.Account,
+		maxWaiting: q.MaxWaiting,
+		result:     make(chan placementResult, 1),
 	}
 }
 
 // ownerOf returns the server that remembers the caller's idempotency key, by the
 // configuration alone: a late live list cannot move it.
-func (r *Router) ownerOf(q *Request) string {
-	owner, most := "", uint64(0)
+func (r *Router) keyOwner(q *Request) string {
+	owner, highest := "", uint64(0)
 	for _, s := range r.holder.Current().Servers {
 		for _, p := range s.Pools {
 			if p != q.Pool {
 				continue
 			}
-			if h := rendezvous(q.Account+"/"+q.Key, s.Name); owner == "" || h > most {
-				owner, most = s.Name, h
+			if h := rendezvous(q.Account+"/"+q.IdempotencyKey, s.Name); owner == "" || h > highest {
+				owner, highest = s.Name, h
 			}
 		}
 	}
@@ -209,18 +209,18 @@
 
 // place waits until the dispatcher binds the request, refuses it, or the caller's
 // time is up.
-func (f *flight) place(ctx context.Context) (placement, bool) {
+func (f *flight) waitForPlacement(ctx context.Context) (placement, bool) {
 	_, span := f.router.options.Tracer.Start(ctx, "router.wait")
 	defer span.End()
 	select {
-	case a := <-f.ticket.answer:
-		return f.placed(a)
+	case a := <-f.ticket.result:
+		return f.applyResult(a)
 	case <-ctx.Done():
 	case <-f.router.dispatcher.stopped:
 		return placement{}, false
 	}
 	reply := make(chan bool, 1)
-	if !f.router.dispatcher.tell(leaveEvent{ticket: f.ticket, reply: reply}) {
+	if !f.router.dispatcher.send(cancelEvent{ticket: f.ticket, reply: reply}) {
 		return placement{}, false
 	}
 	select {
@@ -229,16 +229,16 @@
 		return placement{}, false
 	}
 	select {
-	case a := <-f.ticket.answer: // it was bound at the same moment
+	case a := <-f.ticket.result: // it was bound at the same moment
 		if p, bound := a.(placement); bound {
-			f.router.dispatcher.tell(declineEvent{placement: p})
+			f.router.dispatcher.send(declineEvent{placement: p})
 		}
 	default:
 	}
 	return placement{}, false
 }
 
-func (f *flight) placed(a placed) (placement, bool) {
+func (f *flight) applyResult(a placementResult) (placement, bool) {
 	switch a := a.(type) {
 	case placement:
 		return a, true
@@ -274,20 +274,20 @@
 
 // again puts the request back in the queue after an attempt that did not run, or
 // stops when retries are spent.
-func (f *flight) again(ctx context.Context, p placement) (attempt.Outcome, bool) {
-	if f.lastBusy {
-		f.router.dispatcher.tell(againEvent{ticket: f.ticket, agent: p.peer.Hello.Node, full: true})
+func (f *flight) requeue(ctx context.Context, p placement) (attempt.Outcome, bool) {
+	if f.lastAgentBusy {
+		f.router.dispatcher.send(requeueEvent{ticket: f.ticket, agent: p.peer.Hello.Node, full: true})
 		return nil, false
 	}
 	f.retries++
-	if f.refused.reason != "" || f.retries > mostRetries || !f.router.retries.take() {
-		f.router.dispatcher.tell(endEvent{ticket: f.ticket, agent: p.peer.Hello.Node})
+	if f.refused.reason != "" || f.retries > maxRetries || !f.router.retries.tryWithdraw() {
+		f.router.dispatcher.send(endEvent{ticket: f.ticket, agent: p.peer.Hello.Node})
 		if f.refused.reason == "" {
 			f.refused = refusal{cause: attempt.Failing, reason: "several attempts did not run", retryAfter: time.Second}
 		}
 		return f.giveUp(ctx), true
 	}
 	f.router.options.Metrics.Retry("lost")
-	f.router.dispatcher.tell(againEvent{ticket: f.ticket, agent: p.peer.Hello.Node})
+	f.router.dispatcher.send(requeueEvent{ticket: f.ticket, agent: p.peer.Hello.Node})
 	return nil, false
 }
--- a/router/suits.go
+++ b/router/suits.go
@@ -10,9 +10,9 @@
 
 // free returns the agent with room that suits the request best: one that has seen
 // its beginning, then one of the own hall, then the one with most room.
-func (d *dispatcher) free(t *ticket) (*agentView, string) {
-	var best *agentView
-	most := math.Inf(-1)
+func (d *dispatcher) pickAgent(t *ticket) (*agentState, string) {
+	var best *agentState
+	bestScore := math.Inf(-1)
 	for name, v := range d.agents {
 		if !v.serves(t.request.Key.Pool) || v.waiting > 0 || v.running >= v.limit {
 			continue
@@ -20,41 +20,41 @@
 		if only := t.request.Key.Server; only != "" && only != name {
 			continue
 		}
-		s := d.suits(v, t.request.Prefix)
-		if slices.Contains(t.failed, name) {
-			s -= failedWorth
+		s := d.score(v, t.request.Prefix)
+		if slices.Contains(t.failedAgents, name) {
+			s -= failedPenalty
 		}
-		if s > most || (s == most && name < best.peer.Hello.Node) {
-			best, most = v, s
+		if s > bestScore || (s == bestScore && name < best.peer.Hello.Node) {
+			best, bestScore = v, s
 		}
 	}
 	if best == nil {
 		return nil, ""
 	}
-	return best, fmt.Sprintf("%s has room: it runs %d of %d%s", best.peer.Hello.Node, best.running, best.limit, d.because(best, t.request.Prefix))
+	return best, fmt.Sprintf("%s has room: it runs %d of %d%s", best.peer.Hello.Node, best.running, best.limit, d.describeMatch(best, t.request.Prefix))
 }
 
 // Weights of what speaks for an agent, against its share of free places.
 const (
-	prefixWorth = 0.5
-	hallWorth   = 0.25
-	failedWorth = 10 // an agent where the request failed before is the last choice
+	prefixWeight  = 0.5
+	hallWeight    = 0.25
+	failedPenalty = 10 // an agent where the request failed before is the last choice
 )
 
-func (d *dispatcher) suits(v *agentView, prefix uint64) float64 {
+func (d *dispatcher) score(v *agentState, prefix uint64) float64 {
 	s := float64(v.limit-v.running) / float64(max(v.limit, 1))
-	if v.seen(prefix) {
-		s += prefixWorth
+	if v.hasPrefix(prefix) {
+		s += prefixWeight
 	}
 	if v.peer.Hello.Hall == d.router.options.Hall {
-		s += hallWorth
+		s += hallWeight
 	}
 	return s
 }
 
-func (d *dispatcher) because(v *agentView, prefix uint64) string {
+func (d *dispatcher) describeMatch(v *agentState, prefix uint64) string {
 	text := ""
-	if v.seen(prefix) {
+	if v.hasPrefix(prefix) {
 		text += ", and has seen this prompt's beginning"
 	}
 	if v.peer.Hello.Hall == d.router.options.Hall {
@@ -63,15 +63,15 @@
 	return text
 }
 
-func (v *agentView) serves(pool string) bool {
+func (v *agentState) serves(pool string) bool {
 	return !v.leaving && slices.Contains(v.pools, pool)
 }
 
-func (v *agentView) seen(prefix uint64) bool {
+func (v *agentState) hasPrefix(prefix uint64) bool {
 	return prefix != 0 && slices.Contains(v.prefixes, prefix)
 }
 
-func (v *agentView) remember(prefix uint64) {
+func (v *agentState) recordPrefix(prefix uint64) {
 	if prefix == 0 {
 		return
 	}
@@ -79,7 +79,7 @@
 		v.prefixes = slices.Delete(v.prefixes, at, at+1)
 	}
 	v.prefixes = append(v.prefixes, prefix)
-	if len(v.prefixes) > prefixesKept {
+	if len(v.prefixes) > maxPrefixes {
 		v.prefixes = slices.Delete(v.prefixes, 0, 1)
 	}
 }
--- a/router/wants.go
+++ b/router/wants.go
@@ -11,7 +11,7 @@
 // This file tells agents how many requests wait, and takes their grants and loads.
 
 // granted binds the best waiting request to a place that an agent offers.
-func (d *dispatcher) granted(e grantEvent) {
+func (d *dispatcher) handleGrant(e grantEvent) {
 	v := d.agents[e.peer.Hello.Node]
 	if v == nil || v.peer != e.peer {
 		return
@@ -20,11 +20,11 @@
 	if e.grant.Pinned {
 		k.Server = e.peer.Hello.Node
 	}
-	v.told[k]--
+	v.sentWants[k]--
 	d.dirty[k] = true
-	request := d.queue.Bind(k, v.seen)
+	request := d.queue.Bind(k, v.hasPrefix)
 	if request == nil {
-		e.peer.Send(d.router.message(&wirepb.Control_Decline{Decline: &wirepb.Decline{Grant: e.grant.Id}}))
+		e.peer.Send(d.router.controlMessage(&wirepb.Control_Decline{Decline: &wirepb.Decline{Grant: e.grant.Id}}))
 		return
 	}
 	t := d.tickets[request]
@@ -32,7 +32,7 @@
 	d.bind(t, v, e.grant.Id, fmt.Sprintf("%s granted a place: the account stood furthest behind among those waiting there", e.peer.Hello.Node))
 }
 
-func (d *dispatcher) load(e loadEvent) {
+func (d *dispatcher) handleLoad(e loadEvent) {
 	v := d.agents[e.peer.Hello.Node]
 	if v == nil || v.peer != e.peer {
 		return
@@ -41,7 +41,7 @@
 	v.limit = int(e.load.Limit)
 	v.running = int(e.load.Running)
 	v.waiting = int(e.load.Waiting)
-	v.sick = e.load.Sick
+	v.unhealthy = e.load.Sick
 	if e.load.Leaving != v.leaving || !hadRoom {
 		v.leaving = e.load.Leaving
 		for _, k := range d.queue.Keys() {
@@ -52,7 +52,7 @@
 
 // flush tells agents how many requests wait, where what they believe is too far
 // off.
-func (d *dispatcher) flush() {
+func (d *dispatcher) sendWants() {
 	if d.router.options.Queueing != LateBinding {
 		return
 	}
@@ -60,33 +60,33 @@
 		delete(d.dirty, k)
 		count := d.queue.Count(k)
 		for _, v := range d.agents {
-			d.want(v, k, count)
+			d.sendWant(v, k, count)
 		}
 	}
 }
 
 // understated is by which factor an agent may believe too little before it is
 // told. Believing too much costs nothing as long as one waits.
-const understated = 4
+const wantUpdateFactor = 4
 
-func (d *dispatcher) want(v *agentView, k dispatch.Key, count int) {
+func (d *dispatcher) sendWant(v *agentState, k dispatch.Key, count int) {
 	if !v.serves(k.Pool) || (k.Server != "" && k.Server != v.peer.Hello.Node) {
 		count = 0
 	}
-	told := v.told[k]
-	withdrawn := count == 0 && told > 0
-	unknown := count > 0 && told <= 0
-	if !withdrawn && !unknown && count < told*understated {
+	sent := v.sentWants[k]
+	withdrawn := count == 0 && sent > 0
+	unknown := count > 0 && sent <= 0
+	if !withdrawn && !unknown && count < sent*wantUpdateFactor {
 		return
 	}
-	if count == told {
+	if count == sent {
 		return
 	}
-	v.told[k] = count
+	v.sentWants[k] = count
 	if count == 0 {
-		delete(v.told, k)
+		delete(v.sentWants, k)
 	}
-	v.peer.Send(d.router.message(&wirepb.Control_Want{Want: &wirepb.Want{
+	v.peer.Send(d.router.controlMessage(&wirepb.Control_Want{Want: &wirepb.Want{
 		Account:  uint32(k.Account),
 		Pool:     k.Pool,
 		Urgent:   k.Urgent,
@@ -98,7 +98,7 @@
 
 // estimate returns what a request of the line is expected to cost: what others of
 // the account cost of late, or the hint when none is known.
-func (d *dispatcher) estimate(k dispatch.Key, hint float64) float64 {
+func (d *dispatcher) expectedCost(k dispatch.Key, hint float64) float64 {
 	if c, known := d.costs[k]; known {
 		return c
 	}
