--- a/router/agents.go
+++ b/router/agents.go
@@ -14,7 +14,7 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// agents is the duty that keeps connections to the router's agents.
+// agents maintains the connections to the agents that this router uses.
 type agents struct {
 	router *Router
 	mutex  sync.Mutex
@@ -30,7 +30,7 @@
 			changed := s.router.members.changed()
 			s.updateLinks(ctx, connections)
 			select {
-			case <-t.C: // summing may have begun or ended
+			case <-t.C: // the set of desired agents also depends on whether this router aggregates
 			case <-changed:
 			case <-s.router.holder.Changed():
 			case <-ctx.Done():
@@ -41,7 +41,8 @@
 	connections.Collect(ctx)
 }
 
-// choose keeps the links that are wanted, ends the others and starts new ones.
+// updateLinks starts links to newly desired agents, and closes links whose address
+// changed or whose host is gone; see link.shouldDrop.
 func (s *agents) updateLinks(ctx context.Context, connections *duty.Group) {
 	desired := map[string]kv.Host{}
 	for _, h := range s.router.members.desiredAgents() {
@@ -71,7 +72,7 @@
 	}
 }
 
-// tellLeaving passes on to an agent what the live list says of its host.
+// sendLeaving tells an agent whether the live list marks its host as leaving.
 func (s *agents) sendLeaving(l *link, leaving bool) {
 	if p := l.markLeavingSent(leaving); p != nil {
 		p.Send(s.router.controlMessage(&wirepb.Control_Leaving{Leaving: &wirepb.Leaving{On: leaving}}))
@@ -89,7 +90,7 @@
 	r.aggregator.agentLost(p)
 }
 
-var errUnexpected = errors.New("router: message that an agent does not send")
+var errUnexpected = errors.New("router: unexpected message type")
 
 func (s *agents) handle(p *wire.Peer, m *wirepb.Control) {
 	r := s.router
@@ -113,10 +114,10 @@
 	}
 }
 
-// connected returns how many agents are connected.
+// connected returns the number of connected agents.
 func (s *agents) connected() int { return len(s.peers()) }
 
-// peers returns the present connections.
+// peers returns the open connections.
 func (s *agents) peers() []*wire.Peer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -129,8 +130,8 @@
 	return list
 }
 
-// find returns the connection to an agent, waiting for it until ctx ends. It
-// returns nil when there is none.
+// waitForPeer returns a connection to an agent other than not, and waits for one
+// until ctx ends. It returns nil if there is none or the agent is not desired.
 func (s *agents) waitForPeer(ctx context.Context, name string, not *wire.Peer) *wire.Peer {
 	for {
 		s.mutex.Lock()
@@ -144,7 +145,7 @@
 			return p
 		}
 		if p != nil {
-			select { // the broken connection is about to be taken off
+			select { // the link is about to drop the broken connection
 			case <-p.Closed():
 				if !sleep(ctx, minRedialInterval) {
 					return nil
@@ -169,7 +170,7 @@
 	}
 }
 
-// offerContent offers a document that a peer has sent.
+// applyEncodedDocument decodes a document sent by a peer and applies it.
 func (r *Router) applyEncodedDocument(p *wire.Peer, content []byte) {
 	d, err := config.Decode(content)
 	if err != nil {
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -17,7 +17,8 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// try makes one attempt at the agent of the placement.
+// runAttempt makes one attempt at the agent of the placement, and revokes or
+// resumes it if the connection breaks.
 func (f *flight) runAttempt(ctx context.Context, p placement) attempt.Next {
 	ctx, span := f.router.options.Tracer.Start(ctx, "router.dispatch", trace.WithAttributes(attribute.String("agent", p.peer.Hello.Node)))
 	defer span.End()
@@ -44,7 +45,7 @@
 		case attempt.Rejoin:
 			next = f.resume(ctx, p)
 		default:
-			if _, again := next.(attempt.Again); !again {
+			if _, retry := next.(attempt.Again); !retry {
 				f.router.dispatcher.send(endEvent{ticket: f.ticket, agent: p.peer.Hello.Node, cost: f.cost})
 			}
 			return next
@@ -78,8 +79,8 @@
 	}
 }
 
-// read takes the answer from a stream. When the caller leaves or the deadline
-// passes it tells the agent to stop.
+// readAnswer reads the answer from a stream. If the caller leaves or the deadline
+// passes, it cancels the attempt at the agent.
 func (f *flight) readAnswer(ctx context.Context, p placement, s *wire.Stream) attempt.Next {
 	release := context.AfterFunc(ctx, func() {
 		_ = s.Write(&wirepb.Call{Body: &wirepb.Call_Cancel{Cancel: &wirepb.Cancel{Reason: context.Cause(ctx).Error()}}})
@@ -118,14 +119,15 @@
 	}
 }
 
-// mayTryElsewhere reports whether an answer is a server's own failure that another
-// server may not share, to a request that may run again.
+// canRetryElsewhere reports whether the server failed with a 5xx status that
+// another server may not return, and the request may be retried.
 func (f *flight) canRetryElsewhere(head *wirepb.Head) bool {
 	return head.Status >= http.StatusInternalServerError && f.request.Repeatable && f.nextChunk == 0 &&
 		f.retries < maxRetries && f.life.State() == attempt.Admitted
 }
 
-// chunk passes one piece of the answer on, if it is the next one.
+// handleChunk forwards one chunk of the answer to the caller. A chunk out of order
+// is a protocol error and closes the connection.
 func (f *flight) handleChunk(ctx context.Context, p placement, s *wire.Stream, head *wirepb.Head, c *wirepb.Chunk) (attempt.Next, bool) {
 	if c.Number != f.nextChunk || f.life.State() == attempt.Sent {
 		p.peer.Close(errUnexpected)
@@ -141,7 +143,7 @@
 	return nil, false
 }
 
-// pass hands the answer's head to the caller, once.
+// writeHead writes the status and headers to the caller, once.
 func (f *flight) writeHead(head *wirepb.Head) {
 	if f.headWritten || head == nil {
 		return
@@ -159,7 +161,7 @@
 	return f.life.Fire(attempt.Finish)
 }
 
-// because gives the outcome of a cut answer its reason.
+// withReason sets the reason and cause of a truncated answer.
 func (f *flight) withReason(n attempt.Next, reason string) attempt.Next {
 	stop, stopped := n.(attempt.Stop)
 	if ran, cut := stop.Outcome.(attempt.Ran); stopped && cut && reason != "" {
@@ -170,7 +172,7 @@
 	return stop
 }
 
-// causeOf tells the agent's own reasons for a cut apart.
+// causeForReason returns the cause for an agent's reason for a truncated answer.
 func causeForReason(reason string) attempt.Cause {
 	switch reason {
 	case wire.ReasonDeadline:
@@ -190,7 +192,7 @@
 	return f.life.Fire(attempt.Decline)
 }
 
-// unknown ends an attempt of which the agent itself cannot tell.
+// handleUnknown ends an attempt whose outcome the agent does not know either.
 func (f *flight) handleUnknown(u *wirepb.Unknown) attempt.Next {
 	if f.life.State() == attempt.Sent {
 		f.life.Fire(attempt.Lose)
@@ -205,8 +207,8 @@
 	return n
 }
 
-// lost follows a broken stream. When the caller is gone anyway nobody asks
-// further.
+// handleLost handles a broken stream. If the caller has left or the deadline has
+// passed, the attempt is not recovered.
 func (f *flight) handleLost(ctx context.Context, p placement, err error) attempt.Next {
 	f.router.record(explain.Event{Kind: explain.Lose, Request: f.request.ID, Account: f.request.Account, Attempt: f.life.Attempts(),
 		Text: fmt.Sprintf("lost sight of the attempt at %s: %v", p.peer.Hello.Node, err)})
@@ -217,8 +219,8 @@
 	return f.abandon(ctx)
 }
 
-// abandoned ends a request whose caller has left, or whose time is up, while an
-// attempt may run.
+// abandon ends a request whose caller has left, or whose deadline has passed, while
+// an attempt may be running.
 func (f *flight) abandon(ctx context.Context) attempt.Next {
 	cause, reason := attempt.CallerLeft, "the caller left"
 	if errors.Is(context.Cause(ctx), errDeadline) {
--- a/router/baseline.go
+++ b/router/baseline.go
@@ -8,13 +8,13 @@
 	"opalbridge.dev/fair"
 )
 
-// baseline is the state of the two ways to dispatch that the project is compared
-// with: both are what a router can do by itself, with the least loaded agent.
+// baseline is the state of the two baseline policies, RouterFair and FirstCome. In
+// both the router decides alone and sends to the least loaded agent.
 type baseline struct {
-	served map[fair.Account]float64 // service given by this router
+	served map[fair.Account]float64 // expected cost dispatched by this router, divided by share
 }
 
-// baselineDispatch binds waiting requests as long as an agent seems to have room.
+// dispatchBaseline binds waiting requests while an agent seems to have capacity.
 func (d *dispatcher) dispatchBaseline() {
 	if d.router.options.Queueing == LateBinding {
 		return
@@ -32,14 +32,14 @@
 	for _, k := range keys {
 		request := d.queue.Peek(k)
 		t := d.tickets[request]
-		v, why := d.pickAgent(t)
+		v, reason := d.pickAgent(t)
 		if v == nil {
 			continue
 		}
 		d.queue.Remove(request)
 		delete(d.tickets, request)
 		d.baseline.served[k.Account] += d.expectedCost(k, request.Estimate) / d.accountShare(k.Account)
-		d.bind(t, v, 0, why)
+		d.bind(t, v, 0, reason)
 		return true
 	}
 	return false
--- a/router/configuration.go
+++ b/router/configuration.go
@@ -19,13 +19,14 @@
 	minBackoff   = 200 * time.Millisecond
 	maxBackoff   = 10 * time.Second
 	watchTimeout = time.Minute
-	// idleCheck is how often a router that holds no watch looks whether it should.
+	// dutyCheckInterval is how often a router that does not watch the store checks
+	// whether the duty has passed to it.
 	dutyCheckInterval = 2 * time.Second
 )
 
-// watchConfiguration is the duty that learns revisions from the platform's
-// service. Only the holders of a hall watch it; the others hear from peers, but
-// every router reads it once at its start.
+// watchConfiguration watches the platform's key-value store for new revisions. Only
+// dutyReplicas routers of a hall watch it, to bound its load; the others receive
+// revisions from peers, but every router reads the store once at startup.
 func (r *Router) watchConfiguration(ctx context.Context) {
 	var version uint64
 	backoff := minBackoff
@@ -42,7 +43,7 @@
 		}
 		if err != nil {
 			r.recordOutage(err)
-			// The pause is spread so that the routers do not come back together.
+			// Jitter keeps the routers from retrying at the same moment.
 			if !sleep(ctx, backoff/2+rand.N(backoff)) {
 				return
 			}
@@ -70,19 +71,20 @@
 	return r.store.Await(ctx, version)
 }
 
-// restore writes the revision in force again to a service that holds an earlier one.
+// restore writes the revision in force back to a store that holds an older one.
 func (r *Router) restore(ctx context.Context, d *config.Document, version uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	stale, err := r.store.Restore(ctx, d, version)
 	if stale {
 		r.record(explain.Event{Kind: explain.Repair, Text: fmt.Sprintf("the platform's service has come back with revision %d", d.Revision)})
-		r.options.Log.Warn().Uint64("revision", r.holder.Revision()).Uint64("service", d.Revision).Err(err).Msg("platform's service is older than what is in force: written again")
+		r.options.Log.Warn().Uint64("revision", r.holder.Revision()).Uint64("service", d.Revision).Err(err).Msg("platform store holds an older configuration, restored the one in force")
 	}
 	return err
 }
 
-// offer puts a document in force if it is newer, and tells the neighbours.
+// applyDocument puts a document in force if it is newer than the current one, and
+// announces its revision to the agents.
 func (r *Router) applyDocument(d *config.Document, from string) bool {
 	if !r.holder.Offer(d) {
 		return false
@@ -94,8 +96,8 @@
 	return true
 }
 
-// noteRevision asks a peer with a newer revision for it, and gives ours to one
-// with an older.
+// requestNewerDocument asks a peer for its document if its message carries a newer
+// revision.
 func (r *Router) requestNewerDocument(p *wire.Peer, m *wirepb.Control) {
 	if m.GetDocument() != nil || m.GetDocumentRequest() != nil {
 		return
@@ -118,18 +120,18 @@
 	}
 	content, err := d.Encode()
 	if err != nil {
-		r.options.Log.Error().Err(err).Msg("configuration not sent")
+		r.options.Log.Error().Err(err).Msg("failed to encode configuration")
 		return
 	}
 	p.Send(r.controlMessage(&wirepb.Control_Document{Document: &wirepb.Document{Content: content}}))
 }
 
-// freshness remembers when the service last confirmed the revision in force,
-// here or at a router that told so.
+// freshness records when the store last confirmed the revision in force, to this
+// router or to one that reported so.
 type freshness struct {
 	mutex       sync.Mutex
 	confirmedAt time.Time
-	outageSince time.Time // since when the service cannot be read; zero: it can
+	outageSince time.Time // start of the current store outage; zero: none
 }
 
 func (r *Router) recordConfirmation(age time.Duration, revision uint64) {
@@ -143,7 +145,7 @@
 	}
 }
 
-// neverConfirmed is the age told when the service was never reached.
+// unconfirmedAge is the age reported when the store never confirmed the revision.
 const unconfirmedAge = 100 * 24 * time.Hour
 
 func (r *Router) confirmationAge() time.Duration {
@@ -161,7 +163,7 @@
 	if r.freshness.outageSince.IsZero() {
 		r.freshness.outageSince = time.Now()
 		r.record(explain.Event{Kind: explain.Degrade, Text: "the platform's service cannot be read: " + err.Error()})
-		r.options.Log.Warn().Err(err).Msg("platform's service not read")
+		r.options.Log.Warn().Err(err).Msg("failed to read configuration from the platform store")
 	}
 }
 
@@ -176,8 +178,8 @@
 	r.freshness.outageSince = time.Time{}
 }
 
-// counted adds up the bytes that routers exchange over streams, which are control
-// traffic too.
+// byteCounter counts the bytes that routers exchange over streams, which are
+// control traffic too.
 type byteCounter struct {
 	mutex sync.Mutex
 	bytes uint64
--- a/router/dispatcher.go
+++ b/router/dispatcher.go
@@ -14,11 +14,11 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// dispatcher is the duty that owns the queue of waiting requests and the view of
-// the agents. Only its goroutine touches them.
+// dispatcher owns the queue of waiting requests and the state of the agents. Only
+// its goroutine accesses them.
 type dispatcher struct {
 	router     *Router
-	events     chan event // full: senders wait; the dispatcher never waits for them
+	events     chan event // senders block when it is full; the dispatcher never blocks on them
 	stopped    chan struct{}
 	queue      dispatch.Queue
 	tickets    map[*dispatch.Request]*ticket
@@ -29,7 +29,8 @@
 	baseline   baseline
 }
 
-// agentView is what the router believes of one agent.
+// agentState is the state of one agent as last reported to this router, with the
+// requests sent since.
 type agentState struct {
 	peer      *wire.Peer
 	pools     []string
@@ -39,10 +40,10 @@
 	leaving   bool
 	unhealthy bool
 	sentWants map[dispatch.Key]int
-	prefixes  []uint64 // prompt beginnings it has served, latest last
+	prefixes  []uint64 // hashes of prompt prefixes it has served, latest last
 }
 
-// prefixesKept is how many prompt beginnings are remembered of each agent.
+// maxPrefixes bounds the prompt prefixes remembered for each agent.
 const maxPrefixes = 64
 
 func newDispatcher(r *Router) *dispatcher {
@@ -58,7 +59,7 @@
 	}
 }
 
-// tell passes an event to the dispatcher; it reports false when that has ended.
+// send passes an event to the dispatcher and reports false if that has stopped.
 func (d *dispatcher) send(e event) bool {
 	select {
 	case d.events <- e:
@@ -113,12 +114,13 @@
 	}
 }
 
-// offer places a request at once where there is room, or lets it wait.
+// submit binds a request at once if an agent has capacity, and queues or rejects it
+// otherwise.
 func (d *dispatcher) submit(t *ticket) {
 	k := t.request.Key
 	if d.router.options.Queueing == LateBinding && d.queue.Count(k) == 0 {
-		if v, why := d.pickAgent(t); v != nil {
-			d.bind(t, v, 0, why)
+		if v, reason := d.pickAgent(t); v != nil {
+			d.bind(t, v, 0, reason)
 			return
 		}
 	}
@@ -142,13 +144,13 @@
 	return wait > 0 && time.Now().Add(wait).After(t.request.Deadline)
 }
 
-func (d *dispatcher) bind(t *ticket, v *agentState, grant uint64, why string) {
+func (d *dispatcher) bind(t *ticket, v *agentState, grant uint64, reason string) {
 	v.running++
 	v.recordPrefix(t.request.Prefix)
 	t.expectedCost = d.expectedCost(t.request.Key, t.request.Estimate)
 	t.waitTime = time.Since(t.request.Arrived)
 	d.drainRate(t.request.Key.Account).recordDeparture(time.Now())
-	t.result <- placement{peer: v.peer, grant: grant, reason: why}
+	t.result <- placement{peer: v.peer, grant: grant, reason: reason}
 }
 
 func (d *dispatcher) countServing(pool string) int {
@@ -161,7 +163,8 @@
 	return n
 }
 
-// again puts a request back that was bound and not run.
+// requeue returns a request that was bound and did not run to the queue, or binds
+// it to another agent.
 func (d *dispatcher) requeue(e requeueEvent) {
 	v := d.agents[e.agent]
 	if v != nil && e.full {
@@ -169,8 +172,8 @@
 	} else if v != nil {
 		v.running = max(0, v.running-1)
 		e.ticket.failedAgents = append(e.ticket.failedAgents, e.agent)
-		if other, why := d.pickAgent(e.ticket); other != nil && other != v {
-			d.bind(e.ticket, other, 0, why)
+		if other, reason := d.pickAgent(e.ticket); other != nil && other != v {
+			d.bind(e.ticket, other, 0, reason)
 			return
 		}
 	}
@@ -185,7 +188,8 @@
 	return d.queue.Remove(t.request)
 }
 
-// costPart is the weight of the latest cost in an account's expected cost.
+// costSmoothing is the weight of the latest cost in the moving average of an
+// account's costs.
 const costSmoothing = 0.2
 
 func (d *dispatcher) recordEnd(e endEvent) {
@@ -239,7 +243,7 @@
 	}
 }
 
-// view is what the dispatcher shows of itself.
+// snapshot is a copy of the dispatcher's state for status reports.
 type snapshot struct {
 	waiting map[fair.Account]int
 	agents  int
--- a/router/drain.go
+++ b/router/drain.go
@@ -6,7 +6,7 @@
 	"opalbridge.dev/fair"
 )
 
-// This file foresees how soon an account's waiting requests are served.
+// This file estimates how long an account's requests wait.
 
 func (d *dispatcher) drainRate(a fair.Account) *drainRate {
 	r := d.drainRates[a]
@@ -17,14 +17,15 @@
 	return r
 }
 
-// drainRate measures how fast an account's requests leave the queue.
+// drainRate measures how fast an account's requests leave the queue, as a moving
+// average of the time between departures.
 type drainRate struct {
 	lastDeparture time.Time
 	interval      time.Duration
 }
 
-// longestInterval is the longest time between two departures that counts; after
-// a longer one the account was idle, not slow.
+// maxDepartureInterval is the longest time between two departures that enters the
+// average; after a longer one the account was idle, not slow.
 const maxDepartureInterval = 30 * time.Second
 
 func (r *drainRate) recordDeparture(at time.Time) {
@@ -37,5 +38,5 @@
 	r.interval += (since - r.interval) / divisor
 }
 
-// expect returns how long so many requests take to leave.
+// estimateWait returns the expected time until n requests have left the queue.
 func (r *drainRate) estimateWait(n int) time.Duration { return r.interval * time.Duration(n) }
--- a/router/event.go
+++ b/router/event.go
@@ -9,36 +9,35 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// event is what the dispatcher is told: one of the types below.
+// event is an event handled by the dispatcher: one of the types below.
 type event interface{ event() }
 
-// offerEvent asks for a place for a request; the reply comes at once or when the
-// request is bound.
+// submitEvent submits a request; the result arrives at once or when the request is
+// bound.
 type submitEvent struct{ ticket *ticket }
 
-// againEvent puts a request that was not run back at the head of its line. Full
-// says that the agent had no room.
+// requeueEvent returns a request that did not run to the head of its queue.
 type requeueEvent struct {
 	ticket *ticket
 	agent  string
-	full   bool
+	full   bool // the agent had no free slot
 }
 
-// leaveEvent takes a request out of the queue; the reply tells whether it was
-// still there.
+// cancelEvent removes a request from the queue; the reply tells whether it was
+// still queued.
 type cancelEvent struct {
 	ticket *ticket
 	reply  chan bool // capacity one
 }
 
-// endEvent tells that an attempt at an agent has ended.
+// endEvent reports that an attempt at an agent has ended.
 type endEvent struct {
 	ticket *ticket
 	agent  string
-	cost   float64 // weighted tokens; zero: not known
+	cost   float64 // weighted tokens; zero: unknown
 }
 
-// declineEvent gives a granted place back unused.
+// declineEvent returns an unused placement and its grant, if any.
 type declineEvent struct{ placement placement }
 
 type agentConnectedEvent struct{ peer *wire.Peer }
@@ -71,28 +70,28 @@
 func (configEvent) event()            {}
 func (snapshotEvent) event()          {}
 
-// ticket is one request on its way through the dispatcher.
+// ticket is a request in the dispatcher, with the channel for its result.
 type ticket struct {
 	request      *dispatch.Request
-	account      string               // name
-	maxWaiting   int                  // requests of the account that may wait here
-	result       chan placementResult // capacity one: the dispatcher never waits
-	expectedCost float64              // expected cost, settled when it is bound
+	account      string               // account name
+	maxWaiting   int                  // limit of the account's requests in this queue
+	result       chan placementResult // capacity one: the dispatcher never blocks
+	expectedCost float64              // in weighted tokens, set when the request is bound
 	waitTime     time.Duration
 	failedAgents []string // agents where an attempt failed
 }
 
-// placed is the dispatcher's word on a request: placement or refusal.
+// placementResult is the dispatcher's decision on a request: placement or refusal.
 type placementResult interface{ placementResult() }
 
 // placement binds a request to an agent.
 type placement struct {
 	peer   *wire.Peer
-	grant  uint64 // zero: sent without one
+	grant  uint64 // ID of the agent's grant; zero: sent without one
 	reason string
 }
 
-// refusal says that the request will not wait here.
+// refusal rejects a request.
 type refusal struct {
 	cause      attempt.Cause
 	reason     string
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -14,25 +14,26 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// askTime bounds a call to another node for operators.
+// queryTimeout bounds a call to another node on behalf of an operator.
 const queryTimeout = 2 * time.Second
 
-// NodeView is one node as seen from here; Status is nil when it did not answer.
+// NodeView is a node as seen by this router. Status is nil if the node did not
+// respond.
 type NodeView struct {
 	Host   kv.Host
 	Status *wirepb.NodeStatus
 }
 
-// AccountView is one account's standing as seen from here.
+// AccountView is an account's service and backlog as seen by this router.
 type AccountView struct {
 	Name       string
 	Share      uint32
-	Service    float64 // weighted tokens divided by share, over the fleet
+	Service    float64 // weighted tokens divided by share, fleet-wide
 	Backlogged bool
 	Waiting    int // at this router
 }
 
-// Nodes asks every node of the live list how it is.
+// Nodes queries the status of every node of the live list.
 func (r *Router) Nodes(ctx context.Context) []NodeView {
 	hosts := r.members.list(func(kv.Host) bool { return true })
 	views := make([]NodeView, len(hosts))
@@ -49,8 +50,8 @@
 	return views
 }
 
-// Explain gathers what the whole fleet recorded about a request or an account, in
-// order, and names the nodes that did not answer.
+// Explain collects the events that every node recorded about a request or an
+// account, ordered by time, and the names of the nodes that did not respond.
 func (r *Router) Explain(ctx context.Context, request, account string) (events []explain.Event, unreachable []string) {
 	hosts := r.members.list(func(kv.Host) bool { return true })
 	lists := make([]*wirepb.RecordList, len(hosts))
@@ -72,7 +73,8 @@
 	return events, unreachable
 }
 
-// askNode asks one node for its records; it returns nil when it does not answer.
+// queryNode queries one node for its records or status. It returns nil if the node
+// does not respond.
 func (r *Router) queryNode(ctx context.Context, h kv.Host, q *wirepb.Records) *wirepb.RecordList {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -94,15 +96,15 @@
 	if err := s.Write(&wirepb.Call{Body: &wirepb.Call_Records{Records: q}}); err != nil {
 		return nil
 	}
-	var answer wirepb.Piece
-	if err := s.Read(&answer); err != nil {
+	var reply wirepb.Piece
+	if err := s.Read(&reply); err != nil {
 		return nil
 	}
-	return answer.GetRecordList()
+	return reply.GetRecordList()
 }
 
-// reach returns a connection to a node: the one that is kept, or a new one that
-// ends with the call to done.
+// acquirePeer returns a connection to a node: an established one, or a new one that
+// done closes.
 func (r *Router) acquirePeer(ctx context.Context, h kv.Host) (p *wire.Peer, done func()) {
 	if p := r.connectedPeer(h.Name); p != nil {
 		return p, func() {}
@@ -130,7 +132,7 @@
 	return p
 }
 
-// ownRecords answers for this router.
+// localRecords returns the records or the status of this router.
 func (r *Router) localRecords(ctx context.Context, q *wirepb.Records) *wirepb.RecordList {
 	switch {
 	case q.Status:
@@ -163,8 +165,8 @@
 
 func (r *Router) degraded() []string {
 	var list []string
-	if ready, why := r.Ready(); !ready {
-		list = append(list, why)
+	if ready, reason := r.Ready(); !ready {
+		list = append(list, reason)
 	}
 	if r.members.degraded() {
 		list = append(list, "the live list cannot be read")
@@ -190,7 +192,7 @@
 	}
 }
 
-// Accounts returns every account's standing as seen from here.
+// Accounts returns the service and backlog of every account as seen by this router.
 func (r *Router) Accounts(ctx context.Context) []AccountView {
 	totals := map[fair.Account]fair.Total{}
 	for _, t := range r.fleetTotals(ctx) {
@@ -211,7 +213,8 @@
 	return views
 }
 
-// totals returns the fleet's totals: those summed here, or a summing router's.
+// fleetTotals returns the fleet's totals: those aggregated here, or those of a
+// router of this hall that aggregates.
 func (r *Router) fleetTotals(ctx context.Context) []fair.Total {
 	if r.aggregator.isActive() {
 		reply := make(chan []fair.Total, 1)
--- a/router/http.go
+++ b/router/http.go
@@ -15,28 +15,28 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// Headers that callers set and get.
+// Request and response headers.
 const (
-	UrgentHeader        = "Opalbridge-Urgent"         // true: before the account's other requests
-	NotRepeatableHeader = "Opalbridge-Not-Repeatable" // true: at most once; false: may be tried again
-	DeadlineHeader      = "Opalbridge-Deadline-Ms"    // milliseconds the caller waits for the whole answer
+	UrgentHeader        = "Opalbridge-Urgent"         // true: ahead of the account's other requests
+	NotRepeatableHeader = "Opalbridge-Not-Repeatable" // true: runs at most once; false: may be retried
+	DeadlineHeader      = "Opalbridge-Deadline-Ms"    // milliseconds until the whole response must have arrived
 	KeyHeader           = "Idempotency-Key"
 	RequestHeader       = "Opalbridge-Request-Id"
 	OutcomeHeader       = "Opalbridge-Outcome" // not-run, ran or unknown
-	shouldRetryHeader   = "X-Should-Retry"     // understood by published clients
+	shouldRetryHeader   = "X-Should-Retry"     // honoured by published client libraries
 )
 
 const (
 	defaultDeadline = 10 * time.Minute
 	maxDeadline     = time.Hour
 	maxKeyBytes     = 255
-	maxHeaderBytes  = 32 << 10 // bytes of all headers that are passed on
-	prefixBytes     = 512
-	// hintTokens is the expected answer length when the caller sets no limit.
+	maxHeaderBytes  = 32 << 10 // total of the forwarded headers
+	prefixBytes     = 512      // of a prompt, hashed to find agents that have served it
+	// defaultOutputTokens is the expected output when the caller sets no limit.
 	defaultOutputTokens = 256
 )
 
-// Handler returns the callers' API.
+// Handler returns the HTTP API for callers.
 func (r *Router) Handler() http.Handler {
 	m := chi.NewRouter()
 	m.Post("/v1/chat/completions", r.serveModel)
@@ -56,11 +56,11 @@
 }
 
 func (r *Router) serveReady(w http.ResponseWriter, _ *http.Request) {
-	ready, why := r.Ready()
+	ready, reason := r.Ready()
 	if !ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	_, _ = io.WriteString(w, why+"\n")
+	_, _ = io.WriteString(w, reason+"\n")
 }
 
 func (r *Router) serveModels(w http.ResponseWriter, q *http.Request) {
@@ -108,7 +108,7 @@
 	r.respond(w, h, q)
 }
 
-// answer runs a request and writes its answer or refusal.
+// respond serves a request and writes its answer or error.
 func (r *Router) respond(w http.ResponseWriter, h *http.Request, q *Request) {
 	ctx := propagation.TraceContext{}.Extract(h.Context(), propagation.HeaderCarrier(h.Header))
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -121,13 +121,14 @@
 		return
 	}
 	if s.headWritten {
-		// The caller has part of the answer: the connection must look broken.
+		// The caller has received part of the answer: abort the connection so that
+		// the answer does not look complete.
 		panic(http.ErrAbortHandler)
 	}
 	writeOutcome(w, q, o)
 }
 
-// httpSink passes an answer on over HTTP, each piece as it comes.
+// httpSink writes an answer to an HTTP response and flushes every chunk.
 type httpSink struct {
 	writer      http.ResponseWriter
 	controller  *http.ResponseController
--- a/router/http_test.go
+++ b/router/http_test.go
@@ -29,11 +29,11 @@
 		header             http.Header
 		urgent, repeatable bool
 	}{
-		{"a model's request may run again", "POST", "/v1/completions", http.Header{}, false, true},
-		{"marked", "POST", "/v1/completions", http.Header{UrgentHeader: {"true"}, NotRepeatableHeader: {"true"}}, true, false},
-		{"a service's POST may not run again", "POST", "/services/booking/x", http.Header{}, false, false},
-		{"a service's GET may", "GET", "/services/booking/x", http.Header{}, false, true},
-		{"unless marked", "GET", "/services/booking/x", http.Header{NotRepeatableHeader: {"true"}}, false, false},
+		{"model requests are repeatable by default", "POST", "/v1/completions", http.Header{}, false, true},
+		{"headers override the defaults", "POST", "/v1/completions", http.Header{UrgentHeader: {"true"}, NotRepeatableHeader: {"true"}}, true, false},
+		{"service POST is not repeatable by default", "POST", "/services/booking/x", http.Header{}, false, false},
+		{"service GET is repeatable by default", "GET", "/services/booking/x", http.Header{}, false, true},
+		{"header overrides the default of service GET", "GET", "/services/booking/x", http.Header{NotRepeatableHeader: {"true"}}, false, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -54,18 +54,19 @@
 	}
 }
 
-// FuzzRequest parses any body and headers; it must refuse or accept, never fail.
+// FuzzRequest checks that any body and headers are either accepted or rejected with
+// a status and code, without a panic.
 func FuzzRequest(f *testing.F) {
 	f.Add(`{"model":"small","max_tokens":3}`, "true", "100", "text/plain")
 	f.Add(`{"model":`, "x", "-1", ";;")
 	f.Add("", "", "99999999999999999999", "")
 	r := newTestRouter(f)
-	f.Fuzz(func(t *testing.T, body, mark, deadline, kind string) {
+	f.Fuzz(func(t *testing.T, body, urgent, deadline, contentType string) {
 		h := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(body))
 		h.Header.Set("Authorization", "Bearer key")
-		h.Header.Set(UrgentHeader, mark)
+		h.Header.Set(UrgentHeader, urgent)
 		h.Header.Set(DeadlineHeader, deadline)
-		h.Header.Set("Content-Type", kind)
+		h.Header.Set("Content-Type", contentType)
 		q, fault := r.parse(h)
 		if fault == nil {
 			fault = parseModel(q, r.holder.Current())
--- a/router/link.go
+++ b/router/link.go
@@ -16,25 +16,25 @@
 	maxRedialInterval = 5 * time.Second
 )
 
-// link keeps a connection to one process as long as it is wanted.
+// link maintains a connection to one process until it is cancelled.
 type link struct {
 	host   kv.Host
 	cancel context.CancelFunc
 
 	mutex     sync.Mutex
-	peer      *wire.Peer    // nil while it is not connected
-	connected chan struct{} // closed when peer is set
-	// unlisted is since when the live list lacks the host; zero: it names it.
+	peer      *wire.Peer    // nil while disconnected
+	connected chan struct{} // closed when peer becomes non-nil
+	// unlistedSince is when the host left the live list; zero: it is listed.
 	unlistedSince time.Time
-	leavingSent   bool // the agent was told that its host is leaving
+	leavingSent   bool // last value sent to the agent on this connection
 }
 
 func newLink(h kv.Host, cancel context.CancelFunc) *link {
 	return &link{host: h, cancel: cancel, connected: make(chan struct{})}
 }
 
-// current returns the connection, or nil and a channel that is closed when there
-// is one.
+// current returns the connection, or nil and a channel that is closed once it is
+// connected.
 func (l *link) current() (*wire.Peer, <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -53,7 +53,7 @@
 	l.connected = make(chan struct{})
 }
 
-// setListed notes whether the live list names the host.
+// setListed records whether the live list contains the host.
 func (l *link) setListed(listed bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -65,8 +65,8 @@
 	}
 }
 
-// news returns the connection if its agent has not been told yet whether its host
-// is leaving, and counts it as told.
+// markLeavingSent returns the connection if the agent must be sent a new value of
+// leaving, and records the value as sent. It returns nil otherwise.
 func (l *link) markLeavingSent(leaving bool) *wire.Peer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -77,26 +77,26 @@
 	return l.peer
 }
 
-// given reports whether to give the host up: the list has lacked it for long and
-// it cannot be reached either. A connection that works is never ended because of
-// the list, which may be wrong.
+// shouldDrop reports whether to stop dialling the host: it has been missing from
+// the live list for unlistedTimeout and is not connected. A working connection is
+// never closed because of the list, which may be wrong.
 func (l *link) shouldDrop() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.peer == nil && !l.unlistedSince.IsZero() && time.Since(l.unlistedSince) > unlistedTimeout
 }
 
-// unlistedTime is how long a host that left the live list is still dialled.
+// unlistedTimeout is how long a host that left the live list is still dialled.
 const unlistedTimeout = 30 * time.Second
 
-// keep dials again and again until ctx ends, and gives each connection to use,
-// which returns when it has ended.
+// maintain dials a host with exponential backoff until ctx ends. It passes each
+// connection to use, which returns when the connection has ended.
 func (r *Router) maintain(ctx context.Context, l *link, use func(context.Context, *wire.Peer)) {
 	backoff := minRedialInterval
 	for ctx.Err() == nil {
 		p, err := r.connect(ctx, l.host)
 		if err != nil {
-			r.options.Log.Debug().Err(err).Str("to", l.host.Name).Msg("not connected")
+			r.options.Log.Debug().Err(err).Str("to", l.host.Name).Msg("failed to connect")
 			if !sleep(ctx, backoff) {
 				return
 			}
@@ -136,12 +136,12 @@
 	}
 }
 
-// message returns a control message that names the revision in force here.
+// controlMessage returns a control message that carries the revision in force.
 func (r *Router) controlMessage(body any) *wirepb.Control {
 	return wire.Control(r.holder.Revision(), body)
 }
 
-// sleep waits and reports false when ctx ended first.
+// sleep waits for d and reports false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/router/members.go
+++ b/router/members.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// listRate bounds how often all routers together read the live list, a second.
+	// maxListReadsPerSecond bounds the reads of the live list by all routers
+	// together.
 	maxListReadsPerSecond = 200
 	minListReadInterval   = 2 * time.Second
-	// holders is how many routers of a hall take a shared duty at once.
+	// dutyReplicas is how many routers of a hall perform a shared duty at once.
 	dutyReplicas = 2
 )
 
-// members is the duty that reads the platform's list of live hosts. The list lags
-// and may be wrong: what rests on it is who connects to whom and who takes shared
-// duties, which costs accuracy or bytes when it errs, never a promise.
+// members polls the platform's list of live hosts. The list lags and may be wrong,
+// so only connections and the assignment of shared duties depend on it: an error
+// costs accuracy or bandwidth, never correctness.
 type members struct {
 	router     *Router
 	mutex      sync.Mutex
@@ -41,7 +42,8 @@
 	}
 }
 
-// interval grows with the fleet, so that the service's load does not.
+// interval grows with the number of routers, so that the total rate of reads stays
+// bounded.
 func (m *members) interval() time.Duration {
 	routers := len(m.routers())
 	d := max(minListReadInterval, time.Duration(routers)*time.Second/maxListReadsPerSecond)
@@ -73,7 +75,7 @@
 	}
 }
 
-// fail keeps the last list: an outage of the service changes nothing here.
+// recordFailure reports the start of an outage. The last list stays in use.
 func (m *members) recordFailure(err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -82,17 +84,17 @@
 	}
 	m.unreadable = true
 	m.router.record(explain.Event{Kind: explain.Degrade, Text: "the platform's live list cannot be read: " + err.Error()})
-	m.router.options.Log.Warn().Err(err).Msg("live list not read")
+	m.router.options.Log.Warn().Err(err).Msg("failed to read live list")
 }
 
-// degraded reports whether the list could not be read lately.
+// degraded reports whether the latest read of the list failed.
 func (m *members) degraded() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.unreadable
 }
 
-// changed returns a channel that is closed when the list has changed.
+// changed returns a channel that is closed at the next change of the list.
 func (m *members) changed() <-chan struct{} {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -118,7 +120,8 @@
 	return m.list(func(h kv.Host) bool { return h.Role == kv.Router && !h.Leaving })
 }
 
-// summers returns the routers that sum a hall's counters, by the list as it is.
+// aggregators returns the routers that aggregate a hall's counters, by the current
+// list.
 func (m *members) aggregators(hall string) []kv.Host {
 	return highestByHash("summing/"+hall, m.routersIn(hall), dutyReplicas)
 }
@@ -129,8 +132,9 @@
 	})
 }
 
-// summingHall returns the hall whose routers sum the counters of agents in the
-// given hall: the same, or for a hall without routers one of the others.
+// aggregationHall returns the hall whose routers aggregate the counters of agents
+// in the given hall: the same, or for a hall without routers another one, chosen by
+// rendezvous hashing.
 func (m *members) aggregationHall(hall string) string {
 	halls := m.routerHalls()
 	if len(halls) == 0 || slices.Contains(halls, hall) {
@@ -141,7 +145,7 @@
 	})
 }
 
-// halls returns the halls that have a router, sorted.
+// routerHalls returns the halls that have a router, sorted.
 func (m *members) routerHalls() []string {
 	var halls []string
 	for _, h := range m.routers() {
@@ -153,8 +157,8 @@
 	return halls
 }
 
-// holds reports whether this router takes one of its hall's shared duties. One
-// that knows no list takes all of them.
+// holdsDuty reports whether this router performs one of its hall's shared duties. A
+// router that knows no list performs all of them.
 func (m *members) holdsDuty(duty string) bool {
 	all := m.routersIn(m.router.options.Hall)
 	if len(all) == 0 {
@@ -164,8 +168,8 @@
 	return slices.ContainsFunc(selected, func(h kv.Host) bool { return h.Name == m.router.options.Name })
 }
 
-// wantedAgents returns the agents this router connects to: of each pool a subset
-// of the configured degree, and all whose counters it sums.
+// desiredAgents returns the agents this router connects to: of each pool a subset
+// of the configured degree, and all agents whose counters it aggregates.
 func (m *members) desiredAgents() []kv.Host {
 	all := m.list(func(h kv.Host) bool { return h.Role == kv.Agent })
 	degree := m.router.options.Degree
@@ -205,7 +209,7 @@
 	return pools
 }
 
-// firstByHash returns the n hosts with the highest rendezvous hash for a key.
+// highestByHash returns the n hosts with the highest rendezvous hash for a key.
 func highestByHash(key string, hosts []kv.Host, n int) []kv.Host {
 	type ranked struct {
 		hash uint64
@@ -228,13 +232,14 @@
 	return selected
 }
 
-// rendezvous hashes a key with a name; the highest of several names has the key.
+// rendezvous returns the rendezvous hash of a key and a name; the name with the
+// highest hash owns the key.
 func rendezvous(key, name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(key))
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(name))
-	// FNV spreads the last bytes badly; mix its result.
+	// FNV-1a mixes the last bytes poorly, so finalize its result as MurmurHash3 does.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -15,14 +15,14 @@
 
 const (
 	exchangeTimeout = 2 * time.Second
-	// gossipTicks is in how many intervals a router speaks to each neighbour with
-	// whom it has no counters to exchange.
+	// gossipPeriodTicks is the number of intervals between exchanges with a
+	// neighbour when there are no counters to exchange.
 	gossipPeriodTicks = 2
 )
 
-// neighbours is the duty that keeps connections to some other routers: those at
-// distances of powers of two in the sorted live list, so that news cross any
-// fleet in a logarithm of its size, and the summing routers if this one sums.
+// neighbours maintains connections to other routers: those at power-of-two
+// distances in the sorted live list, so that updates reach every router in a
+// logarithmic number of hops, and the aggregating routers if this one aggregates.
 type neighbours struct {
 	router *Router
 	mutex  sync.Mutex
@@ -89,7 +89,7 @@
 	return desired
 }
 
-// use exchanges news with a router until the connection ends.
+// serve exchanges state with a router periodically until the connection ends.
 func (n *neighbours) serve(ctx context.Context, p *wire.Peer) {
 	t := time.NewTicker(n.router.options.Interval)
 	defer t.Stop()
@@ -104,7 +104,7 @@
 		select {
 		case <-t.C:
 		case <-n.router.holder.Changed():
-		case <-p.Control(): // routers send none to each other; it closes at the end
+		case <-p.Control(): // routers send each other no control messages; closed with the connection
 			return
 		case <-ctx.Done():
 			p.Close(ctx.Err())
@@ -113,10 +113,11 @@
 	}
 }
 
-// exchangesSums reports whether counters go to that router this time: with one
-// summing router of each hall at a time, in turn.
+// shouldExchangeTotals reports whether to exchange counters with the router in this
+// turn. The aggregating routers of a hall take turns.
 func (n *neighbours) shouldExchangeTotals(p *wire.Peer, turn int) bool {
-	// An exchange tells both sides; of two that dial each other one is enough.
+	// An exchange updates both sides; of two routers that dial each other, one
+	// suffices.
 	if !n.router.aggregator.isActive() || n.router.options.Name > p.Hello.Node {
 		return false
 	}
@@ -125,7 +126,8 @@
 	return index >= 0 && turn%len(summers) == index
 }
 
-// exchange tells a router the revision and counters known here, and hears its.
+// exchange sends the revision and counters known here to a router and applies those
+// it returns.
 func (n *neighbours) exchange(ctx context.Context, p *wire.Peer, withTotals bool) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -141,17 +143,17 @@
 	if err := s.Write(&wirepb.Call{Body: &wirepb.Call_Exchange{Exchange: ours}}); err != nil {
 		return err
 	}
-	var answer wirepb.Piece
-	if err := s.Read(&answer); err != nil {
+	var reply wirepb.Piece
+	if err := s.Read(&reply); err != nil {
 		return err
 	}
-	theirs := answer.GetExchange()
+	theirs := reply.GetExchange()
 	n.router.exchangeBytes.add(theirs)
 	n.router.applyExchange(p, theirs)
 	return nil
 }
 
-// news is what this router tells another.
+// exchangeMessage returns the state that this router sends to another.
 func (r *Router) exchangeMessage(ctx context.Context, withTotals bool) *wirepb.Exchange {
 	e := &wirepb.Exchange{
 		Node:        r.options.Name,
@@ -168,7 +170,7 @@
 	return e
 }
 
-// hear takes in what another router told.
+// applyExchange applies the state received from another router.
 func (r *Router) applyExchange(p *wire.Peer, e *wirepb.Exchange) {
 	if e == nil {
 		return
@@ -182,7 +184,7 @@
 	}
 }
 
-// accept serves connections of other routers.
+// accept accepts and serves connections from other routers.
 func (r *Router) accept(ctx context.Context) {
 	for {
 		conn, err := r.options.Listener.Accept()
@@ -199,7 +201,7 @@
 func (r *Router) servePeer(ctx context.Context, conn net.Conn) {
 	p, err := wire.Accept(ctx, conn, r.hello())
 	if err != nil {
-		r.options.Log.Warn().Err(err).Str("from", conn.RemoteAddr().String()).Msg("connection refused")
+		r.options.Log.Warn().Err(err).Str("from", conn.RemoteAddr().String()).Msg("handshake with peer failed")
 		return
 	}
 	defer p.Close(nil)
--- a/router/parse.go
+++ b/router/parse.go
@@ -19,7 +19,7 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// completion is what the router reads of a model request.
+// completion holds the fields of a model request that the router reads.
 type completion struct {
 	Model               string `json:"model"`
 	MaxTokens           int    `json:"max_tokens"`
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// estimate guesses a cost from a body's length and the caller's own limit.
+// estimateCost estimates the cost in weighted tokens from the length of the body and
+// the caller's token limit.
 func estimateCost(bytes, maxTokens int, l config.Limits) float64 {
 	const bytesPerToken, thousand, maxOutputTokens = 4, 1000, 1 << 20
 	if maxTokens == 0 {
@@ -92,8 +93,8 @@
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// parse reads what all requests have in common. The request it returns has an id
-// even when there is a fault.
+// parse parses the parts common to all requests. The request it returns has an ID
+// even if there is an error.
 func (r *Router) parse(h *http.Request) (*Request, *requestError) {
 	q := &Request{ID: "req-" + strings.ToLower(rand.Text()), Method: h.Method, Path: h.URL.Path, Repeatable: true}
 	c := r.holder.Current()
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// notPassedOn are the headers that end at the router.
+// droppedHeaders are the headers that the router does not forward.
 var droppedHeaders = map[string]bool{
 	"Authorization": true, "Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true,
--- a/router/recover.go
+++ b/router/recover.go
@@ -10,14 +10,15 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// revoke asks the same incarnation of the agent that the attempt never runs.
+// revoke asks the same incarnation of the agent to ensure that the attempt never
+// runs.
 func (f *flight) revoke(ctx context.Context, p placement) attempt.Next {
-	answer, reason := f.callAgent(ctx, p, &wirepb.Call{Body: &wirepb.Call_Revoke{Revoke: &wirepb.Revoke{
+	reply, reason := f.callAgent(ctx, p, &wirepb.Call{Body: &wirepb.Call_Revoke{Revoke: &wirepb.Revoke{
 		Request: f.request.ID, Attempt: f.life.Attempts(), Incarnation: p.peer.Hello.Incarnation,
 	}}})
 	text := reason
 	var next attempt.Next
-	switch answer.GetBody().(type) {
+	switch reply.GetBody().(type) {
 	case *wirepb.Piece_Revoked:
 		next, text = f.life.Fire(attempt.Revoke), "it was revoked and never ran"
 	case *wirepb.Piece_Started:
@@ -33,8 +34,8 @@
 	return next
 }
 
-// ask makes a short call to the incarnation that had the attempt, over another
-// connection if need be. Without an answer it tells why.
+// callAgent makes a short call to the incarnation that had the attempt, over a new
+// connection if the old one is closed. If there is no answer it returns the reason.
 func (f *flight) callAgent(ctx context.Context, p placement, c *wirepb.Call) (*wirepb.Piece, string) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
@@ -45,14 +46,15 @@
 	defer s.Close()
 	release := s.Shut(ctx)
 	defer release()
-	var answer wirepb.Piece
-	if err := s.Read(&answer); err != nil {
+	var reply wirepb.Piece
+	if err := s.Read(&reply); err != nil {
 		return nil, err.Error()
 	}
-	return &answer, ""
+	return &reply, ""
 }
 
-// reopen finds the agent again and sends it a call.
+// sendToAgent opens a stream to the incarnation that had the attempt and sends it a
+// call. It returns the reason if the agent cannot be reached or was restarted.
 func (f *flight) sendToAgent(ctx context.Context, p placement, c *wirepb.Call) (*wire.Stream, string) {
 	broken := p.peer
 	for {
@@ -90,11 +92,11 @@
 	}
 }
 
-// resume goes on with the answer from the next chunk.
+// resume continues reading the answer from the next chunk, over a new stream.
 func (f *flight) resume(ctx context.Context, p placement) attempt.Next {
-	find, cancel := context.WithTimeout(ctx, recoveryTimeout)
+	findCtx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	s, reason := f.sendToAgent(find, p, &wirepb.Call{Body: &wirepb.Call_Resume{Resume: &wirepb.Resume{
+	s, reason := f.sendToAgent(findCtx, p, &wirepb.Call{Body: &wirepb.Call_Resume{Resume: &wirepb.Resume{
 		Request: f.request.ID, Attempt: f.life.Attempts(), Next: f.nextChunk,
 	}}})
 	f.router.record(explain.Event{Kind: explain.Resume, Request: f.request.ID, Account: f.request.Account, Attempt: f.life.Attempts(),
--- a/router/refuse.go
+++ b/router/refuse.go
@@ -10,7 +10,7 @@
 	"opalbridge.dev/attempt"
 )
 
-// fault is a request that was refused before anything was decided about it.
+// requestError is an error response.
 type requestError struct {
 	status     int
 	code       string
@@ -35,7 +35,7 @@
 	writeError(w, q.ID, name, f)
 }
 
-// statusOf gives a cause its status and code.
+// statusForCause returns the HTTP status and error code of a cause.
 func statusForCause(c attempt.Cause) (status int, code string) {
 	switch c {
 	case attempt.TooMany:
@@ -49,7 +49,7 @@
 	}
 }
 
-// writeFault answers a request that was refused before it was dispatched.
+// writeRequestError answers a request that was rejected before it was dispatched.
 func writeRequestError(w http.ResponseWriter, request string, f *requestError) {
 	writeError(w, request, "not-run", f)
 }
--- a/router/retries.go
+++ b/router/retries.go
@@ -6,13 +6,14 @@
 
 const (
 	maxRetries = 5
-	// Retries may be a tenth of requests, and some more after a quiet time.
+	// Retries may be a tenth of all requests, with bursts of up to retryBurst after
+	// a quiet period.
 	retryRatio = 0.1
 	retryBurst = 20
 )
 
-// retryBudget keeps retries from multiplying an overload: each request earns a
-// part of one. Its zero value is full.
+// retryBudget is a token bucket that keeps retries from amplifying an overload: each
+// request adds retryRatio of a token. The zero value is a full bucket.
 type retryBudget struct {
 	mutex sync.Mutex
 	spent float64
--- a/router/router.go
+++ b/router/router.go
@@ -1,18 +1,19 @@
-// Package router is the process on an entry host: it takes callers' requests,
-// holds those that must wait, binds each to a backend server as late as it can,
-// and carries the answer back. Operators' calls are answered at every router.
+// Package router implements the router process of an entry host. It accepts
+// callers' requests, queues those that must wait, binds each to the agent of a
+// backend server as late as possible and relays the response. Every router answers
+// operators' calls.
 //
 // # Usage
 //
 //	r, err := router.New(router.Options{Name: "router-1", Hall: "quito-1", …})
 //	done := r.Start(ctx)
 //	http.Serve(callers, r.Handler())
-//	r.Drain()            // a planned stop: refuse new requests, finish the rest
+//	r.Drain()            // graceful shutdown: reject new requests, finish the rest
 //	err = <-done
 //
-// One goroutine, the dispatcher, owns the queue and the view of the agents;
-// another sums counters; others keep connections and the configuration. Nothing
-// here must last: a restarted router is a new incarnation that knows nothing.
+// One goroutine, the dispatcher, owns the queue and the state of the agents;
+// another aggregates counters; others maintain connections and the configuration.
+// A router persists nothing: after a restart it is a new incarnation without state.
 package router
 
 import (
@@ -43,36 +44,36 @@
 // Dialer opens connections to other processes.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Options set up a Router. Zero values mean the defaults named.
+// Options configures a Router. Zero values mean the defaults named.
 type Options struct {
 	Name      string
 	Hall      string
-	Address   string // of Listener, as the live list shows it
+	Address   string // of Listener, as published in the live list
 	KV        kv.KV
 	Directory kv.Directory
 	Dial      Dialer        // nil: TCP
-	Listener  net.Listener  // for other routers; the router closes it
-	Degree    int           // agents of a pool it connects to; 0: all
-	Interval  time.Duration // between exchanges of counters; 2 s
-	Queueing  Queueing      // how it dispatches; LateBinding
+	Listener  net.Listener  // accepts other routers; the router closes it
+	Degree    int           // agents per pool to connect to; 0: all
+	Interval  time.Duration // between exchanges of counters; default 2 s
+	Queueing  Queueing      // dispatch policy; default LateBinding
 	Log       zerolog.Logger
 	Tracer    trace.Tracer // nil: none
 	Records   *explain.Log
 	Metrics   Metrics // nil: none
 }
 
-// Queueing is a way to dispatch; all but LateBinding are baselines to compare
-// with.
+// Queueing is a dispatch policy; all but LateBinding are baselines for
+// comparison.
 type Queueing int
 
-// The ways to dispatch.
+// The dispatch policies.
 const (
-	LateBinding Queueing = iota // wants and grants; the agents pick the account
-	RouterFair                  // the router picks the account and the least loaded agent
-	FirstCome                   // first come first served, at the least loaded agent
+	LateBinding Queueing = iota // agents grant slots to the waiting requests; the agents pick the account
+	RouterFair                  // the router picks the account by fair share, and the least loaded agent
+	FirstCome                   // first come, first served, at the least loaded agent
 )
 
-// Metrics is what a router tells of its work.
+// Metrics receives measurements of requests and retries.
 type Metrics interface {
 	Request(account, pool, outcome, cause string, urgent bool, wait, total time.Duration)
 	Retry(reason string)
@@ -102,7 +103,7 @@
 func (noMetrics) Request(_, _, _, _ string, _ bool, _, _ time.Duration) {}
 func (noMetrics) Retry(string)                                          {}
 
-// Router is a running or ready router.
+// Router dispatches requests to agents; New creates one and Start runs it.
 type Router struct {
 	options       Options
 	incarnation   string
@@ -119,16 +120,16 @@
 	exchangeBytes byteCounter
 	freshness     freshness
 	draining      atomic.Bool
-	openRequests  atomic.Int64 // requests not yet answered
+	openRequests  atomic.Int64 // requests without an outcome yet
 	drained       chan struct{}
 	drainOnce     sync.Once
 	startedAt     time.Time
 }
 
-// New returns a router that Start has yet to start.
+// New returns a router that is not started yet.
 func New(o Options) (*Router, error) {
 	if o.Name == "" || o.KV == nil || o.Directory == nil || o.Listener == nil {
-		return nil, errors.New("router: new: name, platform and listener must be set")
+		return nil, errors.New("router: Name, KV, Directory and Listener are required")
 	}
 	o = o.withDefaults()
 	r := &Router{
@@ -148,8 +149,8 @@
 	return r, nil
 }
 
-// Start runs the router until ctx ends. The channel gets one value, the reason of
-// the end, when everything has stopped.
+// Start runs the router until ctx ends. The channel receives one value, the cause
+// of the end, after every goroutine has stopped.
 func (r *Router) Start(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	r.duties.Go(ctx, "dispatcher", r.dispatcher.run)
@@ -168,8 +169,8 @@
 	return done
 }
 
-// Drain begins a planned stop: new requests are refused as not run, the rest are
-// answered. The channel is closed when none is open any more.
+// Drain starts a graceful shutdown: new requests are rejected as not run, accepted
+// ones are finished. The returned channel is closed when no request is open.
 func (r *Router) Drain() <-chan struct{} {
 	r.draining.Store(true)
 	r.checkDrained()
@@ -185,7 +186,7 @@
 	}
 }
 
-// Ready reports whether the router can serve, and if not why.
+// Ready reports whether the router can serve requests, and if not, why.
 func (r *Router) Ready() (bool, string) {
 	switch {
 	case r.draining.Load():
@@ -198,20 +199,20 @@
 	return true, "ready"
 }
 
-// Revision returns the configuration revision in force here.
+// Revision returns the configuration revision in force at this router.
 func (r *Router) Revision() uint64 { return r.holder.Revision() }
 
-// Configuration returns the document in force; it has revision 0 when there is none.
+// Configuration returns the document in force, with revision 0 if there is none.
 func (r *Router) Configuration() *config.Document { return r.holder.Current() }
 
-// record adds a decision to the router's record.
+// record adds an event to the decision log, with the revision in force.
 func (r *Router) record(e explain.Event) {
 	e.Revision = r.holder.Revision()
 	r.options.Records.Add(e)
 }
 
-// ControlBytes returns the bytes of control messages sent and received so far.
+// ControlBytes returns the number of bytes of control messages sent and received.
 func (r *Router) ControlBytes() uint64 { return r.control.Total() + r.exchangeBytes.total() }
 
-// AgentsConnected returns the number of agents that are connected now.
+// AgentsConnected returns the number of connected agents.
 func (r *Router) AgentsConnected() int { return r.agents.connected() }
--- a/router/serve.go
+++ b/router/serve.go
@@ -16,7 +16,7 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// Request is a caller's request, as the router works on it.
+// Request is a caller's request after parsing.
 type Request struct {
 	ID             string
 	Account        string
@@ -24,9 +24,9 @@
 	Pool           string
 	Urgent         bool
 	Repeatable     bool
-	IdempotencyKey string // the caller's idempotency key; empty: none
+	IdempotencyKey string // empty: none
 	Deadline       time.Time
-	Estimate       float64 // weighted tokens, a hint
+	Estimate       float64 // expected weighted tokens, a hint
 	Prefix         uint64
 	Method         string
 	Path           string
@@ -35,27 +35,29 @@
 	MaxWaiting     int
 }
 
-// Sink takes the answer as it comes. Head comes once, before the first Write.
+// Sink receives an answer as it arrives. Head is called once, before the first
+// Write.
 type Sink interface {
 	Head(status int, headers []*wirepb.Header)
 	Write(chunk []byte) error
 }
 
 const (
-	// recoverTime is how long a router looks for an agent that it lost, to revoke
-	// or resume an attempt.
+	// recoveryTimeout bounds the attempts to reach an agent after a lost connection,
+	// to revoke or resume an attempt.
 	recoveryTimeout = 5 * time.Second
-	// cancelTime is how long it waits for the agent's last word after a cancel.
+	// cancelTimeout is how long the router reads from the agent after a cancel.
 	cancelTimeout = 500 * time.Millisecond
-	// keyFreshness is how lately the service must have confirmed the revision for
-	// a request with an idempotency key: see docs/design/attempts.md.
+	// maxConfirmationAge is the age of the store's latest confirmation of the revision
+	// up to which a request with an idempotency key is accepted: see
+	// docs/design/attempts.md.
 	maxConfirmationAge = attempt.Skew / 2
-	// deadlineReserve of a caller's time is kept to carry the answer back.
+	// deadlineReserve is the part of the deadline reserved for returning the answer.
 	deadlineReserve = 20 * time.Millisecond
 )
 
-// Serve runs a request from its arrival to its outcome, and passes the answer to
-// the sink. The context ends when the caller leaves.
+// Serve runs a request until it has an outcome, and writes the answer to the sink.
+// The context ends when the caller leaves.
 func (r *Router) Serve(ctx context.Context, q *Request, sink Sink) attempt.Outcome {
 	r.openRequests.Add(1)
 	defer func() {
@@ -96,7 +98,7 @@
 	return text
 }
 
-// describe names an outcome and tells its reason.
+// describe returns the name of an outcome and its reason.
 func describe(o attempt.Outcome) (name, text string) {
 	switch o := o.(type) {
 	case attempt.NotRun:
@@ -113,7 +115,7 @@
 	}
 }
 
-// causeIn returns why a request did not get its whole answer; empty: it did.
+// causeOf returns why a request did not get its whole answer; empty if it did.
 func causeOf(o attempt.Outcome) attempt.Cause {
 	switch o := o.(type) {
 	case attempt.NotRun:
@@ -127,7 +129,7 @@
 	}
 }
 
-// flight is one request under way.
+// flight is a request in flight.
 type flight struct {
 	router      *Router
 	request     *Request
@@ -135,11 +137,11 @@
 	life        *attempt.Life
 	ticket      *ticket
 	refused     refusal
-	nextChunk   uint64 // number of the next chunk to pass on
+	nextChunk   uint64 // number of the next chunk to forward
 	headWritten bool
 	retries     int
-	cost        float64 // weighted tokens, when the agent has told it
-	// lastBusy says that the agent of the last attempt had no room.
+	cost        float64 // weighted tokens, as reported by the agent; zero: unknown
+	// lastAgentBusy is set if the agent of the last attempt had no free slot.
 	lastAgentBusy bool
 }
 
@@ -190,8 +192,8 @@
 	}
 }
 
-// ownerOf returns the server that remembers the caller's idempotency key, by the
-// configuration alone: a late live list cannot move it.
+// keyOwner returns the server that records the caller's idempotency key. It depends
+// on the configuration alone, so that a stale live list cannot change the owner.
 func (r *Router) keyOwner(q *Request) string {
 	owner, highest := "", uint64(0)
 	for _, s := range r.holder.Current().Servers {
@@ -207,8 +209,8 @@
 	return owner
 }
 
-// place waits until the dispatcher binds the request, refuses it, or the caller's
-// time is up.
+// waitForPlacement waits until the dispatcher binds or rejects the request, the
+// caller leaves or the deadline passes.
 func (f *flight) waitForPlacement(ctx context.Context) (placement, bool) {
 	_, span := f.router.options.Tracer.Start(ctx, "router.wait")
 	defer span.End()
@@ -229,7 +231,7 @@
 		return placement{}, false
 	}
 	select {
-	case a := <-f.ticket.result: // it was bound at the same moment
+	case a := <-f.ticket.result: // it was bound before the cancel
 		if p, bound := a.(placement); bound {
 			f.router.dispatcher.send(declineEvent{placement: p})
 		}
@@ -250,7 +252,7 @@
 	}
 }
 
-// giveUp ends a request of which no attempt is under way.
+// giveUp ends a request that has no attempt in progress.
 func (f *flight) giveUp(ctx context.Context) attempt.Outcome {
 	stop := f.life.Fire(attempt.GiveUp).(attempt.Stop)
 	o, notRun := stop.Outcome.(attempt.NotRun)
@@ -272,8 +274,8 @@
 	return o
 }
 
-// again puts the request back in the queue after an attempt that did not run, or
-// stops when retries are spent.
+// requeue returns the request to the queue after an attempt that did not run, or
+// ends it if it may not be retried.
 func (f *flight) requeue(ctx context.Context, p placement) (attempt.Outcome, bool) {
 	if f.lastAgentBusy {
 		f.router.dispatcher.send(requeueEvent{ticket: f.ticket, agent: p.peer.Hello.Node, full: true})
--- a/router/suits.go
+++ b/router/suits.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// This file chooses an agent for a request.
+// This file picks an agent for a request.
 
-// free returns the agent with room that suits the request best: one that has seen
-// its beginning, then one of the own hall, then the one with most room.
+// pickAgent returns the agent with free slots that has the highest score for the
+// request, and the reason for the choice.
 func (d *dispatcher) pickAgent(t *ticket) (*agentState, string) {
 	var best *agentState
 	bestScore := math.Inf(-1)
@@ -34,13 +34,15 @@
 	return best, fmt.Sprintf("%s has room: it runs %d of %d%s", best.peer.Hello.Node, best.running, best.limit, d.describeMatch(best, t.request.Prefix))
 }
 
-// Weights of what speaks for an agent, against its share of free places.
+// Weights of the parts of an agent's score, relative to its share of free slots.
 const (
 	prefixWeight  = 0.5
 	hallWeight    = 0.25
-	failedPenalty = 10 // an agent where the request failed before is the last choice
+	failedPenalty = 10 // makes an agent where the request failed before the last choice
 )
 
+// score returns the share of free slots of an agent, plus weights for having served
+// the prompt prefix and for being in the same hall.
 func (d *dispatcher) score(v *agentState, prefix uint64) float64 {
 	s := float64(v.limit-v.running) / float64(max(v.limit, 1))
 	if v.hasPrefix(prefix) {
--- a/router/summing.go
+++ b/router/summing.go
@@ -13,24 +13,24 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// summing is the duty that adds up the counters of its hall's agents, exchanges
-// the halls' sums with other summing routers, and tells the agents the fleet's
-// totals. Two routers of a hall hold it at once.
+// aggregator aggregates the counters of its hall's agents, exchanges totals with
+// the other aggregators, and sends the fleet's totals to the agents. Two
+// routers of a hall are active at once.
 type aggregator struct {
-	router     *Router
-	events     chan aggregatorEvent // full: the sender drops it; reports are repeated
-	active     atomic.Bool
-	hall       *ledger.Hall
-	fleet      *ledger.Fleet
-	sequence   uint64
-	ticks      int
-	adopted    bool
-	sentTotals map[string]map[fair.Account]fair.Total // by agent: what it was told last
-	peers      map[string]*wire.Peer
-	reporting  map[*wire.Peer]bool // agents that were asked for reports
+	router           *Router
+	events           chan aggregatorEvent // senders drop events when it is full; reports are repeated
+	active           atomic.Bool
+	hall             *ledger.Hall
+	fleet            *ledger.Fleet
+	sequence         uint64
+	ticks            int
+	adopted          bool
+	sentTotals       map[string]map[fair.Account]fair.Total // by agent, the totals it was sent last
+	peers            map[string]*wire.Peer
+	reportsRequested map[*wire.Peer]bool // agents that were requested to report
 }
 
-// summingEvent is what the summing duty is told: one of the types below.
+// aggregatorEvent is an event handled by the aggregator: one of the types below.
 type aggregatorEvent interface{ aggregatorEvent() }
 
 type reportEvent struct {
@@ -42,7 +42,7 @@
 
 type hallTotalsEvent struct{ halls []*wirepb.HallTotals }
 
-// sumsQuery asks for what is to be told to a router of some hall.
+// hallTotalsQuery asks for the totals to send to another router.
 type hallTotalsQuery struct {
 	reply chan []*wirepb.HallTotals // capacity one
 }
@@ -57,20 +57,20 @@
 
 const (
 	aggregatorQueueSize = 1024
-	// adoptTicks is after how many ticks a router that began to sum takes over
-	// what others know of its hall.
+	// adoptDelayTicks is the number of ticks after which a router that became active
+	// adopts the totals that other routers hold for its hall.
 	adoptDelayTicks = 3
 )
 
 func newAggregator(r *Router) *aggregator {
 	return &aggregator{
-		router:     r,
-		events:     make(chan aggregatorEvent, aggregatorQueueSize),
-		hall:       ledger.NewHall(),
-		fleet:      ledger.NewFleet(),
-		sentTotals: map[string]map[fair.Account]fair.Total{},
-		peers:      map[string]*wire.Peer{},
-		reporting:  map[*wire.Peer]bool{},
+		router:           r,
+		events:           make(chan aggregatorEvent, aggregatorQueueSize),
+		hall:             ledger.NewHall(),
+		fleet:            ledger.NewFleet(),
+		sentTotals:       map[string]map[fair.Account]fair.Total{},
+		peers:            map[string]*wire.Peer{},
+		reportsRequested: map[*wire.Peer]bool{},
 	}
 }
 
@@ -140,13 +140,13 @@
 	}}))
 }
 
-// answerTurn is how many reports one router answers before the next one does: the
-// holders' totals are of different age, and changing between them with every report
-// would look like service that comes and goes.
+// reportsPerTurn is how many consecutive reports of an agent one router answers
+// before the next one does. The routers' totals differ in age; alternating with every
+// report would make the totals appear to go up and down.
 const reportsPerTurn = 16
 
-// answers reports whether it is this router's turn to answer an agent: of the
-// holders one does, and another after a while, lest the first be gone.
+// shouldReply reports whether it is this router's turn to answer an agent. One of
+// the hall's aggregators replies at a time; they take turns because one may be down.
 func (s *aggregator) shouldReply(agent string, sequence uint64) bool {
 	summers := s.router.members.aggregators(s.router.options.Hall)
 	index := slices.IndexFunc(summers, func(h kv.Host) bool { return h.Name == s.router.options.Name })
@@ -154,8 +154,8 @@
 	return index < 0 || turn%uint64(len(summers)) == uint64(index)
 }
 
-// news returns the totals the agent has not been told, and all that it needs to
-// know are backlogged.
+// changedTotals returns the totals that changed since they were sent to the agent,
+// and those of all accounts with a backlog.
 func (s *aggregator) changed(agent string) []fair.Total {
 	sent := s.sentTotals[agent]
 	var changed []fair.Total
@@ -186,8 +186,8 @@
 
 func (s *aggregator) source() string { return s.router.options.Name + "/" + s.router.incarnation[:8] }
 
-// sums returns the halls' totals for another router: of the own hall in full, of
-// the others what is known here.
+// hallTotals returns the full totals of this router's hall, for another router. It
+// returns nil if this router is not active.
 func (s *aggregator) hallTotals() []*wirepb.HallTotals {
 	if !s.active.Load() {
 		return nil
@@ -197,7 +197,8 @@
 	return []*wirepb.HallTotals{own}
 }
 
-// tick settles who sums, and lets old reach go.
+// tick expires old state, updates the role of this router, and adopts known totals
+// once it has been active for adoptDelayTicks.
 func (s *aggregator) tick() {
 	s.hall.Tick()
 	s.fleet.Tick()
@@ -228,27 +229,27 @@
 	}
 }
 
-// ask asks the agents whose counters are summed here for reports, and the others
-// for none.
+// requestReports tells the agents whose counters are aggregated here to report, and
+// the others to stop.
 func (s *aggregator) requestReports() {
 	present := map[*wire.Peer]bool{}
 	for _, p := range s.router.agents.peers() {
 		present[p] = true
 		on := s.active.Load() && s.router.members.aggregationHall(p.Hello.Hall) == s.router.options.Hall
-		if on == s.reporting[p] {
+		if on == s.reportsRequested[p] {
 			continue
 		}
-		s.reporting[p] = on
+		s.reportsRequested[p] = on
 		p.Send(s.router.controlMessage(&wirepb.Control_Summing{Summing: &wirepb.Summing{On: on}}))
 	}
-	for p := range s.reporting {
+	for p := range s.reportsRequested {
 		if !present[p] {
-			delete(s.reporting, p)
+			delete(s.reportsRequested, p)
 		}
 	}
 }
 
-// query sends a query and waits for its answer.
+// query sends a query to the aggregator and waits for the reply.
 func query[T any](ctx context.Context, s *aggregator, e aggregatorEvent, reply <-chan T) (T, bool) {
 	var zero T
 	select {
--- a/router/wants.go
+++ b/router/wants.go
@@ -8,9 +8,9 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// This file tells agents how many requests wait, and takes their grants and loads.
+// This file reports queue lengths to agents and handles their grants and loads.
 
-// granted binds the best waiting request to a place that an agent offers.
+// handleGrant binds the best waiting request to a slot granted by an agent.
 func (d *dispatcher) handleGrant(e grantEvent) {
 	v := d.agents[e.peer.Hello.Node]
 	if v == nil || v.peer != e.peer {
@@ -37,12 +37,12 @@
 	if v == nil || v.peer != e.peer {
 		return
 	}
-	hadRoom := v.limit > 0
+	wasOpen := v.limit > 0
 	v.limit = int(e.load.Limit)
 	v.running = int(e.load.Running)
 	v.waiting = int(e.load.Waiting)
 	v.unhealthy = e.load.Sick
-	if e.load.Leaving != v.leaving || !hadRoom {
+	if e.load.Leaving != v.leaving || !wasOpen {
 		v.leaving = e.load.Leaving
 		for _, k := range d.queue.Keys() {
 			d.dirty[k] = true
@@ -50,8 +50,8 @@
 	}
 }
 
-// flush tells agents how many requests wait, where what they believe is too far
-// off.
+// sendWants sends the queue lengths that changed to the agents. sendWant skips
+// changes too small to matter.
 func (d *dispatcher) sendWants() {
 	if d.router.options.Queueing != LateBinding {
 		return
@@ -65,8 +65,9 @@
 	}
 }
 
-// understated is by which factor an agent may believe too little before it is
-// told. Believing too much costs nothing as long as one waits.
+// wantUpdateFactor is the factor by which a queue must exceed the length last sent
+// before it is sent again. Too high a length at the agent does no harm while at least
+// one request waits.
 const wantUpdateFactor = 4
 
 func (d *dispatcher) sendWant(v *agentState, k dispatch.Key, count int) {
@@ -75,8 +76,8 @@
 	}
 	sent := v.sentWants[k]
 	withdrawn := count == 0 && sent > 0
-	unknown := count > 0 && sent <= 0
-	if !withdrawn && !unknown && count < sent*wantUpdateFactor {
+	unsent := count > 0 && sent <= 0
+	if !withdrawn && !unsent && count < sent*wantUpdateFactor {
 		return
 	}
 	if count == sent {
@@ -96,8 +97,8 @@
 	}}))
 }
 
-// estimate returns what a request of the line is expected to cost: what others of
-// the account cost of late, or the hint when none is known.
+// expectedCost returns the expected cost of a request with the key: the moving
+// average of recent requests with the same key, or the hint if there is none.
 func (d *dispatcher) expectedCost(k dispatch.Key, hint float64) float64 {
 	if c, known := d.costs[k]; known {
 		return c
