--- a/router/agents.go
+++ b/router/agents.go
@@ -90,7 +90,7 @@
 	r.aggregator.agentLost(p)
 }
 
-var errUnexpected = errors.New("router: unexpected message type")
+var errUnexpected = errors.New("router: unexpected message")
 
 func (s *agents) handle(p *wire.Peer, m *wirepb.Control) {
 	r := s.router
@@ -130,9 +130,9 @@
 	return list
 }
 
-// waitForPeer returns a connection to an agent other than not, and waits for one
-// until ctx ends. It returns nil if there is none or the agent is not desired.
-func (s *agents) waitForPeer(ctx context.Context, name string, not *wire.Peer) *wire.Peer {
+// waitForPeer returns a connection to an agent other than except, and waits for
+// one until ctx ends. It returns nil if there is none or the agent is not desired.
+func (s *agents) waitForPeer(ctx context.Context, name string, except *wire.Peer) *wire.Peer {
 	for {
 		s.mutex.Lock()
 		l := s.links[name]
@@ -140,8 +140,8 @@
 		if l == nil {
 			return nil
 		}
-		p, up := l.current()
-		if p != nil && p != not {
+		p, connected := l.current()
+		if p != nil && p != except {
 			return p
 		}
 		if p != nil {
@@ -156,7 +156,7 @@
 			}
 		}
 		select {
-		case <-up:
+		case <-connected:
 		case <-ctx.Done():
 			return nil
 		}
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -187,7 +187,7 @@
 func (f *flight) handleNotRun(n *wirepb.NotRun) attempt.Next {
 	f.lastAgentBusy = n.Busy
 	if !n.Busy {
-		f.refused = refusal{cause: attempt.Refused, reason: n.Reason, retryAfter: time.Duration(n.RetryAfterMs) * time.Millisecond}
+		f.rejection = rejection{cause: attempt.Refused, reason: n.Reason, retryAfter: time.Duration(n.RetryAfterMs) * time.Millisecond}
 	}
 	return f.life.Fire(attempt.Decline)
 }
--- a/router/dispatcher.go
+++ b/router/dispatcher.go
@@ -17,16 +17,16 @@
 // dispatcher owns the queue of waiting requests and the state of the agents. Only
 // its goroutine accesses them.
 type dispatcher struct {
-	router     *Router
-	events     chan event // senders block when it is full; the dispatcher never blocks on them
-	stopped    chan struct{}
-	queue      dispatch.Queue
-	tickets    map[*dispatch.Request]*ticket
-	agents     map[string]*agentState
-	dirty      map[dispatch.Key]bool
-	drainRates map[fair.Account]*drainRate
-	costs      map[dispatch.Key]float64
-	baseline   baseline
+	router       *Router
+	events       chan event // senders block when it is full; the dispatcher never blocks on them
+	stopped      chan struct{}
+	queue        dispatch.Queue
+	tickets      map[*dispatch.Request]*ticket
+	agents       map[string]*agentState
+	dirty        map[dispatch.Key]bool // keys whose queue length may have to be sent to agents
+	drainRates   map[fair.Account]*drainRate
+	averageCosts map[dispatch.Key]float64
+	baseline     baseline
 }
 
 // agentState is the state of one agent as last reported to this router, with the
@@ -39,8 +39,8 @@
 	waiting   int
 	leaving   bool
 	unhealthy bool
-	sentWants map[dispatch.Key]int
-	prefixes  []uint64 // hashes of prompt prefixes it has served, latest last
+	sentWants map[dispatch.Key]int // queue lengths as the agent knows them
+	prefixes  []uint64             // hashes of prompt prefixes it has served, latest last
 }
 
 // maxPrefixes bounds the prompt prefixes remembered for each agent.
@@ -48,14 +48,14 @@
 
 func newDispatcher(r *Router) *dispatcher {
 	return &dispatcher{
-		router:     r,
-		events:     make(chan event, eventQueueSize),
-		stopped:    make(chan struct{}),
-		tickets:    map[*dispatch.Request]*ticket{},
-		agents:     map[string]*agentState{},
-		dirty:      map[dispatch.Key]bool{},
-		drainRates: map[fair.Account]*drainRate{},
-		costs:      map[dispatch.Key]float64{},
+		router:       r,
+		events:       make(chan event, eventQueueSize),
+		stopped:      make(chan struct{}),
+		tickets:      map[*dispatch.Request]*ticket{},
+		agents:       map[string]*agentState{},
+		dirty:        map[dispatch.Key]bool{},
+		drainRates:   map[fair.Account]*drainRate{},
+		averageCosts: map[dispatch.Key]float64{},
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	rate := d.drainRate(k.Account)
 	if wait := rate.estimateWait(d.queue.Waiting(k.Account)); d.missesDeadline(t, wait) {
-		t.result <- refusal{cause: attempt.Deadline, reason: "the deadline would pass while it waits", retryAfter: wait}
+		t.result <- rejection{cause: attempt.Deadline, reason: "the deadline would pass while it waits", retryAfter: wait}
 		return
 	}
 	switch o := d.queue.Offer(t.request, t.maxWaiting, rate.estimateWait(1)).(type) {
@@ -136,7 +136,7 @@
 		d.router.record(explain.Event{Kind: explain.Wait, Request: t.request.ID, Account: t.account,
 			Text: fmt.Sprintf("no room at %d agents of pool %s; %d requests of the account ahead of it here", d.countServing(k.Pool), k.Pool, o.Ahead)})
 	case dispatch.Refused:
-		t.result <- refusal{cause: attempt.TooMany, reason: o.Reason, retryAfter: o.RetryAfter}
+		t.result <- rejection{cause: attempt.TooMany, reason: o.Reason, retryAfter: o.RetryAfter}
 	}
 }
 
@@ -188,8 +188,8 @@
 	return d.queue.Remove(t.request)
 }
 
-// costSmoothing is the weight of the latest cost in the moving average of an
-// account's costs.
+// costSmoothing is the weight of the latest cost in the moving average of the costs
+// of a key.
 const costSmoothing = 0.2
 
 func (d *dispatcher) recordEnd(e endEvent) {
@@ -200,10 +200,10 @@
 		return
 	}
 	k := e.ticket.request.Key
-	if c, known := d.costs[k]; known {
-		d.costs[k] = c + costSmoothing*(e.cost-c)
+	if c, known := d.averageCosts[k]; known {
+		d.averageCosts[k] = c + costSmoothing*(e.cost-c)
 	} else {
-		d.costs[k] = e.cost
+		d.averageCosts[k] = e.cost
 	}
 }
 
--- a/router/drain.go
+++ b/router/drain.go
@@ -20,8 +20,8 @@
 // drainRate measures how fast an account's requests leave the queue, as a moving
 // average of the time between departures.
 type drainRate struct {
-	lastDeparture time.Time
-	interval      time.Duration
+	lastDeparture   time.Time
+	averageInterval time.Duration
 }
 
 // maxDepartureInterval is the longest time between two departures that enters the
@@ -35,8 +35,8 @@
 		return
 	}
 	const divisor = 8
-	r.interval += (since - r.interval) / divisor
+	r.averageInterval += (since - r.averageInterval) / divisor
 }
 
 // estimateWait returns the expected time until n requests have left the queue.
-func (r *drainRate) estimateWait(n int) time.Duration { return r.interval * time.Duration(n) }
+func (r *drainRate) estimateWait(n int) time.Duration { return r.averageInterval * time.Duration(n) }
--- a/router/event.go
+++ b/router/event.go
@@ -81,7 +81,7 @@
 	failedAgents []string // agents where an attempt failed
 }
 
-// placementResult is the dispatcher's decision on a request: placement or refusal.
+// placementResult is the dispatcher's decision on a request: placement or rejection.
 type placementResult interface{ placementResult() }
 
 // placement binds a request to an agent.
@@ -91,12 +91,12 @@
 	reason string
 }
 
-// refusal rejects a request.
-type refusal struct {
+// rejection rejects a request, with the cause for the caller.
+type rejection struct {
 	cause      attempt.Cause
 	reason     string
 	retryAfter time.Duration
 }
 
 func (placement) placementResult() {}
-func (refusal) placementResult()   {}
+func (rejection) placementResult() {}
--- a/router/http.go
+++ b/router/http.go
@@ -65,8 +65,8 @@
 
 func (r *Router) serveModels(w http.ResponseWriter, q *http.Request) {
 	c := r.holder.Current()
-	if _, f := authenticate(c, q); f != nil {
-		writeRequestError(w, "", f)
+	if _, e := authenticate(c, q); e != nil {
+		writeRequestError(w, "", e)
 		return
 	}
 	type model struct {
@@ -85,24 +85,24 @@
 }
 
 func (r *Router) serveModel(w http.ResponseWriter, h *http.Request) {
-	q, f := r.parse(h)
-	if f == nil {
-		f = parseModel(q, r.holder.Current())
+	q, e := r.parse(h)
+	if e == nil {
+		e = parseModel(q, r.holder.Current())
 	}
-	if f != nil {
-		writeRequestError(w, q.ID, f)
+	if e != nil {
+		writeRequestError(w, q.ID, e)
 		return
 	}
 	r.respond(w, h, q)
 }
 
 func (r *Router) serveService(w http.ResponseWriter, h *http.Request) {
-	q, f := r.parse(h)
-	if f == nil {
-		f = parseService(q, h, r.holder.Current())
+	q, e := r.parse(h)
+	if e == nil {
+		e = parseService(q, h, r.holder.Current())
 	}
-	if f != nil {
-		writeRequestError(w, q.ID, f)
+	if e != nil {
+		writeRequestError(w, q.ID, e)
 		return
 	}
 	r.respond(w, h, q)
--- a/router/http_test.go
+++ b/router/http_test.go
@@ -67,13 +67,13 @@
 		h.Header.Set(UrgentHeader, urgent)
 		h.Header.Set(DeadlineHeader, deadline)
 		h.Header.Set("Content-Type", contentType)
-		q, fault := r.parse(h)
-		if fault == nil {
-			fault = parseModel(q, r.holder.Current())
+		q, e := r.parse(h)
+		if e == nil {
+			e = parseModel(q, r.holder.Current())
 		}
-		if fault != nil {
-			require.GreaterOrEqual(t, fault.status, 400)
-			require.NotEmpty(t, fault.code)
+		if e != nil {
+			require.GreaterOrEqual(t, e.status, 400)
+			require.NotEmpty(t, e.code)
 			return
 		}
 		require.Equal(t, "small", q.Pool)
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -121,9 +121,9 @@
 	if !n.router.aggregator.isActive() || n.router.options.Name > p.Hello.Node {
 		return false
 	}
-	summers := n.router.members.aggregators(p.Hello.Hall)
-	index := slices.IndexFunc(summers, func(h kv.Host) bool { return h.Name == p.Hello.Node })
-	return index >= 0 && turn%len(summers) == index
+	replicas := n.router.members.aggregators(p.Hello.Hall)
+	index := slices.IndexFunc(replicas, func(h kv.Host) bool { return h.Name == p.Hello.Node })
+	return index >= 0 && turn%len(replicas) == index
 }
 
 // exchange sends the revision and counters known here to a router and applies those
--- a/router/parse.go
+++ b/router/parse.go
@@ -19,15 +19,15 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// completion holds the fields of a model request that the router reads.
-type completion struct {
+// completionRequest holds the fields of a model request that the router reads.
+type completionRequest struct {
 	Model               string `json:"model"`
 	MaxTokens           int    `json:"max_tokens"`
 	MaxCompletionTokens int    `json:"max_completion_tokens"`
 }
 
 func parseModel(q *Request, c *config.Document) *requestError {
-	var m completion
+	var m completionRequest
 	if err := json.Unmarshal(q.Content, &m); err != nil {
 		return &requestError{status: http.StatusBadRequest, code: "malformed_json", field: "body", message: "the body is not valid JSON: " + err.Error()}
 	}
@@ -104,9 +104,9 @@
 	if c.Revision == 0 {
 		return q, &requestError{status: http.StatusServiceUnavailable, code: "not_ready", message: "this router has no configuration yet", retryAfter: time.Second}
 	}
-	a, f := authenticate(c, h)
-	if f != nil {
-		return q, f
+	a, e := authenticate(c, h)
+	if e != nil {
+		return q, e
 	}
 	limits := c.Limits.WithDefaults()
 	q.Account, q.AccountID = a.Name, a.ID
@@ -114,11 +114,11 @@
 	if a.MaxWaiting > 0 {
 		q.MaxWaiting = int(a.MaxWaiting)
 	}
-	if f := parseOptionHeaders(q, h.Header); f != nil {
-		return q, f
+	if e := parseOptionHeaders(q, h.Header); e != nil {
+		return q, e
 	}
-	if q.Headers, f = forwardedHeaders(h.Header); f != nil {
-		return q, f
+	if q.Headers, e = forwardedHeaders(h.Header); e != nil {
+		return q, e
 	}
 	return q, readBody(q, h, int64(limits.MaxBodyBytes))
 }
--- a/router/refuse.go
+++ b/router/refuse.go
@@ -20,19 +20,19 @@
 }
 
 func writeOutcome(w http.ResponseWriter, q *Request, o attempt.Outcome) {
-	f := &requestError{}
+	e := &requestError{}
 	name, reason := describe(o)
-	f.message = reason
+	e.message = reason
 	switch o := o.(type) {
 	case attempt.NotRun:
-		f.status, f.code = statusForCause(o.Cause)
-		f.retryAfter = max(o.RetryAfter, time.Second)
+		e.status, e.code = statusForCause(o.Cause)
+		e.retryAfter = max(o.RetryAfter, time.Second)
 	case attempt.Ran:
-		f.status, f.code = http.StatusBadGateway, "answer_cut"
+		e.status, e.code = http.StatusBadGateway, "answer_cut"
 	case attempt.Unknown:
-		f.status, f.code = http.StatusBadGateway, "outcome_unknown"
+		e.status, e.code = http.StatusBadGateway, "outcome_unknown"
 	}
-	writeError(w, q.ID, name, f)
+	writeError(w, q.ID, name, e)
 }
 
 // statusForCause returns the HTTP status and error code of a cause.
@@ -50,26 +50,26 @@
 }
 
 // writeRequestError answers a request that was rejected before it was dispatched.
-func writeRequestError(w http.ResponseWriter, request string, f *requestError) {
-	writeError(w, request, "not-run", f)
+func writeRequestError(w http.ResponseWriter, request string, e *requestError) {
+	writeError(w, request, "not-run", e)
 }
 
-func writeError(w http.ResponseWriter, request, outcome string, f *requestError) {
+func writeError(w http.ResponseWriter, request, outcome string, e *requestError) {
 	h := w.Header()
 	if request != "" {
 		h.Set(RequestHeader, request)
 	}
 	h.Set(OutcomeHeader, outcome)
-	h.Set(shouldRetryHeader, strconv.FormatBool(f.retryAfter > 0 && outcome == "not-run"))
+	h.Set(shouldRetryHeader, strconv.FormatBool(e.retryAfter > 0 && outcome == "not-run"))
 	body := map[string]any{
-		"message": f.message, "type": errorType(f.status), "code": f.code, "param": f.field,
+		"message": e.message, "type": errorType(e.status), "code": e.code, "param": e.field,
 		"outcome": outcome, "request_id": request,
 	}
-	if f.retryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.retryAfter.Seconds()))))
-		body["retry_after_ms"] = f.retryAfter.Milliseconds()
+	if e.retryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(e.retryAfter.Seconds()))))
+		body["retry_after_ms"] = e.retryAfter.Milliseconds()
 	}
-	writeJSON(w, f.status, map[string]any{"error": body})
+	writeJSON(w, e.status, map[string]any{"error": body})
 }
 
 func errorType(status int) string {
--- a/router/serve.go
+++ b/router/serve.go
@@ -136,7 +136,7 @@
 	sink        Sink
 	life        *attempt.Life
 	ticket      *ticket
-	refused     refusal
+	rejection   rejection
 	nextChunk   uint64 // number of the next chunk to forward
 	headWritten bool
 	retries     int
@@ -244,8 +244,8 @@
 	switch a := a.(type) {
 	case placement:
 		return a, true
-	case refusal:
-		f.refused = a
+	case rejection:
+		f.rejection = a
 		return placement{}, false
 	default:
 		panic(fmt.Sprintf("router: unknown placement %T", a))
@@ -259,8 +259,8 @@
 	if !notRun {
 		return stop.Outcome
 	}
-	if f.refused.reason != "" {
-		o.Cause, o.Reason, o.RetryAfter = f.refused.cause, f.refused.reason, f.refused.retryAfter
+	if f.rejection.reason != "" {
+		o.Cause, o.Reason, o.RetryAfter = f.rejection.cause, f.rejection.reason, f.rejection.retryAfter
 		return o
 	}
 	switch {
@@ -282,10 +282,10 @@
 		return nil, false
 	}
 	f.retries++
-	if f.refused.reason != "" || f.retries > maxRetries || !f.router.retries.tryWithdraw() {
+	if f.rejection.reason != "" || f.retries > maxRetries || !f.router.retries.tryWithdraw() {
 		f.router.dispatcher.send(endEvent{ticket: f.ticket, agent: p.peer.Hello.Node})
-		if f.refused.reason == "" {
-			f.refused = refusal{cause: attempt.Failing, reason: "several attempts did not run", retryAfter: time.Second}
+		if f.rejection.reason == "" {
+			f.rejection = rejection{cause: attempt.Failing, reason: "several attempts did not run", retryAfter: time.Second}
 		}
 		return f.giveUp(ctx), true
 	}
--- a/router/summing.go
+++ b/router/summing.go
@@ -74,69 +74,69 @@
 	}
 }
 
-func (s *aggregator) isActive() bool { return s.active.Load() }
+func (a *aggregator) isActive() bool { return a.active.Load() }
 
-func (s *aggregator) send(e aggregatorEvent) {
+func (a *aggregator) send(e aggregatorEvent) {
 	select {
-	case s.events <- e:
+	case a.events <- e:
 	default:
 	}
 }
 
-func (s *aggregator) agentLost(p *wire.Peer) { s.send(agentLostEvent{peer: p}) }
+func (a *aggregator) agentLost(p *wire.Peer) { a.send(agentLostEvent{peer: p}) }
 
-func (s *aggregator) run(ctx context.Context) {
-	t := time.NewTicker(s.router.options.Interval)
+func (a *aggregator) run(ctx context.Context) {
+	t := time.NewTicker(a.router.options.Interval)
 	defer t.Stop()
 	for {
 		select {
-		case e := <-s.events:
-			s.handle(e)
+		case e := <-a.events:
+			a.handle(e)
 		case <-t.C:
-			s.tick()
+			a.tick()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (s *aggregator) handle(e aggregatorEvent) {
+func (a *aggregator) handle(e aggregatorEvent) {
 	switch e := e.(type) {
 	case reportEvent:
-		s.report(e)
+		a.report(e)
 	case agentLostEvent:
-		if s.peers[e.peer.Hello.Node] == e.peer {
-			delete(s.peers, e.peer.Hello.Node)
-			delete(s.sentTotals, e.peer.Hello.Node)
+		if a.peers[e.peer.Hello.Node] == e.peer {
+			delete(a.peers, e.peer.Hello.Node)
+			delete(a.sentTotals, e.peer.Hello.Node)
 		}
 	case hallTotalsEvent:
 		for _, h := range e.halls {
-			s.fleet.Merge(ledger.HallSum{Hall: h.Hall, Source: h.Source, Sequence: h.Sequence, Totals: wire.Totals(h.Counters)})
+			a.fleet.Merge(ledger.HallSum{Hall: h.Hall, Source: h.Source, Sequence: h.Sequence, Totals: wire.Totals(h.Counters)})
 		}
 	case hallTotalsQuery:
-		e.reply <- s.hallTotals()
+		e.reply <- a.hallTotals()
 	case totalsQuery:
-		e.reply <- s.fleet.Sum()
+		e.reply <- a.fleet.Sum()
 	}
 }
 
-func (s *aggregator) report(e reportEvent) {
+func (a *aggregator) report(e reportEvent) {
 	agent := e.peer.Hello.Node
-	if s.peers[agent] != e.peer {
-		s.peers[agent] = e.peer
-		s.sentTotals[agent] = map[fair.Account]fair.Total{}
+	if a.peers[agent] != e.peer {
+		a.peers[agent] = e.peer
+		a.sentTotals[agent] = map[fair.Account]fair.Total{}
 	}
-	if !s.hall.Report(agent, e.peer.Hello.Incarnation, e.report.Sequence, wire.Totals(e.report.Counters)) {
+	if !a.hall.Report(agent, e.peer.Hello.Incarnation, e.report.Sequence, wire.Totals(e.report.Counters)) {
 		return
 	}
-	s.sequence++
-	s.fleet.Update(ledger.HallSum{Hall: s.router.options.Hall, Source: s.source(), Sequence: s.sequence, Totals: s.hall.Touched()})
-	if !s.shouldReply(agent, e.report.Sequence) {
+	a.sequence++
+	a.fleet.Update(ledger.HallSum{Hall: a.router.options.Hall, Source: a.source(), Sequence: a.sequence, Totals: a.hall.Touched()})
+	if !a.shouldReply(agent, e.report.Sequence) {
 		return
 	}
-	e.peer.Send(s.router.controlMessage(&wirepb.Control_Totals{Totals: &wirepb.Totals{
+	e.peer.Send(a.router.controlMessage(&wirepb.Control_Totals{Totals: &wirepb.Totals{
 		Sequence: e.report.Sequence,
-		Counters: wire.Counters(s.changed(agent)),
+		Counters: wire.Counters(a.changedTotals(agent)),
 	}}))
 }
 
@@ -147,19 +147,19 @@
 
 // shouldReply reports whether it is this router's turn to answer an agent. One of
 // the hall's aggregators replies at a time; they take turns because one may be down.
-func (s *aggregator) shouldReply(agent string, sequence uint64) bool {
-	summers := s.router.members.aggregators(s.router.options.Hall)
-	index := slices.IndexFunc(summers, func(h kv.Host) bool { return h.Name == s.router.options.Name })
+func (a *aggregator) shouldReply(agent string, sequence uint64) bool {
+	replicas := a.router.members.aggregators(a.router.options.Hall)
+	index := slices.IndexFunc(replicas, func(h kv.Host) bool { return h.Name == a.router.options.Name })
 	turn := sequence/reportsPerTurn + rendezvous(agent, "answers")
-	return index < 0 || turn%uint64(len(summers)) == uint64(index)
+	return index < 0 || turn%uint64(len(replicas)) == uint64(index)
 }
 
 // changedTotals returns the totals that changed since they were sent to the agent,
 // and those of all accounts with a backlog.
-func (s *aggregator) changed(agent string) []fair.Total {
-	sent := s.sentTotals[agent]
+func (a *aggregator) changedTotals(agent string) []fair.Total {
+	sent := a.sentTotals[agent]
 	var changed []fair.Total
-	for _, t := range s.fleet.Without(s.hall.Own(agent)) {
+	for _, t := range a.fleet.Without(a.hall.Own(agent)) {
 		last, known := sent[t.Account]
 		lifted := t.Lift.After(last.Lift)
 		if known && last.Service == t.Service && t.Reach == 0 && t.Pending == 0 && !lifted {
@@ -174,77 +174,77 @@
 	return changed
 }
 
-func (s *aggregator) mergeLocal() {
-	s.sequence++
-	s.fleet.Merge(ledger.HallSum{
-		Hall:     s.router.options.Hall,
-		Source:   s.source(),
-		Sequence: s.sequence,
-		Totals:   s.hall.Sum(),
+func (a *aggregator) mergeLocal() {
+	a.sequence++
+	a.fleet.Merge(ledger.HallSum{
+		Hall:     a.router.options.Hall,
+		Source:   a.source(),
+		Sequence: a.sequence,
+		Totals:   a.hall.Sum(),
 	})
 }
 
-func (s *aggregator) source() string { return s.router.options.Name + "/" + s.router.incarnation[:8] }
+func (a *aggregator) source() string { return a.router.options.Name + "/" + a.router.incarnation[:8] }
 
 // hallTotals returns the full totals of this router's hall, for another router. It
 // returns nil if this router is not active.
-func (s *aggregator) hallTotals() []*wirepb.HallTotals {
-	if !s.active.Load() {
+func (a *aggregator) hallTotals() []*wirepb.HallTotals {
+	if !a.active.Load() {
 		return nil
 	}
-	own := &wirepb.HallTotals{Hall: s.router.options.Hall, Source: s.source(), Sequence: s.sequence}
-	own.Counters = wire.Counters(s.fleet.Hall(s.router.options.Hall))
-	return []*wirepb.HallTotals{own}
+	totals := &wirepb.HallTotals{Hall: a.router.options.Hall, Source: a.source(), Sequence: a.sequence}
+	totals.Counters = wire.Counters(a.fleet.Hall(a.router.options.Hall))
+	return []*wirepb.HallTotals{totals}
 }
 
 // tick expires old state, updates the role of this router, and adopts known totals
 // once it has been active for adoptDelayTicks.
-func (s *aggregator) tick() {
-	s.hall.Tick()
-	s.fleet.Tick()
-	if s.active.Load() {
-		s.mergeLocal()
+func (a *aggregator) tick() {
+	a.hall.Tick()
+	a.fleet.Tick()
+	if a.active.Load() {
+		a.mergeLocal()
 	}
-	s.updateRole()
-	s.requestReports()
-	if !s.active.Load() || s.adopted {
+	a.updateRole()
+	a.requestReports()
+	if !a.active.Load() || a.adopted {
 		return
 	}
-	s.ticks++
-	if s.ticks >= adoptDelayTicks {
-		s.hall.Adopt(s.fleet.Hall(s.router.options.Hall))
-		s.adopted = true
+	a.ticks++
+	if a.ticks >= adoptDelayTicks {
+		a.hall.Adopt(a.fleet.Hall(a.router.options.Hall))
+		a.adopted = true
 	}
 }
 
-func (s *aggregator) updateRole() {
-	on := s.router.members.holdsDuty("summing")
-	if on == s.active.Load() {
+func (a *aggregator) updateRole() {
+	active := a.router.members.holdsDuty("summing")
+	if active == a.active.Load() {
 		return
 	}
-	s.active.Store(on)
-	if on {
-		s.hall = ledger.NewHall()
-		s.ticks, s.adopted = 0, false
+	a.active.Store(active)
+	if active {
+		a.hall = ledger.NewHall()
+		a.ticks, a.adopted = 0, false
 	}
 }
 
 // requestReports tells the agents whose counters are aggregated here to report, and
 // the others to stop.
-func (s *aggregator) requestReports() {
+func (a *aggregator) requestReports() {
 	present := map[*wire.Peer]bool{}
-	for _, p := range s.router.agents.peers() {
+	for _, p := range a.router.agents.peers() {
 		present[p] = true
-		on := s.active.Load() && s.router.members.aggregationHall(p.Hello.Hall) == s.router.options.Hall
-		if on == s.reportsRequested[p] {
+		wanted := a.active.Load() && a.router.members.aggregationHall(p.Hello.Hall) == a.router.options.Hall
+		if wanted == a.reportsRequested[p] {
 			continue
 		}
-		s.reportsRequested[p] = on
-		p.Send(s.router.controlMessage(&wirepb.Control_Summing{Summing: &wirepb.Summing{On: on}}))
+		a.reportsRequested[p] = wanted
+		p.Send(a.router.controlMessage(&wirepb.Control_Summing{Summing: &wirepb.Summing{On: wanted}}))
 	}
-	for p := range s.reportsRequested {
+	for p := range a.reportsRequested {
 		if !present[p] {
-			delete(s.reportsRequested, p)
+			delete(a.reportsRequested, p)
 		}
 	}
 }
--- a/router/wants.go
+++ b/router/wants.go
@@ -37,12 +37,12 @@
 	if v == nil || v.peer != e.peer {
 		return
 	}
-	wasOpen := v.limit > 0
+	hadCapacity := v.limit > 0
 	v.limit = int(e.load.Limit)
 	v.running = int(e.load.Running)
 	v.waiting = int(e.load.Waiting)
 	v.unhealthy = e.load.Sick
-	if e.load.Leaving != v.leaving || !wasOpen {
+	if e.load.Leaving != v.leaving || !hadCapacity {
 		v.leaving = e.load.Leaving
 		for _, k := range d.queue.Keys() {
 			d.dirty[k] = true
@@ -92,7 +92,7 @@
 		Pool:     k.Pool,
 		Urgent:   k.Urgent,
 		Count:    uint32(count),
-		Estimate: uint64(d.costs[k]),
+		Estimate: uint64(d.averageCosts[k]),
 		Pinned:   k.Server != "",
 	}}))
 }
@@ -100,7 +100,7 @@
 // expectedCost returns the expected cost of a request with the key: the moving
 // average of recent requests with the same key, or the hint if there is none.
 func (d *dispatcher) expectedCost(k dispatch.Key, hint float64) float64 {
-	if c, known := d.costs[k]; known {
+	if c, known := d.averageCosts[k]; known {
 		return c
 	}
 	return hint
