--- a/router/baseline.go
+++ b/router/baseline.go
@@ -8,44 +8,44 @@
 	"opalbridge.dev/fair"
 )
 
-// baseline is the state of the two ways to dispatch that the project is compared
-// with: both are what a router can do by itself, with the least loaded agent.
+// baseline is the state of the two baseline policies, RouterFair and FirstCome. In
+// both the router decides alone and sends to the least loaded agent.
 type baseline struct {
-	served map[fair.Account]float64 // service given by this router
+	served map[fair.Account]float64 // expected cost dispatched by this router, divided by share
 }
 
-// baselineDispatch binds waiting requests as long as an agent seems to have room.
-func (d *dispatcher) baselineDispatch() {
+// dispatchBaseline binds waiting requests while an agent seems to have capacity.
+func (d *dispatcher) dispatchBaseline() {
 	if d.router.options.Queueing == LateBinding {
 		return
 	}
 	if d.baseline.served == nil {
 		d.baseline.served = map[fair.Account]float64{}
 	}
-	for d.baselineOne() {
+	for d.dispatchBaselineOne() {
 	}
 }
 
-func (d *dispatcher) baselineOne() bool {
+func (d *dispatcher) dispatchBaselineOne() bool {
 	keys := d.queue.Classes()
-	slices.SortFunc(keys, d.baselineOrder)
+	slices.SortFunc(keys, d.compareBaseline)
 	for _, k := range keys {
 		request := d.queue.Peek(k)
 		t := d.tickets[request]
-		v, why := d.free(t)
+		v, reason := d.pickAgent(t)
 		if v == nil {
 			continue
 		}
 		d.queue.Remove(request)
 		delete(d.tickets, request)
-		d.baseline.served[k.Account] += d.estimate(k, request.Estimate) / d.share(k.Account)
-		d.bind(t, v, 0, why)
+		d.baseline.served[k.Account] += d.expectedCost(k, request.Estimate) / d.accountShare(k.Account)
+		d.bind(t, v, 0, reason)
 		return true
 	}
 	return false
 }
 
-func (d *dispatcher) baselineOrder(a, b dispatch.Class) int {
+func (d *dispatcher) compareBaseline(a, b dispatch.Class) int {
 	if d.router.options.Queueing == RouterFair {
 		if c := cmp.Compare(d.baseline.served[a.Account], d.baseline.served[b.Account]); c != 0 {
 			return c
@@ -57,7 +57,7 @@
 	return cmp.Compare(a.Account, b.Account)
 }
 
-func (d *dispatcher) share(a fair.Account) float64 {
+func (d *dispatcher) accountShare(a fair.Account) float64 {
 	for _, c := range d.router.holder.Current().Accounts {
 		if c.ID == uint32(a) {
 			return float64(c.Share)
--- a/router/drain.go
+++ b/router/drain.go
@@ -6,36 +6,37 @@
 	"opalbridge.dev/fair"
 )
 
-// This file foresees how soon an account's waiting requests are served.
+// This file estimates how long an account's requests wait.
 
-func (d *dispatcher) rate(a fair.Account) *drainRate {
-	r := d.drain[a]
+func (d *dispatcher) drainRate(a fair.Account) *drainRate {
+	r := d.drainRates[a]
 	if r == nil {
 		r = &drainRate{}
-		d.drain[a] = r
+		d.drainRates[a] = r
 	}
 	return r
 }
 
-// drainRate measures how fast an account's requests leave the queue.
+// drainRate measures how fast an account's requests leave the queue, as a moving
+// average of the time between departures.
 type drainRate struct {
-	last     time.Time
-	interval time.Duration
+	lastDeparture   time.Time
+	averageInterval time.Duration
 }
 
-// longestInterval is the longest time between two departures that counts; after
-// a longer one the account was idle, not slow.
-const longestInterval = 30 * time.Second
+// maxDepartureInterval is the longest time between two departures that enters the
+// average; after a longer one the account was idle, not slow.
+const maxDepartureInterval = 30 * time.Second
 
-func (r *drainRate) left(at time.Time) {
-	since := at.Sub(r.last)
-	r.last = at
-	if since > longestInterval {
+func (r *drainRate) recordDeparture(at time.Time) {
+	since := at.Sub(r.lastDeparture)
+	r.lastDeparture = at
+	if since > maxDepartureInterval {
 		return
 	}
-	const part = 8
-	r.interval += (since - r.interval) / part
+	const divisor = 8
+	r.averageInterval += (since - r.averageInterval) / divisor
 }
 
-// expect returns how long so many requests take to leave.
-func (r *drainRate) expect(n int) time.Duration { return r.interval * time.Duration(n) }
+// estimateWait returns the expected time until n requests have left the queue.
+func (r *drainRate) estimateWait(n int) time.Duration { return r.averageInterval * time.Duration(n) }
--- a/router/http_test.go
+++ b/router/http_test.go
@@ -12,7 +12,7 @@
 	"opalbridge.dev/kv/kvtest"
 )
 
-func parseRouter(t testing.TB) *Router {
+func newTestRouter(t testing.TB) *Router {
 	r := &Router{options: Options{KV: &kvtest.Service{}}.withDefaults()}
 	require.True(t, r.holder.Offer(&config.Document{
 		Revision: 1,
@@ -22,18 +22,18 @@
 	return r
 }
 
-func TestParseMarks(t *testing.T) {
-	r := parseRouter(t)
+func TestParseOptionHeaders(t *testing.T) {
+	r := newTestRouter(t)
 	tests := []struct {
 		name, method, path string
 		header             http.Header
 		urgent, repeatable bool
 	}{
-		{"a model's request may run again", "POST", "/v1/completions", http.Header{}, false, true},
-		{"marked", "POST", "/v1/completions", http.Header{UrgentHeader: {"true"}, NotRepeatableHeader: {"true"}}, true, false},
-		{"a service's POST may not run again", "POST", "/services/booking/x", http.Header{}, false, false},
-		{"a service's GET may", "GET", "/services/booking/x", http.Header{}, false, true},
-		{"unless marked", "GET", "/services/booking/x", http.Header{NotRepeatableHeader: {"true"}}, false, false},
+		{"model requests are repeatable by default", "POST", "/v1/completions", http.Header{}, false, true},
+		{"headers override the defaults", "POST", "/v1/completions", http.Header{UrgentHeader: {"true"}, NotRepeatableHeader: {"true"}}, true, false},
+		{"service POST is not repeatable by default", "POST", "/services/booking/x", http.Header{}, false, false},
+		{"service GET is repeatable by default", "GET", "/services/booking/x", http.Header{}, false, true},
+		{"header overrides the default of service GET", "GET", "/services/booking/x", http.Header{NotRepeatableHeader: {"true"}}, false, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -54,25 +54,26 @@
 	}
 }
 
-// FuzzRequest parses any body and headers; it must refuse or accept, never fail.
+// FuzzRequest checks that any body and headers are either accepted or rejected with
+// a status and code, without a panic.
 func FuzzRequest(f *testing.F) {
 	f.Add(`{"model":"small","max_tokens":3}`, "true", "100", "text/plain")
 	f.Add(`{"model":`, "x", "-1", ";;")
 	f.Add("", "", "99999999999999999999", "")
-	r := parseRouter(f)
-	f.Fuzz(func(t *testing.T, body, mark, deadline, kind string) {
+	r := newTestRouter(f)
+	f.Fuzz(func(t *testing.T, body, urgent, deadline, contentType string) {
 		h := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(body))
 		h.Header.Set("Authorization", "Bearer key")
-		h.Header.Set(UrgentHeader, mark)
+		h.Header.Set(UrgentHeader, urgent)
 		h.Header.Set(DeadlineHeader, deadline)
-		h.Header.Set("Content-Type", kind)
-		q, fault := r.parse(h)
-		if fault == nil {
-			fault = parseModel(q, r.holder.Current())
+		h.Header.Set("Content-Type", contentType)
+		q, e := r.parse(h)
+		if e == nil {
+			e = parseModel(q, r.holder.Current())
 		}
-		if fault != nil {
-			require.GreaterOrEqual(t, fault.status, 400)
-			require.NotEmpty(t, fault.code)
+		if e != nil {
+			require.GreaterOrEqual(t, e.status, 400)
+			require.NotEmpty(t, e.code)
 			return
 		}
 		require.Equal(t, "small", q.Pool)
--- a/router/members.go
+++ b/router/members.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// listRate bounds how often all routers together read the live list, a second.
-	listRate         = 200
-	shortestListRead = 2 * time.Second
-	// holders is how many routers of a hall take a shared duty at once.
-	holders = 2
+	// maxListReadsPerSecond bounds the reads of the live list by all routers
+	// together.
+	maxListReadsPerSecond = 200
+	minListReadInterval   = 2 * time.Second
+	// dutyReplicas is how many routers of a hall perform a shared duty at once.
+	dutyReplicas = 2
 )
 
-// members is the duty that reads the platform's list of live hosts. The list lags
-// and may be wrong: what rests on it is who connects to whom and who takes shared
-// duties, which costs accuracy or bytes when it errs, never a promise.
+// members polls the platform's list of live hosts. The list lags and may be wrong,
+// so only connections and the assignment of shared duties depend on it: an error
+// costs accuracy or bandwidth, never correctness.
 type members struct {
-	router *Router
-	mutex  sync.Mutex
-	hosts  []kv.Host
-	change chan struct{}
-	failed bool
+	router     *Router
+	mutex      sync.Mutex
+	hosts      []kv.Host
+	changeCh   chan struct{}
+	unreadable bool
 }
 
 func (m *members) run(ctx context.Context) {
@@ -41,65 +42,66 @@
 	}
 }
 
-// interval grows with the fleet, so that the service's load does not.
+// interval grows with the number of routers, so that the total rate of reads stays
+// bounded.
 func (m *members) interval() time.Duration {
 	routers := len(m.routers())
-	d := max(shortestListRead, time.Duration(routers)*time.Second/listRate)
+	d := max(minListReadInterval, time.Duration(routers)*time.Second/maxListReadsPerSecond)
 	return d/2 + rand.N(d)
 }
 
 func (m *members) read(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, shortestListRead)
+	ctx, cancel := context.WithTimeout(ctx, minListReadInterval)
 	defer cancel()
 	hosts, err := m.router.options.Directory.Hosts(ctx)
 	if err != nil {
-		m.fail(err)
+		m.recordFailure(err)
 		return
 	}
 	slices.SortFunc(hosts, func(a, b kv.Host) int { return cmp.Compare(a.Name, b.Name) })
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.failed {
-		m.failed = false
+	if m.unreadable {
+		m.unreadable = false
 		m.router.record(explain.Event{Kind: explain.Repair, Text: "the platform's live list is readable again"})
 	}
 	if slices.Equal(hosts, m.hosts) {
 		return
 	}
 	m.hosts = hosts
-	if m.change != nil {
-		close(m.change)
-		m.change = nil
+	if m.changeCh != nil {
+		close(m.changeCh)
+		m.changeCh = nil
 	}
 }
 
-// fail keeps the last list: an outage of the service changes nothing here.
-func (m *members) fail(err error) {
+// recordFailure reports the start of an outage. The last list stays in use.
+func (m *members) recordFailure(err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.failed {
+	if m.unreadable {
 		return
 	}
-	m.failed = true
+	m.unreadable = true
 	m.router.record(explain.Event{Kind: explain.Degrade, Text: "the platform's live list cannot be read: " + err.Error()})
-	m.router.options.Log.Warn().Err(err).Msg("live list not read")
+	m.router.options.Log.Warn().Err(err).Msg("failed to read live list")
 }
 
-// degraded reports whether the list could not be read lately.
+// degraded reports whether the latest read of the list failed.
 func (m *members) degraded() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.failed
+	return m.unreadable
 }
 
-// changed returns a channel that is closed when the list has changed.
+// changed returns a channel that is closed at the next change of the list.
 func (m *members) changed() <-chan struct{} {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.change == nil {
-		m.change = make(chan struct{})
+	if m.changeCh == nil {
+		m.changeCh = make(chan struct{})
 	}
-	return m.change
+	return m.changeCh
 }
 
 func (m *members) list(keep func(kv.Host) bool) []kv.Host {
@@ -118,21 +120,23 @@
 	return m.list(func(h kv.Host) bool { return h.Role == kv.Router && !h.Leaving })
 }
 
-// summers returns the routers that sum a hall's counters, by the list as it is.
-func (m *members) summers(hall string) []kv.Host {
-	return firstByHash("summing/"+hall, m.routersOf(hall), holders)
+// aggregators returns the routers that aggregate a hall's counters, by the current
+// list.
+func (m *members) aggregators(hall string) []kv.Host {
+	return highestByHash("summing/"+hall, m.routersIn(hall), dutyReplicas)
 }
 
-func (m *members) routersOf(hall string) []kv.Host {
+func (m *members) routersIn(hall string) []kv.Host {
 	return m.list(func(h kv.Host) bool {
 		return h.Role == kv.Router && !h.Leaving && h.Hall == hall
 	})
 }
 
-// summingHall returns the hall whose routers sum the counters of agents in the
-// given hall: the same, or for a hall without routers one of the others.
-func (m *members) summingHall(hall string) string {
-	halls := m.halls()
+// aggregationHall returns the hall whose routers aggregate the counters of agents
+// in the given hall: the same, or for a hall without routers another one, chosen by
+// rendezvous hashing.
+func (m *members) aggregationHall(hall string) string {
+	halls := m.routerHalls()
 	if len(halls) == 0 || slices.Contains(halls, hall) {
 		return hall
 	}
@@ -141,8 +145,8 @@
 	})
 }
 
-// halls returns the halls that have a router, sorted.
-func (m *members) halls() []string {
+// routerHalls returns the halls that have a router, sorted.
+func (m *members) routerHalls() []string {
 	var halls []string
 	for _, h := range m.routers() {
 		if !slices.Contains(halls, h.Hall) {
@@ -153,40 +157,40 @@
 	return halls
 }
 
-// holds reports whether this router takes one of its hall's shared duties. One
-// that knows no list takes all of them.
-func (m *members) holds(duty string) bool {
-	all := m.routersOf(m.router.options.Hall)
+// holdsDuty reports whether this router performs one of its hall's shared duties. A
+// router that knows no list performs all of them.
+func (m *members) holdsDuty(duty string) bool {
+	all := m.routersIn(m.router.options.Hall)
 	if len(all) == 0 {
 		return true
 	}
-	first := firstByHash(duty+"/"+m.router.options.Hall, all, holders)
-	return slices.ContainsFunc(first, func(h kv.Host) bool { return h.Name == m.router.options.Name })
+	selected := highestByHash(duty+"/"+m.router.options.Hall, all, dutyReplicas)
+	return slices.ContainsFunc(selected, func(h kv.Host) bool { return h.Name == m.router.options.Name })
 }
 
-// wantedAgents returns the agents this router connects to: of each pool a subset
-// of the configured degree, and all whose counters it sums.
-func (m *members) wantedAgents() []kv.Host {
+// desiredAgents returns the agents this router connects to: of each pool a subset
+// of the configured degree, and all agents whose counters it aggregates.
+func (m *members) desiredAgents() []kv.Host {
 	all := m.list(func(h kv.Host) bool { return h.Role == kv.Agent })
 	degree := m.router.options.Degree
 	if degree == 0 || len(all) <= degree {
 		return all
 	}
-	wanted := map[string]kv.Host{}
+	desired := map[string]kv.Host{}
 	for _, hosts := range m.byPool(all) {
-		for _, h := range firstByHash(m.router.options.Name, hosts, degree) {
-			wanted[h.Name] = h
+		for _, h := range highestByHash(m.router.options.Name, hosts, degree) {
+			desired[h.Name] = h
 		}
 	}
-	if m.router.summing.isSumming() {
+	if m.router.aggregator.isActive() {
 		for _, h := range all {
-			if m.summingHall(h.Hall) == m.router.options.Hall {
-				wanted[h.Name] = h
+			if m.aggregationHall(h.Hall) == m.router.options.Hall {
+				desired[h.Name] = h
 			}
 		}
 	}
-	list := make([]kv.Host, 0, len(wanted))
-	for _, h := range wanted {
+	list := make([]kv.Host, 0, len(desired))
+	for _, h := range desired {
 		list = append(list, h)
 	}
 	return list
@@ -205,8 +209,8 @@
 	return pools
 }
 
-// firstByHash returns the n hosts with the highest rendezvous hash for a key.
-func firstByHash(key string, hosts []kv.Host, n int) []kv.Host {
+// highestByHash returns the n hosts with the highest rendezvous hash for a key.
+func highestByHash(key string, hosts []kv.Host, n int) []kv.Host {
 	type ranked struct {
 		hash uint64
 		host kv.Host
@@ -221,20 +225,21 @@
 		}
 		return cmp.Compare(a.host.Name, b.host.Name)
 	})
-	var first []kv.Host
+	var selected []kv.Host
 	for _, r := range list[:min(n, len(list))] {
-		first = append(first, r.host)
+		selected = append(selected, r.host)
 	}
-	return first
+	return selected
 }
 
-// rendezvous hashes a key with a name; the highest of several names has the key.
+// rendezvous returns the rendezvous hash of a key and a name; the name with the
+// highest hash owns the key.
 func rendezvous(key, name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(key))
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(name))
-	// FNV spreads the last bytes badly; mix its result.
+	// FNV-1a mixes the last bytes poorly, so finalize its result as MurmurHash3 does.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -15,14 +15,14 @@
 
 const (
 	exchangeTimeout = 2 * time.Second
-	// gossipTicks is in how many intervals a router speaks to each neighbour with
-	// whom it has no counters to exchange.
-	gossipTicks = 2
+	// gossipPeriodTicks is the number of intervals between exchanges with a
+	// neighbour when there are no counters to exchange.
+	gossipPeriodTicks = 2
 )
 
-// neighbours is the duty that keeps connections to some other routers: those at
-// distances of powers of two in the sorted live list, so that news cross any
-// fleet in a logarithm of its size, and the summing routers if this one sums.
+// neighbours maintains connections to other routers: those at power-of-two
+// distances in the sorted live list, so that updates reach every router in a
+// logarithmic number of hops, and the aggregating routers if this one aggregates.
 type neighbours struct {
 	router *Router
 	mutex  sync.Mutex
@@ -35,7 +35,7 @@
 		t := time.NewTicker(n.router.options.Interval)
 		defer t.Stop()
 		for {
-			n.choose(ctx, connections)
+			n.updateLinks(ctx, connections)
 			select {
 			case <-t.C:
 			case <-ctx.Done():
@@ -46,17 +46,17 @@
 	connections.Collect(ctx)
 }
 
-func (n *neighbours) choose(ctx context.Context, connections *duty.Group) {
-	wanted := n.wanted()
+func (n *neighbours) updateLinks(ctx context.Context, connections *duty.Group) {
+	desired := n.desired()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for name, l := range n.links {
-		if h, keep := wanted[name]; !keep || h.Address != l.host.Address {
+		if h, keep := desired[name]; !keep || h.Address != l.host.Address {
 			l.cancel()
 			delete(n.links, name)
 		}
 	}
-	for name, h := range wanted {
+	for name, h := range desired {
 		if n.links[name] != nil {
 			continue
 		}
@@ -64,39 +64,39 @@
 		l := newLink(h, cancel)
 		n.links[name] = l
 		connections.Go(alive, "router "+name, func(ctx context.Context) {
-			n.router.keep(ctx, l, n.use)
+			n.router.maintain(ctx, l, n.serve)
 		})
 	}
 }
 
-func (n *neighbours) wanted() map[string]kv.Host {
+func (n *neighbours) desired() map[string]kv.Host {
 	m := n.router.members
-	wanted := map[string]kv.Host{}
+	desired := map[string]kv.Host{}
 	all := m.routers()
 	self := slices.IndexFunc(all, func(h kv.Host) bool { return h.Name == n.router.options.Name })
 	for step := 1; step < len(all); step *= 2 {
 		h := all[(max(self, 0)+step)%len(all)]
-		wanted[h.Name] = h
+		desired[h.Name] = h
 	}
-	if n.router.summing.isSumming() {
-		for _, hall := range m.halls() {
-			for _, h := range m.summers(hall) {
-				wanted[h.Name] = h
+	if n.router.aggregator.isActive() {
+		for _, hall := range m.routerHalls() {
+			for _, h := range m.aggregators(hall) {
+				desired[h.Name] = h
 			}
 		}
 	}
-	delete(wanted, n.router.options.Name)
-	return wanted
+	delete(desired, n.router.options.Name)
+	return desired
 }
 
-// use exchanges news with a router until the connection ends.
-func (n *neighbours) use(ctx context.Context, p *wire.Peer) {
+// serve exchanges state with a router periodically until the connection ends.
+func (n *neighbours) serve(ctx context.Context, p *wire.Peer) {
 	t := time.NewTicker(n.router.options.Interval)
 	defer t.Stop()
 	for i := 0; ; i++ {
-		sums := n.exchangesSums(p, i)
-		if sums || i%gossipTicks == 0 {
-			if err := n.exchange(ctx, p, sums); err != nil {
+		withTotals := n.shouldExchangeTotals(p, i)
+		if withTotals || i%gossipPeriodTicks == 0 {
+			if err := n.exchange(ctx, p, withTotals); err != nil {
 				p.Close(err)
 				return
 			}
@@ -104,7 +104,7 @@
 		select {
 		case <-t.C:
 		case <-n.router.holder.Changed():
-		case <-p.Control(): // routers send none to each other; it closes at the end
+		case <-p.Control(): // routers send each other no control messages; closed with the connection
 			return
 		case <-ctx.Done():
 			p.Close(ctx.Err())
@@ -113,20 +113,22 @@
 	}
 }
 
-// exchangesSums reports whether counters go to that router this time: with one
-// summing router of each hall at a time, in turn.
-func (n *neighbours) exchangesSums(p *wire.Peer, turn int) bool {
-	// An exchange tells both sides; of two that dial each other one is enough.
-	if !n.router.summing.isSumming() || n.router.options.Name > p.Hello.Node {
+// shouldExchangeTotals reports whether to exchange counters with the router in this
+// turn. The aggregating routers of a hall take turns.
+func (n *neighbours) shouldExchangeTotals(p *wire.Peer, turn int) bool {
+	// An exchange updates both sides; of two routers that dial each other, one
+	// suffices.
+	if !n.router.aggregator.isActive() || n.router.options.Name > p.Hello.Node {
 		return false
 	}
-	summers := n.router.members.summers(p.Hello.Hall)
-	at := slices.IndexFunc(summers, func(h kv.Host) bool { return h.Name == p.Hello.Node })
-	return at >= 0 && turn%len(summers) == at
+	replicas := n.router.members.aggregators(p.Hello.Hall)
+	index := slices.IndexFunc(replicas, func(h kv.Host) bool { return h.Name == p.Hello.Node })
+	return index >= 0 && turn%len(replicas) == index
 }
 
-// exchange tells a router the revision and counters known here, and hears its.
-func (n *neighbours) exchange(ctx context.Context, p *wire.Peer, sums bool) error {
+// exchange sends the revision and counters known here to a router and applies those
+// it returns.
+func (n *neighbours) exchange(ctx context.Context, p *wire.Peer, withTotals bool) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	s, err := p.Open()
@@ -136,53 +138,53 @@
 	defer s.Close()
 	release := s.CloseWhenDone(ctx)
 	defer release()
-	ours := n.router.news(ctx, sums)
-	n.router.counted.add(ours)
+	ours := n.router.exchangeMessage(ctx, withTotals)
+	n.router.exchangeBytes.add(ours)
 	if err := s.Write(&wirepb.Call{Body: &wirepb.Call_Exchange{Exchange: ours}}); err != nil {
 		return err
 	}
-	var answer wirepb.Piece
-	if err := s.Read(&answer); err != nil {
+	var reply wirepb.Piece
+	if err := s.Read(&reply); err != nil {
 		return err
 	}
-	theirs := answer.GetExchange()
-	n.router.counted.add(theirs)
-	n.router.hear(p, theirs)
+	theirs := reply.GetExchange()
+	n.router.exchangeBytes.add(theirs)
+	n.router.applyExchange(p, theirs)
 	return nil
 }
 
-// news is what this router tells another.
-func (r *Router) news(ctx context.Context, sums bool) *wirepb.Exchange {
+// exchangeMessage returns the state that this router sends to another.
+func (r *Router) exchangeMessage(ctx context.Context, withTotals bool) *wirepb.Exchange {
 	e := &wirepb.Exchange{
 		Node:        r.options.Name,
 		Hall:        r.options.Hall,
 		Incarnation: r.incarnation,
 		Revision:    r.holder.Revision(),
-		ConfirmedMs: r.confirmedAge().Milliseconds(),
+		ConfirmedMs: r.confirmationAge().Milliseconds(),
 	}
-	if !sums {
+	if !withTotals {
 		return e
 	}
 	reply := make(chan []*wirepb.HallTotals, 1)
-	e.Halls, _ = query(ctx, r.summing, sumsQuery{reply: reply}, reply)
+	e.Halls, _ = query(ctx, r.aggregator, hallTotalsQuery{reply: reply}, reply)
 	return e
 }
 
-// hear takes in what another router told.
-func (r *Router) hear(p *wire.Peer, e *wirepb.Exchange) {
+// applyExchange applies the state received from another router.
+func (r *Router) applyExchange(p *wire.Peer, e *wirepb.Exchange) {
 	if e == nil {
 		return
 	}
-	r.confirm(time.Duration(e.ConfirmedMs)*time.Millisecond, e.Revision)
+	r.recordConfirmation(time.Duration(e.ConfirmedMs)*time.Millisecond, e.Revision)
 	if len(e.Document) > 0 {
-		r.offerContent(p, e.Document)
+		r.applyEncodedDocument(p, e.Document)
 	}
-	if len(e.Halls) > 0 && r.summing.isSumming() {
-		r.summing.tell(sumsEvent{halls: e.Halls})
+	if len(e.Halls) > 0 && r.aggregator.isActive() {
+		r.aggregator.send(hallTotalsEvent{halls: e.Halls})
 	}
 }
 
-// accept serves connections of other routers.
+// accept accepts and serves connections from other routers.
 func (r *Router) accept(ctx context.Context) {
 	for {
 		conn, err := r.options.Listener.Accept()
@@ -199,7 +201,7 @@
 func (r *Router) servePeer(ctx context.Context, conn net.Conn) {
 	p, err := wire.Accept(ctx, conn, r.hello())
 	if err != nil {
-		r.options.Log.Warn().Err(err).Str("from", conn.RemoteAddr().String()).Msg("connection refused")
+		r.options.Log.Warn().Err(err).Str("from", conn.RemoteAddr().String()).Msg("handshake with peer failed")
 		return
 	}
 	defer p.Close(nil)
@@ -233,21 +235,21 @@
 	case *wirepb.Call_Exchange:
 		r.serveExchange(ctx, p, s, b.Exchange)
 	case *wirepb.Call_Records:
-		_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_RecordList{RecordList: r.ownRecords(ctx, b.Records)}})
+		_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_RecordList{RecordList: r.localRecords(ctx, b.Records)}})
 	default:
 		p.Close(errUnexpected)
 	}
 }
 
 func (r *Router) serveExchange(ctx context.Context, p *wire.Peer, s *wire.Stream, theirs *wirepb.Exchange) {
-	ours := r.news(ctx, len(theirs.Halls) > 0)
+	ours := r.exchangeMessage(ctx, len(theirs.Halls) > 0)
 	if d := r.holder.Current(); d.Revision > theirs.Revision {
 		if content, err := d.Encode(); err == nil {
 			ours.Document = content
 		}
 	}
-	r.counted.add(theirs)
-	r.counted.add(ours)
+	r.exchangeBytes.add(theirs)
+	r.exchangeBytes.add(ours)
 	_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_Exchange{Exchange: ours}})
-	r.hear(p, theirs)
+	r.applyExchange(p, theirs)
 }
