--- a/cmd/opalbridge/quarantine.go
+++ b/cmd/opalbridge/quarantine.go
@@ -49,19 +49,19 @@
 }
 
 // openSuspects opens what the store keeps.
-func openSuspects(c *cli.Command) (*platform.Suspects, error) {
+func openSuspects(c *cli.Command) (*platform.SuspectStore, error) {
 	address := c.String("store")
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		return nil, usage(errors.Wrapf(err, "quarantine: --store %q", address))
 	}
-	return &platform.Suspects{Store: &platform.Store{Address: address}}, nil
+	return &platform.SuspectStore{Store: &platform.Store{Address: address}}, nil
 }
 
 // quarantined is a row of the list.
 type quarantined struct {
 	Key    string `json:"key"`
 	Barred bool   `json:"barred"`
-	platform.Kept
+	platform.SuspectRecord
 }
 
 func listQuarantine(ctx context.Context, c *cli.Command) error {
@@ -88,7 +88,7 @@
 	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "KEY\tBARRED\tSINCE\tASKS\tSERVERS THAT ENDED")
 	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%t\t%s\t%s\t%s\n", r.Key, r.Barred, r.Since.Format(time.RFC3339), r.Asks, strings.Join(r.Servers, " "))
+		fmt.Fprintf(w, "%s\t%t\t%s\t%s\t%s\n", r.Key, r.Barred, r.Since.Format(time.RFC3339), r.Summary, strings.Join(r.Servers, " "))
 	}
 	return w.Flush()
 }
--- a/cmd/opalbridge/quarantine_test.go
+++ b/cmd/opalbridge/quarantine_test.go
@@ -27,7 +27,7 @@
 		return out.String(), err
 	}
 	barred, suspected := quarantine.Key{1}, quarantine.Key{2}
-	s := &platform.Suspects{Store: &platform.Store{Address: address}}
+	s := &platform.SuspectStore{Store: &platform.Store{Address: address}}
 	require.NoError(t, s.Keep(t.Context(), barred, gateway.Suspect{Summary: "quito POST h/x", Servers: []string{"i-1", "i-2"}}))
 	require.NoError(t, s.Keep(t.Context(), barred, gateway.Suspect{Summary: "quito POST h/x", Servers: []string{"i-2", "i-3"}}))
 	require.NoError(t, s.Keep(t.Context(), suspected, gateway.Suspect{Summary: "cuenca POST h/y", Servers: []string{"i-1", "i-3"}}))
--- a/soak/book.go
+++ b/soak/book.go
@@ -216,7 +216,7 @@
 	}
 	request.GetBody = nil // it must not be sent again by itself
 	request.Host = "h"
-	platform.SetCaller(request.Header, id, key, callerDeadline)
+	platform.SetCallerHeaders(request.Header, id, key, callerDeadline)
 	from := p.mark()
 	request.Header.Set(gatewayMark, from)
 	request.Header.Set(sentMark, time.Now().Format(time.RFC3339Nano))
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -137,7 +137,7 @@
 		return
 	}
 	b.ended = false
-	b.StartAgain(time.Now().UnixMilli())
+	b.Restart(time.Now().UnixMilli())
 	r.announce(b, "ready")
 }
 
@@ -151,14 +151,14 @@
 			r.book.breaks("%q reached servers %d times, %s after three had ended under it; %d in all", body, late, fatalNews, ends)
 		}
 	}
-	suspects := platform.Suspects{Store: &platform.Store{Address: r.storeAddress}}
+	suspects := platform.SuspectStore{Store: &platform.Store{Address: r.storeAddress}}
 	kept, err := suspects.List(context.Background())
 	if err != nil {
 		r.book.breaks("what is kept of suspects can't be read: %v", err)
 	}
 	for key, k := range kept {
 		if len(k.Servers) >= quarantine.CrashThreshold && !fatal[key.String()] {
-			r.book.breaks("%s is barred and ended no server: %s", key, k.Asks)
+			r.book.breaks("%s is barred and ended no server: %s", key, k.Summary)
 		}
 	}
 }
--- a/soak/returns.go
+++ b/soak/returns.go
@@ -48,9 +48,9 @@
 
 // comeBack lets the store come back from a copy, and operators and servers write again, each
 // key at a moment of its own.
-func (r *Run) comeBack(c platformtest.Copy, random *rand.Rand) {
+func (r *Run) comeBack(c platformtest.Backup, random *rand.Rand) {
 	r.written.Lock()
-	r.store.Return(c)
+	r.store.Restore(c)
 	keys := map[string]bool{}
 	for key := range r.truth {
 		keys[key] = true
@@ -69,11 +69,11 @@
 // away lets the store be away for a moment and come back from a copy that is as old as the
 // trouble lasts.
 func (r *Run) away(random *rand.Rand, times int) (undo func()) {
-	older, seed := r.store.Copy(), random.Uint64()
+	older, seed := r.store.Backup(), random.Uint64()
 	return func() {
 		random := rand.New(rand.NewPCG(r.options.Seed, seed))
 		for range times {
-			r.store.SetFaults(platformtest.Faults{Down: true})
+			r.store.SetFaults(platformtest.Faults{Unavailable: true})
 			time.Sleep(shortest + time.Duration(random.Int64N(int64(longest/2))))
 			r.comeBack(older, random)
 			r.store.SetFaults(platformtest.Faults{})
@@ -87,7 +87,7 @@
 	{"store comes back from a copy", func(r *Run, random *rand.Rand) func() { return r.away(random, 1) }},
 	{"store comes back twice", func(r *Run, random *rand.Rand) func() { return r.away(random, 2) }},
 	{"store comes back without a word", func(r *Run, random *rand.Rand) func() {
-		older, seed := r.store.Copy(), random.Uint64()
+		older, seed := r.store.Backup(), random.Uint64()
 		return func() { r.comeBack(older, rand.New(rand.NewPCG(r.options.Seed, seed))) }
 	}},
 	{"store comes back after a server said that it leaves", func(r *Run, random *rand.Rand) func() {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -82,8 +82,8 @@
 
 // calm is how a sound server behaves.
 var calm = platformtest.Behaviour{
-	Work: 5 * time.Millisecond, Echo: true, Events: streamEvents, Pause: 10 * time.Millisecond, Streams: []string{"/stream/", "/resume/"},
-	Fatal: fatalBodies,
+	ServiceTime: 5 * time.Millisecond, EchoID: true, Events: streamEvents, EventInterval: 10 * time.Millisecond, StreamPaths: []string{"/stream/", "/resume/"},
+	FatalBodies: fatalBodies,
 }
 
 // streamEvents is how many events a stream has.
@@ -148,7 +148,7 @@
 	}
 	r.closers = append(r.closers, p.Close)
 	b := &backend{Server: s, proxy: p}
-	s.End = func(body string) { r.endUnder(b, body) }
+	s.OnCrash = func(body string) { r.endUnder(b, body) }
 	r.servers = append(r.servers, b)
 	r.announce(b, "ready")
 	return nil
--- a/soak/trouble.go
+++ b/soak/trouble.go
@@ -119,16 +119,16 @@
 	{"link to the store is slow", linked(Link{Delay: slowLink}, true)},
 	{"link to the store is silent", linked(Link{SilentTo: true, SilentFrom: true}, true)},
 	{"link to the store is cut one way", linked(Link{SilentTo: true}, true)},
-	{"store is down", storing(platformtest.Faults{Down: true})},
-	{"store is silent", storing(platformtest.Faults{Silent: true})},
+	{"store is down", storing(platformtest.Faults{Unavailable: true})},
+	{"store is silent", storing(platformtest.Faults{Hang: true})},
 	{"store is slow", storing(platformtest.Faults{Delay: slowLink})},
-	{"store forgets its history", storing(platformtest.Faults{Forgotten: true})},
+	{"store forgets its history", storing(platformtest.Faults{Compacted: true})},
 	{"server fails", behaving(func(b *platformtest.Behaviour) { b.Status = 500 })},
 	{"server breaks off", behaving(func(b *platformtest.Behaviour) { b.Reset = true })},
-	{"server cuts streams", behaving(func(b *platformtest.Behaviour) { b.CutFrom = 3 })},
-	{"server is full", behaving(func(b *platformtest.Behaviour) { b.Full = true })},
-	{"server is mute", behaving(func(b *platformtest.Behaviour) { b.Silent = true })},
-	{"server is slow", behaving(func(b *platformtest.Behaviour) { b.Work = 400 * time.Millisecond })},
+	{"server cuts streams", behaving(func(b *platformtest.Behaviour) { b.CutAfter = 3 })},
+	{"server is full", behaving(func(b *platformtest.Behaviour) { b.Reject = true })},
+	{"server is mute", behaving(func(b *platformtest.Behaviour) { b.Hang = true })},
+	{"server is slow", behaving(func(b *platformtest.Behaviour) { b.ServiceTime = 400 * time.Millisecond })},
 }
 
 // resetServer breaks the connections to a server.
@@ -171,7 +171,7 @@
 		return func() { r.startAgain(s, born) }
 	}},
 	{"server starts again while the store is down", func(r *Run, random *rand.Rand) func() {
-		r.store.SetFaults(platformtest.Faults{Down: true})
+		r.store.SetFaults(platformtest.Faults{Unavailable: true})
 		r.startAgain(r.aServer(random), drawBorn(random))
 		return func() { r.store.SetFaults(platformtest.Faults{}) }
 	}},
@@ -210,6 +210,6 @@
 // startAgain lets a server crash and start again under its ID.
 func (r *Run) startAgain(s *backend, born int64) {
 	s.proxy.Reset()
-	s.StartAgain(born)
+	s.Restart(born)
 	r.announce(s, "ready")
 }
--- a/soak/words.go
+++ b/soak/words.go
@@ -155,7 +155,7 @@
 		return r.sayLeaving(r.aServer(random), drawBorn(random))
 	}},
 	{"server says that it leaves while the store is down", func(r *Run, random *rand.Rand) func() {
-		r.store.SetFaults(platformtest.Faults{Down: true})
+		r.store.SetFaults(platformtest.Faults{Unavailable: true})
 		undo := r.sayLeaving(r.aServer(random), drawBorn(random))
 		return func() {
 			r.store.SetFaults(platformtest.Faults{})
@@ -167,7 +167,7 @@
 	}},
 	{"server asks for rest as busy", func(r *Run, random *rand.Rand) func() {
 		s, b := r.aServer(random), calm
-		b.Full, b.Refusal, b.Rest = true, http.StatusTooManyRequests, "1"
+		b.Reject, b.RejectStatus, b.RetryAfter = true, http.StatusTooManyRequests, "1"
 		s.Set(b)
 		return func() { s.Set(calm) }
 	}},
@@ -200,7 +200,7 @@
 // askRest lets a server turn requests away and ask for rest.
 func askRest(s *backend, random *rand.Rand) (undo func()) {
 	b := calm
-	b.Full, b.Rest = true, []string{"0.7", "1", "2"}[random.IntN(3)]
+	b.Reject, b.RetryAfter = true, []string{"0.7", "1", "2"}[random.IntN(3)]
 	s.Set(b)
 	return func() { s.Set(calm) }
 }
