--- a/agent/agent.go
+++ b/agent/agent.go
@@ -132,7 +132,7 @@
 	go func() {
 		stop := context.AfterFunc(ctx, func() { _ = a.options.Listener.Close() })
 		defer stop()
-		a.duties.Collect(ctx)
+		a.duties.Wait(ctx)
 		done <- context.Cause(ctx)
 	}()
 	return done
--- a/agent/peer.go
+++ b/agent/peer.go
@@ -36,7 +36,7 @@
 			a.takeControl(p, m)
 		}
 	})
-	streams.Collect(alive)
+	streams.Wait(alive)
 	a.tell(peerDown{peer: p})
 	a.control.Remove(p)
 	a.options.Log.Info().Str("router", p.Hello.Node).AnErr("reason", p.Reason()).Msg("router disconnected")
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -210,7 +210,7 @@
 }
 
 // engine makes the call, as a hop of its own in the trace.
-func (r *run) engine(ctx context.Context) (*engine.Answer, error) {
+func (r *run) engine(ctx context.Context) (*engine.Response, error) {
 	_, span := r.agent.options.Tracer.Start(ctx, "engine.call", trace.WithAttributes(attribute.String("request", r.start.Request)))
 	defer span.End()
 	return r.agent.options.Engine.Do(ctx, r.call(trace.ContextWithSpan(ctx, span)))
@@ -229,11 +229,11 @@
 	}
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(h))
 	return &engine.Call{
-		Request: r.start.Request,
+		RequestID: r.start.Request,
 		Method:  r.start.Method,
 		Path:    r.start.Path,
 		Header:  h,
-		Content: r.start.Content,
+		Body: r.start.Content,
 		Urgent:  r.start.Urgent,
 	}
 }
--- a/cmd/opalbridge/bench_test.go
+++ b/cmd/opalbridge/bench_test.go
@@ -22,7 +22,7 @@
 // quickModel is a stand-in that costs almost no time of its own.
 func quickModel() *enginetest.Model {
 	return enginetest.NewModel(enginetest.ModelOptions{
-		Models: []string{devModel}, Slots: 4096, PrefillToken: time.Nanosecond, DecodeStep: time.Microsecond, DecodeExtra: time.Nanosecond,
+		Models: []string{devModel}, Slots: 4096, PrefillPerToken: time.Nanosecond, DecodeStep: time.Microsecond, DecodePerRequest: time.Nanosecond,
 	})
 }
 
--- a/cmd/opalbridge/run.go
+++ b/cmd/opalbridge/run.go
@@ -80,7 +80,7 @@
 
 // keeper is a process's TLS; nil when its settings name no certificate.
 type keeper struct {
-	*secure.Keeper
+	*secure.Credentials
 	mutual bool
 }
 
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, usage(err)
 	}
-	return &keeper{Keeper: k, mutual: s.PeerCA != ""}, nil
+	return &keeper{Credentials: k, mutual: s.PeerCA != ""}, nil
 }
 
 // peers puts mutual TLS on a listener for processes of the fleet, if it is set up.
@@ -100,7 +100,7 @@
 	if k == nil || !k.mutual {
 		return l
 	}
-	return tls.NewListener(l, k.Peers())
+	return tls.NewListener(l, k.PeerConfig())
 }
 
 // dial returns the way to other processes of the fleet; nil: plain TCP.
@@ -142,7 +142,7 @@
 		return nil, err
 	}
 	if k != nil {
-		callers = tls.NewListener(callers, k.Callers())
+		callers = tls.NewListener(callers, k.CallerConfig())
 	}
 	peers = k.peers(peers)
 	r, err := router.New(router.Options{
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -15,9 +15,9 @@
 	"sync/atomic"
 )
 
-// endQueue bounds the ends not yet read; a goroutine that ends when it is full
+// endedBuffer bounds the ends not yet read; a goroutine that ends when it is full
 // waits for the owner, which does nothing but read.
-const endQueue = 256
+const endedBuffer = 256
 
 // Group is a set of goroutines with one owner.
 type Group struct {
@@ -26,7 +26,7 @@
 }
 
 // NewGroup returns an empty group.
-func NewGroup() *Group { return &Group{ended: make(chan string, endQueue)} }
+func NewGroup() *Group { return &Group{ended: make(chan string, endedBuffer)} }
 
 // Go runs f in its own goroutine, which ends when f returns and then reports its
 // name. After Collect has begun, only the group's own goroutines may call it.
@@ -41,8 +41,8 @@
 // Running returns how many goroutines have not been seen to end.
 func (g *Group) Running() int { return int(g.running.Load()) }
 
-// Collect reads the ends of goroutines until ctx is done and all have ended.
-func (g *Group) Collect(ctx context.Context) {
+// Wait reads the ends of goroutines until ctx is done and all have ended.
+func (g *Group) Wait(ctx context.Context) {
 	done := ctx.Done()
 	for done != nil || g.running.Load() > 0 {
 		select {
--- a/engine/client.go
+++ b/engine/client.go
@@ -23,25 +23,25 @@
 // Client speaks to a model engine or plain service over HTTP. It implements
 // [Server].
 type Client struct {
-	Base string // URL, without a trailing slash
-	HTTP *http.Client
+	BaseURL string // URL, without a trailing slash
+	HTTP    *http.Client
 }
 
 // NewClient returns a client for the server at the given URL.
 func NewClient(base string) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	return NewClientDial(base, dialer.DialContext)
+	return NewClientWithDialer(base, dialer.DialContext)
 }
 
-// NewClientDial is NewClient with another way to open connections.
-func NewClientDial(base string, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
+// NewClientWithDialer is NewClient with another way to open connections.
+func NewClientWithDialer(base string, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	transport := &http.Transport{
 		DialContext:         dial,
 		MaxIdleConnsPerHost: 64,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}
-	return &Client{Base: base, HTTP: &http.Client{
+	return &Client{BaseURL: base, HTTP: &http.Client{
 		Transport: transport,
 		CheckRedirect: func(*http.Request, []*http.Request) error {
 			return http.ErrUseLastResponse
@@ -50,27 +50,27 @@
 }
 
 // Do implements Server.
-func (c *Client) Do(ctx context.Context, call *Call) (*Answer, error) {
-	body := &singleUse{reader: bytes.NewReader(call.Content)}
-	request, err := http.NewRequestWithContext(ctx, call.Method, c.Base+call.Path, body)
+func (c *Client) Do(ctx context.Context, call *Call) (*Response, error) {
+	body := &nonReplayableBody{reader: bytes.NewReader(call.Body)}
+	request, err := http.NewRequestWithContext(ctx, call.Method, c.BaseURL+call.Path, body)
 	if err != nil {
 		return nil, errors.Mark(errors.Wrapf(err, "engine: %s %s", call.Method, call.Path), ErrNotSent)
 	}
-	request.ContentLength = int64(len(call.Content))
+	request.ContentLength = int64(len(call.Body))
 	for name, values := range call.Header {
 		request.Header[name] = values
 	}
-	request.Header.Set(RequestHeader, call.Request)
+	request.Header.Set(RequestHeader, call.RequestID)
 	request.Header.Set(PriorityHeader, priority(call.Urgent))
 	response, err := c.HTTP.Do(request)
 	if err != nil {
 		err = errors.Wrapf(err, "engine: %s %s", call.Method, call.Path)
-		if isDial(err) {
+		if isDialError(err) {
 			err = errors.Mark(err, ErrNotSent)
 		}
 		return nil, err
 	}
-	return &Answer{Status: response.StatusCode, Header: response.Header, Body: response.Body}, nil
+	return &Response{Status: response.StatusCode, Header: response.Header, Body: response.Body}, nil
 }
 
 func priority(urgent bool) string {
@@ -80,7 +80,7 @@
 	return "1"
 }
 
-func isDial(err error) bool {
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
@@ -88,14 +88,14 @@
 // singleUse is a body that net/http cannot rewind. The transport sends a request
 // again by itself when a kept connection breaks and the request looks repeatable:
 // no body, or one it can get anew. This one is neither.
-type singleUse struct{ reader *bytes.Reader }
+type nonReplayableBody struct{ reader *bytes.Reader }
 
 // Read implements io.Reader.
-func (s *singleUse) Read(p []byte) (int, error) { return s.reader.Read(p) }
+func (s *nonReplayableBody) Read(p []byte) (int, error) { return s.reader.Read(p) }
 
 // Load implements Server.
 func (c *Client) Load(ctx context.Context) (Load, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.Base+"/load", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.BaseURL+"/load", nil)
 	if err != nil {
 		return Load{}, errors.Wrap(err, "engine: load")
 	}
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -69,7 +69,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			url, reads := breakingServer(t)
 			c := engine.NewClient(url)
-			call := &engine.Call{Request: "r", Method: test.method, Path: "/", Header: test.header, Content: []byte(test.content)}
+			call := &engine.Call{RequestID: "r", Method: test.method, Path: "/", Header: test.header, Body: []byte(test.content)}
 			first, err := c.Do(context.Background(), call)
 			require.NoError(t, err)
 			_, err = io.ReadAll(first.Body)
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -27,16 +27,16 @@
 
 // Call is one call of a model engine or a plain service.
 type Call struct {
-	Request string // the request's id, which the server may record
-	Method  string
-	Path    string // with the query
-	Header  http.Header
-	Content []byte
-	Urgent  bool
+	RequestID string // the request's id, which the server may record
+	Method    string
+	Path      string // with the query
+	Header    http.Header
+	Body      []byte
+	Urgent    bool
 }
 
-// Answer is a server's answer; its body must be closed.
-type Answer struct {
+// Response is a server's answer; its body must be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
@@ -53,7 +53,7 @@
 type Server interface {
 	// Do sends the call at most once. An error that wraps ErrNotSent means that
 	// the server has not seen it; after any other error it may have run.
-	Do(ctx context.Context, c *Call) (*Answer, error)
+	Do(ctx context.Context, c *Call) (*Response, error)
 	// Load returns the server's latest report.
 	Load(ctx context.Context) (Load, error)
 }
--- a/engine/enginetest/direct.go
+++ b/engine/enginetest/direct.go
@@ -32,22 +32,22 @@
 }
 
 // errBroken stands for a connection that broke.
-var errBroken = errors.New("enginetest: connection broken")
+var errConnectionBroken = errors.New("enginetest: connection broken")
 
 // Do implements engine.Server.
-func (d *Direct) Do(ctx context.Context, c *engine.Call) (*engine.Answer, error) {
+func (d *Direct) Do(ctx context.Context, c *engine.Call) (*engine.Response, error) {
 	d.mutex.Lock()
 	down := d.down
 	d.mutex.Unlock()
 	if down {
-		return nil, errors.Mark(errBroken, engine.ErrNotSent)
+		return nil, errors.Mark(errConnectionBroken, engine.ErrNotSent)
 	}
 	u, err := url.Parse(c.Path)
 	if err != nil {
 		return nil, errors.Mark(err, engine.ErrNotSent)
 	}
-	r := (&http.Request{Method: c.Method, URL: u, Header: c.Header.Clone(), Body: io.NopCloser(bytes.NewReader(c.Content))}).WithContext(ctx)
-	r.Header.Set(engine.RequestHeader, c.Request)
+	r := (&http.Request{Method: c.Method, URL: u, Header: c.Header.Clone(), Body: io.NopCloser(bytes.NewReader(c.Body))}).WithContext(ctx)
+	r.Header.Set(engine.RequestHeader, c.RequestID)
 	priority := "1"
 	if c.Urgent {
 		priority = "0"
@@ -63,10 +63,10 @@
 		return nil, ctx.Err()
 	}
 	if w.status == 0 {
-		return nil, errBroken
+		return nil, errConnectionBroken
 	}
 	context.AfterFunc(ctx, func() { reader.CloseWithError(ctx.Err()) })
-	return &engine.Answer{Status: w.status, Header: w.header, Body: reader}, nil
+	return &engine.Response{Status: w.status, Header: w.header, Body: reader}, nil
 }
 
 // Load implements engine.Server.
@@ -91,12 +91,12 @@
 	defer func() {
 		if recover() != nil {
 			w.once.Do(func() { close(w.ready) })
-			w.pipe.CloseWithError(errBroken)
+			w.pipe.CloseWithError(errConnectionBroken)
 			return
 		}
 		if r.Context().Err() != nil {
 			w.once.Do(func() { close(w.ready) })
-			w.pipe.CloseWithError(errBroken)
+			w.pipe.CloseWithError(errConnectionBroken)
 			return
 		}
 		w.WriteHeader(http.StatusOK)
--- a/engine/enginetest/model.go
+++ b/engine/enginetest/model.go
@@ -28,37 +28,37 @@
 
 // ModelOptions set up a Model. Zero values mean the defaults named.
 type ModelOptions struct {
-	Models        []string
-	Slots         int           // requests in the batch at most; 8
-	PrefillToken  time.Duration // for each input token not in the cache; 20 µs
-	DecodeStep    time.Duration // for one token of a batch of one; 10 ms
-	DecodeExtra   time.Duration // more for each further request in the batch; 1 ms
-	CachePrompts  int           // prompt beginnings the cache holds; 64
-	LoadLag       time.Duration // age of a load report; 1 s
-	DefaultTokens int           // answer length when the caller sets none; 32
-	Burst         int           // tokens made and sent at once; 1
-	TallyHeader   string        // requests are tallied by this header's value; empty: not
-	Signed        bool          // tokens name their request
+	Models           []string
+	Slots            int           // requests in the batch at most; 8
+	PrefillPerToken  time.Duration // for each input token not in the cache; 20 µs
+	DecodeStep       time.Duration // for one token of a batch of one; 10 ms
+	DecodePerRequest time.Duration // more for each further request in the batch; 1 ms
+	CachedPrefixes   int           // prompt beginnings the cache holds; 64
+	MaxLoadAge       time.Duration // age of a load report; 1 s
+	DefaultTokens    int           // answer length when the caller sets none; 32
+	Burst            int           // tokens made and sent at once; 1
+	LabelHeader      string        // requests are tallied by this header's value; empty: not
+	TagTokens        bool          // tokens name their request
 }
 
 func (o ModelOptions) withDefaults() ModelOptions {
 	if o.Slots == 0 {
 		o.Slots = 8
 	}
-	if o.PrefillToken == 0 {
-		o.PrefillToken = 20 * time.Microsecond
+	if o.PrefillPerToken == 0 {
+		o.PrefillPerToken = 20 * time.Microsecond
 	}
 	if o.DecodeStep == 0 {
 		o.DecodeStep = 10 * time.Millisecond
 	}
-	if o.DecodeExtra == 0 {
-		o.DecodeExtra = time.Millisecond
+	if o.DecodePerRequest == 0 {
+		o.DecodePerRequest = time.Millisecond
 	}
-	if o.CachePrompts == 0 {
-		o.CachePrompts = 64
+	if o.CachedPrefixes == 0 {
+		o.CachedPrefixes = 64
 	}
-	if o.LoadLag == 0 {
-		o.LoadLag = time.Second
+	if o.MaxLoadAge == 0 {
+		o.MaxLoadAge = time.Second
 	}
 	if o.Burst == 0 {
 		o.Burst = 1
@@ -71,28 +71,28 @@
 
 // ModelFaults tell a model how to misbehave.
 type ModelFaults struct {
-	Refuse     bool    // every call is answered with status 500
-	Silent     bool    // calls are taken and never answered
-	BreakAfter int     // answers break off after so many tokens; 0: never
-	Slower     float64 // decode takes so many times as long; 0: once
+	ReturnErrors bool    // every call is answered with status 500
+	Hang         bool    // calls are taken and never answered
+	AbortAfter   int     // answers break off after so many tokens; 0: never
+	Slowdown     float64 // decode takes so many times as long; 0: once
 }
 
 // Model is the stand-in for a model engine.
 type Model struct {
-	options ModelOptions
-	mutex   sync.Mutex
-	running int
-	waiting int
-	cache   []uint64 // prompt beginnings, latest last
-	runs    map[string]int
-	tokens  int
-	tally   map[string]Tally
-	busy    time.Duration // summed time of requests in the batch
-	faults  ModelFaults
-	report  engine.Load
-	at      time.Time
-	urgent  []chan struct{} // urgent calls that wait for a place
-	queue   []chan struct{} // other calls that wait for a place
+	options     ModelOptions
+	mutex       sync.Mutex
+	running     int
+	waiting     int
+	cache       []uint64 // prompt beginnings, latest last
+	runs        map[string]int
+	tokens      int
+	tally       map[string]TokenCounts
+	busy        time.Duration // summed time of requests in the batch
+	faults      ModelFaults
+	report      engine.Load
+	at          time.Time
+	urgentQueue []chan struct{} // urgent calls that wait for a place
+	queue       []chan struct{} // other calls that wait for a place
 }
 
 // NewModel returns a model engine's stand-in.
@@ -127,26 +127,26 @@
 	return m.busy, m.tokens
 }
 
-// Tally is what a model did for the requests with one value of the tally header.
-type Tally struct{ Input, Cached, Output int } // tokens
+// TokenCounts is what a model did for the requests with one value of the tally header.
+type TokenCounts struct{ Input, Cached, Output int } // tokens
 
-// Tally returns what was done so far, by value of the tally header.
-func (m *Model) Tally() map[string]Tally {
+// TokensByLabel returns what was done so far, by value of the tally header.
+func (m *Model) TokensByLabel() map[string]TokenCounts {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return maps.Clone(m.tally)
 }
 
-func (m *Model) count(r *http.Request, input, cached, output int) {
-	if m.options.TallyHeader == "" {
+func (m *Model) countTokens(r *http.Request, input, cached, output int) {
+	if m.options.LabelHeader == "" {
 		return
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.tally == nil {
-		m.tally = map[string]Tally{}
+		m.tally = map[string]TokenCounts{}
 	}
-	label := r.Header.Get(m.options.TallyHeader)
+	label := r.Header.Get(m.options.LabelHeader)
 	t := m.tally[label]
 	t.Input += input
 	t.Cached += cached
@@ -170,7 +170,7 @@
 func (m *Model) load() engine.Load {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if now := time.Now(); now.Sub(m.at) >= m.options.LoadLag {
+	if now := time.Now(); now.Sub(m.at) >= m.options.MaxLoadAge {
 		m.at = now
 		m.report = engine.Load{Running: m.running, Waiting: m.waiting, Slots: m.options.Slots}
 	}
@@ -204,18 +204,18 @@
 	}
 	faults := m.begin(r.Header.Get(engine.RequestHeader))
 	switch {
-	case faults.Refuse:
+	case faults.ReturnErrors:
 		http.Error(w, `{"error":{"message":"broken","type":"server_error"}}`, http.StatusInternalServerError)
 		return
-	case faults.Silent:
+	case faults.Hang:
 		<-r.Context().Done()
 		return
 	}
-	if !m.enter(r.Context(), r.Header.Get(engine.PriorityHeader) == "0") {
+	if !m.acquireSlot(r.Context(), r.Header.Get(engine.PriorityHeader) == "0") {
 		return
 	}
 	start := time.Now()
-	defer func() { m.leave(time.Since(start)) }()
+	defer func() { m.releaseSlot(time.Since(start)) }()
 	m.generate(w, r, &c, content, faults)
 }
 
@@ -227,7 +227,7 @@
 }
 
 // enter waits for a place in the batch; urgent calls go first.
-func (m *Model) enter(ctx context.Context, urgent bool) bool {
+func (m *Model) acquireSlot(ctx context.Context, urgent bool) bool {
 	m.mutex.Lock()
 	if m.running < m.options.Slots {
 		m.running++
@@ -236,7 +236,7 @@
 	}
 	turn := make(chan struct{})
 	if urgent {
-		m.urgent = append(m.urgent, turn)
+		m.urgentQueue = append(m.urgentQueue, turn)
 	} else {
 		m.queue = append(m.queue, turn)
 	}
@@ -246,39 +246,39 @@
 	case <-turn:
 		return true
 	case <-ctx.Done():
-		return m.giveUp(turn)
+		return m.abandonSlot(turn)
 	}
 }
 
 // giveUp takes a call out of the waiting line; one that was given its place at
 // the same moment hands it on.
-func (m *Model) giveUp(turn chan struct{}) bool {
+func (m *Model) abandonSlot(turn chan struct{}) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	same := func(c chan struct{}) bool { return c == turn }
-	before := len(m.urgent) + len(m.queue)
-	m.urgent = slices.DeleteFunc(m.urgent, same)
+	before := len(m.urgentQueue) + len(m.queue)
+	m.urgentQueue = slices.DeleteFunc(m.urgentQueue, same)
 	m.queue = slices.DeleteFunc(m.queue, same)
-	if len(m.urgent)+len(m.queue) < before {
+	if len(m.urgentQueue)+len(m.queue) < before {
 		m.waiting--
 		return false
 	}
-	m.handOn()
+	m.passSlot()
 	return false
 }
 
-func (m *Model) leave(spent time.Duration) {
+func (m *Model) releaseSlot(spent time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.busy += spent
-	m.handOn()
+	m.passSlot()
 }
 
-func (m *Model) handOn() {
+func (m *Model) passSlot() {
 	var next chan struct{}
 	switch {
-	case len(m.urgent) > 0:
-		next, m.urgent = m.urgent[0], m.urgent[1:]
+	case len(m.urgentQueue) > 0:
+		next, m.urgentQueue = m.urgentQueue[0], m.urgentQueue[1:]
 	case len(m.queue) > 0:
 		next, m.queue = m.queue[0], m.queue[1:]
 	default:
@@ -291,20 +291,20 @@
 
 var seed = maphash.MakeSeed()
 
-const prefixBytes = 256
+const cachedPrefixBytes = 256
 
 // prefill returns the input tokens and how many of them were in the cache.
 func (m *Model) prefill(content []byte) (tokens, cached int) {
 	tokens = len(content) / 4
-	beginning := maphash.Bytes(seed, content[:min(len(content), prefixBytes)])
+	prefix := maphash.Bytes(seed, content[:min(len(content), cachedPrefixBytes)])
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if at := slices.Index(m.cache, beginning); at >= 0 {
+	if at := slices.Index(m.cache, prefix); at >= 0 {
 		cached = tokens / 2
 		m.cache = slices.Delete(m.cache, at, at+1)
 	}
-	m.cache = append(m.cache, beginning)
-	if len(m.cache) > m.options.CachePrompts {
+	m.cache = append(m.cache, prefix)
+	if len(m.cache) > m.options.CachedPrefixes {
 		m.cache = m.cache[1:]
 	}
 	return tokens, cached
@@ -315,19 +315,19 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.tokens += tokens
-	d := m.options.DecodeStep + time.Duration(m.running-1)*m.options.DecodeExtra
-	if m.faults.Slower > 0 {
-		d = time.Duration(float64(d) * m.faults.Slower)
+	d := m.options.DecodeStep + time.Duration(m.running-1)*m.options.DecodePerRequest
+	if m.faults.Slowdown > 0 {
+		d = time.Duration(float64(d) * m.faults.Slowdown)
 	}
 	return d * time.Duration(tokens)
 }
 
 func (m *Model) generate(w http.ResponseWriter, r *http.Request, c *completion, content []byte, f ModelFaults) {
 	input, cached := m.prefill(content)
-	if !pause(r.Context(), time.Duration(input-cached)*m.options.PrefillToken) {
+	if !pause(r.Context(), time.Duration(input-cached)*m.options.PrefillPerToken) {
 		return
 	}
-	m.count(r, input, cached, 0)
+	m.countTokens(r, input, cached, 0)
 	length := m.length(c)
 	if c.Stream {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -341,10 +341,10 @@
 		if !pause(r.Context(), m.step(n)) {
 			return
 		}
-		if f.BreakAfter > 0 && i+n > f.BreakAfter {
+		if f.AbortAfter > 0 && i+n > f.AbortAfter {
 			panic(http.ErrAbortHandler)
 		}
-		m.count(r, 0, 0, n)
+		m.countTokens(r, 0, 0, n)
 		for j := range n {
 			word := m.word(r, i+j)
 			text = append(text, word...)
@@ -372,23 +372,23 @@
 		fmt.Fprint(w, "data: [DONE]\n\n")
 		return
 	}
-	writeWhole(w, r.URL.Path, c.Model, string(text), u)
+	writeCompletion(w, r.URL.Path, c.Model, string(text), u)
 }
 
 func (m *Model) word(r *http.Request, i int) string {
-	if m.options.Signed {
+	if m.options.TagTokens {
 		return fmt.Sprintf("%s.%d ", r.Header.Get(engine.RequestHeader), i)
 	}
 	return fmt.Sprintf("t%d ", i)
 }
 
 func (m *Model) length(c *completion) int {
-	most := max(c.MaxTokens, c.MaxNew)
+	limit := max(c.MaxTokens, c.MaxNew)
 	switch {
 	case c.Actual > 0:
 		return c.Actual
-	case most > 0:
-		return most
+	case limit > 0:
+		return limit
 	default:
 		return m.options.DefaultTokens
 	}
@@ -410,7 +410,7 @@
 	fmt.Fprintf(w, "data: %s\n\n", b)
 }
 
-func writeWhole(w http.ResponseWriter, path, model, text string, u any) {
+func writeCompletion(w http.ResponseWriter, path, model, text string, u any) {
 	choice := map[string]any{"index": 0, "finish_reason": "stop"}
 	object := "text_completion"
 	if path == "/v1/chat/completions" {
--- a/engine/enginetest/service.go
+++ b/engine/enginetest/service.go
@@ -12,14 +12,14 @@
 
 // ServiceFaults tell a plain service how to misbehave.
 type ServiceFaults struct {
-	Slow        time.Duration // every call takes so long more
-	LoseAnswers int           // so many calls run, and their answer is lost
+	ExtraLatency  time.Duration // every call takes so long more
+	DropResponses int           // so many calls run, and their answer is lost
 }
 
 // Service is the stand-in for a plain service, such as bookings. It counts the
 // executions of each request.
 type Service struct {
-	Time time.Duration // a call takes so long; 0: 5 ms
+	Latency time.Duration // a call takes so long; 0: 5 ms
 
 	mutex  sync.Mutex
 	runs   map[string]int
@@ -56,11 +56,11 @@
 	}
 	id := r.Header.Get(engine.RequestHeader)
 	faults, lost := s.run(id)
-	spend := s.Time
+	spend := s.Latency
 	if spend == 0 {
 		spend = 5 * time.Millisecond
 	}
-	if !pause(r.Context(), spend+faults.Slow) {
+	if !pause(r.Context(), spend+faults.ExtraLatency) {
 		return
 	}
 	if lost {
@@ -79,9 +79,9 @@
 		s.runs = map[string]int{}
 	}
 	s.runs[id]++
-	lost = s.faults.LoseAnswers > 0
+	lost = s.faults.DropResponses > 0
 	if lost {
-		s.faults.LoseAnswers--
+		s.faults.DropResponses--
 	}
 	return s.faults, lost
 }
--- a/engine/meter.go
+++ b/engine/meter.go
@@ -15,20 +15,20 @@
 const bytesPerToken = 4
 
 // maxUsage is the largest event or answer that is searched for a usage record.
-const maxUsage = 64 << 10
+const maxLineLength = 64 << 10
 
 // Meter reads the cost of a model engine's answer from its bytes as they pass.
 // Until the engine tells the usage, input counts a token for four bytes and
 // output a token for each event. The zero value is ready for a streamed or a
 // whole answer.
 type Meter struct {
-	Weights Weights
-	Input   int // guessed input tokens
+	Weights        Weights
+	EstimatedInput int // guessed input tokens
 
-	events int
-	line   []byte
-	usage  *usage
-	cut    bool
+	events    int
+	line      []byte
+	usage     *usage
+	truncated bool
 }
 
 type usage struct {
@@ -41,7 +41,7 @@
 
 // NewMeter returns a meter for the answer to a call with this content.
 func NewMeter(w Weights, content []byte) *Meter {
-	return &Meter{Weights: w, Input: len(content) / bytesPerToken}
+	return &Meter{Weights: w, EstimatedInput: len(content) / bytesPerToken}
 }
 
 var dataPrefix = []byte("data:")
@@ -52,19 +52,19 @@
 	for len(p) > 0 {
 		end := bytes.IndexByte(p, '\n')
 		if end < 0 {
-			m.keep(p)
+			m.appendLine(p)
 			return n, nil
 		}
-		m.keep(p[:end])
+		m.appendLine(p[:end])
 		m.finishLine()
 		p = p[end+1:]
 	}
 	return n, nil
 }
 
-func (m *Meter) keep(p []byte) {
-	if len(m.line)+len(p) > maxUsage {
-		m.cut = true
+func (m *Meter) appendLine(p []byte) {
+	if len(m.line)+len(p) > maxLineLength {
+		m.truncated = true
 		return
 	}
 	m.line = append(m.line, p...)
@@ -77,14 +77,14 @@
 	if isEvent {
 		m.events++
 	}
-	if !m.cut && bytes.Contains(data, usageField) {
-		m.parse(data)
+	if !m.truncated && bytes.Contains(data, usageField) {
+		m.parseUsage(data)
 	}
 	m.line = m.line[:0]
-	m.cut = false
+	m.truncated = false
 }
 
-func (m *Meter) parse(data []byte) {
+func (m *Meter) parseUsage(data []byte) {
 	var message struct {
 		Usage *usage `json:"usage"`
 	}
@@ -96,7 +96,7 @@
 // Cost returns the cost so far in weighted tokens.
 func (m *Meter) Cost() float64 {
 	if m.usage == nil {
-		return float64(m.Input)*m.Weights.Input + float64(m.events)*m.Weights.Output
+		return float64(m.EstimatedInput)*m.Weights.Input + float64(m.events)*m.Weights.Output
 	}
 	u := m.usage
 	cached := max(0, u.Details.CachedTokens)
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -312,7 +312,7 @@
 	const thousand = 1000
 	sum := map[string]float64{}
 	for _, a := range e.fleet.Agents {
-		for account, t := range a.Model.Tally() {
+		for account, t := range a.Model.TokensByLabel() {
 			cost := float64(t.Input-t.Cached)*float64(e.weights.InputWeight) +
 				float64(t.Cached)*float64(e.weights.CachedWeight) + float64(t.Output)*float64(e.weights.OutputWeight)
 			sum[account] += cost / thousand / float64(max(1, e.scenario.Shares[account]))
--- a/fleettest/fleet.go
+++ b/fleettest/fleet.go
@@ -181,7 +181,7 @@
 		m := f.Options.Model
 		m.Models = f.Options.Pools(i)
 		m.Slots = f.Options.Slots
-		m.TallyHeader = TallyHeader
+		m.LabelHeader = TallyHeader
 		a.Model = enginetest.NewModel(m)
 		a.Server = &enginetest.Direct{Handler: a.Model}
 	} else {
--- a/fleettest/matrix_test.go
+++ b/fleettest/matrix_test.go
@@ -42,7 +42,7 @@
 func matrixFleet(t testing.TB) *fleettest.Fleet {
 	return fleettest.Start(t, fleettest.Options{
 		Routers: 2, Models: 2, Halls: 2, Services: 1, Latency: 50 * time.Millisecond,
-		Model: enginetest.ModelOptions{Signed: true, DecodeStep: 100 * time.Millisecond, PrefillToken: 2 * time.Millisecond},
+		Model: enginetest.ModelOptions{TagTokens: true, DecodeStep: 100 * time.Millisecond, PrefillPerToken: 2 * time.Millisecond},
 	})
 }
 
--- a/fleettest/random_test.go
+++ b/fleettest/random_test.go
@@ -52,7 +52,7 @@
 		f := fleettest.Start(t, fleettest.Options{
 			Routers: 3, Models: 3, Halls: 3, Services: 1, Latency: 5 * time.Millisecond,
 			Accounts: []config.Account{{Name: "solo", Share: 1}, {Name: "other", Share: 2}},
-			Model:    enginetest.ModelOptions{Signed: true, DecodeStep: 50 * time.Millisecond},
+			Model:    enginetest.ModelOptions{TagTokens: true, DecodeStep: 50 * time.Millisecond},
 		})
 		stop := watchRevisions(t, f)
 		ctx, cancel := context.WithTimeout(context.Background(), *simulated)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -202,7 +202,7 @@
 	g.log.Info().Str("event", "start").Str("front", g.options.CallerListener.Addr().String()).Msg("gateway started")
 	err := g.serve(ctx, background)
 	cancel()
-	group.Collect(background)
+	group.Wait(background)
 	g.log.Info().Str("event", "stopped").Msg("gateway stopped")
 	return err
 }
--- a/mutants/main.go
+++ b/mutants/main.go
@@ -44,7 +44,7 @@
 	{"go on while leaving", "agent/leaving.go", "	d.leaving = leaving\n", "", "./fleettest", "TestLeavingServer"},
 	{"cut off requests at a stop", "agent/agent.go", "		a.tell(drainEvent{})\n", "		a.tell(drainEvent{})\n		for _, j := range a.jobs.list() {\n			j.cancel(errAbandoned)\n		}\n", "./fleettest", "TestPlannedStop"},
 	{"let a key be used again", "attempt/keys.go", "	if c, known := k.entries[id]; known {\n		return Repeat", "	if c, known := k.entries[id]; known && false {\n		return Repeat", "./attempt", "TestKeys"},
-	{"let the transport repeat", "engine/client.go", "body := &singleUse{reader: bytes.NewReader(call.Content)}", "body := bytes.NewReader(call.Content)", "./engine", "TestTransportRepeats"},
+	{"let the transport repeat", "engine/client.go", "body := &nonReplayableBody{reader: bytes.NewReader(call.Content)}", "body := bytes.NewReader(call.Content)", "./engine", "TestTransportRepeats"},
 	{"pick the account ahead", "fair/fair.go", "if best < 0 || v < least ||", "if best < 0 || v > least ||", "./fair", "TestPickOrder|TestAgentsTogether"},
 	{"forget what a dead incarnation served", "ledger/ledger.go", "	h.settle(s)\n	s.gone = append", "	h.settle(s)\n	for _, t := range s.totals {\n		h.replace(s, fair.Total{Account: t.Account})\n	}\n	s.gone = append", "./ledger", "TestRestart"},
 	{"lend the credit at every server", "fair/fair.go", "max(b.options.Slots, s.reach, b.widest)", "b.options.Slots", "./fair", "TestCreditIsOne"},
--- a/router/agents.go
+++ b/router/agents.go
@@ -38,7 +38,7 @@
 			}
 		}
 	})
-	connections.Collect(ctx)
+	connections.Wait(ctx)
 }
 
 // choose keeps the links that are wanted, ends the others and starts new ones.
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -43,7 +43,7 @@
 			}
 		}
 	})
-	connections.Collect(ctx)
+	connections.Wait(ctx)
 }
 
 func (n *neighbours) choose(ctx context.Context, connections *duty.Group) {
@@ -216,7 +216,7 @@
 			streams.Go(ctx, "stream", func(ctx context.Context) { r.serveCall(ctx, p, s) })
 		}
 	})
-	streams.Collect(alive)
+	streams.Wait(alive)
 }
 
 func (r *Router) serveCall(ctx context.Context, p *wire.Peer, s *wire.Stream) {
--- a/router/router.go
+++ b/router/router.go
@@ -162,7 +162,7 @@
 	go func() {
 		stop := context.AfterFunc(ctx, func() { _ = r.options.Listener.Close() })
 		defer stop()
-		r.duties.Collect(ctx)
+		r.duties.Wait(ctx)
 		done <- context.Cause(ctx)
 	}()
 	return done
--- a/secure/secure.go
+++ b/secure/secure.go
@@ -26,31 +26,31 @@
 )
 
 // checkTime is the least time between two looks at the files.
-const checkTime = time.Second
+const checkInterval = time.Second
 
-// Keeper holds a process's certificate and the fleet's authority.
-type Keeper struct {
+// Credentials holds a process's certificate and the fleet's authority.
+type Credentials struct {
 	certificateFile, keyFile, authorityFile string
 
-	mutex       sync.Mutex
-	certificate *tls.Certificate
-	authority   *x509.CertPool
-	checked     time.Time
-	changed     [3]time.Time
+	mutex          sync.Mutex
+	certificate    *tls.Certificate
+	authority      *x509.CertPool
+	lastCheck      time.Time
+	loadedModTimes [3]time.Time
 }
 
 // Open reads the files; the authority's may be empty when there is no TLS between
 // processes.
-func Open(certificateFile, keyFile, authorityFile string) (*Keeper, error) {
-	k := &Keeper{certificateFile: certificateFile, keyFile: keyFile, authorityFile: authorityFile}
-	if err := k.read(); err != nil {
+func Open(certificateFile, keyFile, authorityFile string) (*Credentials, error) {
+	k := &Credentials{certificateFile: certificateFile, keyFile: keyFile, authorityFile: authorityFile}
+	if err := k.load(); err != nil {
 		return nil, err
 	}
-	k.changed = k.times()
+	k.loadedModTimes = k.modTimes()
 	return k, nil
 }
 
-func (k *Keeper) read() error {
+func (k *Credentials) load() error {
 	certificate, err := tls.LoadX509KeyPair(k.certificateFile, k.keyFile)
 	if err != nil {
 		return errors.Wrapf(err, "secure: read certificate %s", k.certificateFile)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (k *Keeper) times() [3]time.Time {
+func (k *Credentials) modTimes() [3]time.Time {
 	var times [3]time.Time
 	for i, file := range []string{k.certificateFile, k.keyFile, k.authorityFile} {
 		if info, err := os.Stat(file); err == nil {
@@ -81,20 +81,20 @@
 }
 
 // current returns what is in force, after a look at the files.
-func (k *Keeper) current() (*tls.Certificate, *x509.CertPool) {
+func (k *Credentials) current() (*tls.Certificate, *x509.CertPool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if time.Since(k.checked) >= checkTime {
-		k.checked = time.Now()
-		if times := k.times(); times != k.changed && k.read() == nil {
-			k.changed = times
+	if time.Since(k.lastCheck) >= checkInterval {
+		k.lastCheck = time.Now()
+		if times := k.modTimes(); times != k.loadedModTimes && k.load() == nil {
+			k.loadedModTimes = times
 		}
 	}
 	return k.certificate, k.authority
 }
 
-// Callers returns the configuration of a listener for callers and operators.
-func (k *Keeper) Callers() *tls.Config {
+// CallerConfig returns the configuration of a listener for callers and operators.
+func (k *Credentials) CallerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
@@ -104,9 +104,9 @@
 	}
 }
 
-// Peers returns the configuration of a listener for the fleet's own processes:
+// PeerConfig returns the configuration of a listener for the fleet's own processes:
 // who shows no certificate of the fleet's authority is not let in.
-func (k *Keeper) Peers() *tls.Config {
+func (k *Credentials) PeerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -124,7 +124,7 @@
 // Dial connects to a process of the fleet and checks that the authority vouches
 // for it. Hosts are replaced at any time, so it is the authority that counts and
 // not the address.
-func (k *Keeper) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (k *Credentials) Dial(ctx context.Context, address string) (net.Conn, error) {
 	certificate, authority := k.current()
 	d := &tls.Dialer{Config: &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -144,12 +144,12 @@
 	if len(s.PeerCertificates) == 0 {
 		return errors.New("secure: no certificate was shown")
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range s.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{
-		Roots: authority, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
+		Roots: authority, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 	})
 	return errors.Wrap(err, "secure: certificate")
 }
--- a/secure/secure_test.go
+++ b/secure/secure_test.go
@@ -62,7 +62,7 @@
 	return certificate, key
 }
 
-func open(t *testing.T, a, trusted *authority, dir, node string) *secure.Keeper {
+func open(t *testing.T, a, trusted *authority, dir, node string) *secure.Credentials {
 	certificate, key := a.issue(t, dir, node, 2)
 	k, err := secure.Open(certificate, key, trusted.file)
 	require.NoError(t, err)
@@ -70,34 +70,34 @@
 }
 
 // serve accepts connections and tells of each whether its handshake succeeded.
-func serve(t *testing.T, k *secure.Keeper) (address string, let chan error) {
+func serve(t *testing.T, k *secure.Credentials) (address string, handshakes chan error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	let = make(chan error, 8)
-	peers := tls.NewListener(l, k.Peers())
+	handshakes = make(chan error, 8)
+	peers := tls.NewListener(l, k.PeerConfig())
 	go func() {
 		for {
 			c, err := peers.Accept()
 			if err != nil {
 				return
 			}
-			let <- c.(*tls.Conn).HandshakeContext(context.Background())
+			handshakes <- c.(*tls.Conn).HandshakeContext(context.Background())
 			c.Close()
 		}
 	}()
-	return l.Addr().String(), let
+	return l.Addr().String(), handshakes
 }
 
 func TestWhoCannotShowWhoItIsTakesNoPart(t *testing.T) {
 	dir := t.TempDir()
 	fleet, other := newAuthority(t, dir, "fleet"), newAuthority(t, dir, "other")
 	server := open(t, fleet, fleet, dir, "agent")
-	address, let := serve(t, server)
+	address, handshakes := serve(t, server)
 
 	c, err := open(t, fleet, fleet, dir, "router").Dial(context.Background(), address)
 	require.NoError(t, err)
-	require.NoError(t, <-let)
+	require.NoError(t, <-handshakes)
 	c.Close()
 
 	c, err = open(t, other, fleet, dir, "stranger").Dial(context.Background(), address)
@@ -106,11 +106,11 @@
 		c.Close()
 	}
 	require.Error(t, err)
-	require.Error(t, <-let)
+	require.Error(t, <-handshakes)
 
 	_, err = open(t, fleet, other, dir, "misled").Dial(context.Background(), address)
 	require.Error(t, err, "an agent the router's authority does not vouch for")
-	<-let
+	<-handshakes
 
 	plain, err := tls.Dial("tcp", address, &tls.Config{InsecureSkipVerify: true})
 	if err == nil {
@@ -118,24 +118,24 @@
 		plain.Close()
 	}
 	require.Error(t, err, "no certificate at all")
-	require.Error(t, <-let)
+	require.Error(t, <-handshakes)
 }
 
 func TestCertificateIsReadAgain(t *testing.T) {
 	dir := t.TempDir()
 	fleet := newAuthority(t, dir, "fleet")
 	server := open(t, fleet, fleet, dir, "agent")
-	first, err := server.Callers().GetCertificate(nil)
+	first, err := server.CallerConfig().GetCertificate(nil)
 	require.NoError(t, err)
 	certificate, _ := fleet.issue(t, dir, "agent", 3)
 	require.NoError(t, os.Chtimes(certificate, time.Now(), time.Now().Add(time.Minute)))
 	require.Eventually(t, func() bool {
-		now, err := server.Callers().GetCertificate(nil)
+		now, err := server.CallerConfig().GetCertificate(nil)
 		return err == nil && string(now.Certificate[0]) != string(first.Certificate[0])
 	}, 10*time.Second, 20*time.Millisecond)
 
 	require.NoError(t, os.WriteFile(certificate, []byte("rubbish"), 0o600))
-	now, err := server.Callers().GetCertificate(nil)
+	now, err := server.CallerConfig().GetCertificate(nil)
 	require.NoError(t, err)
 	require.NotNil(t, now, "the last good certificate stays in use")
 }
