--- a/agent/admission.go
+++ b/agent/admission.go
@@ -18,24 +18,24 @@
 // admission is the duty that owns the agent's places, counters and memory of
 // attempts. Only its goroutine touches them.
 type admission struct {
-	agent    *Agent
-	book     *fair.Tracker
-	desk     *dispatch.Scheduler
-	limit    *dispatch.ConcurrencyLimit
-	registry *attempt.Registry
-	keys     *attempt.KeyStore
-	peers    map[string]*peerState // by router
-	granted  map[uint64]time.Time
-	pools    map[string]bool
-	siblings string // the servers of this server's pools, to notice that keys moved
-	largest  float64
-	leaving  bool
-	told     wirepb.Load
-	ticks    int
+	agent              *Agent
+	tracker            *fair.Tracker
+	scheduler          *dispatch.Scheduler
+	limit              *dispatch.ConcurrencyLimit
+	registry           *attempt.Registry
+	keys               *attempt.KeyStore
+	peers              map[string]*peerState // by router
+	grantedAt          map[uint64]time.Time
+	pools              map[string]bool
+	poolMembers        string // the servers of this server's pools, to notice that keys moved
+	largestReservation float64
+	leaving            bool
+	sentLoad           wirepb.Load
+	ticks              int
 
-	since  map[string]time.Time // what is degraded, and since when
-	pace   pace
-	merged time.Time // when the totals in use came
+	degradedSince  map[string]time.Time // what is degraded, and since when
+	serviceRate    rateEstimator
+	totalsMergedAt time.Time // when the totals in use came
 }
 
 type peerState struct {
@@ -46,25 +46,25 @@
 
 const (
 	// grantTime is after how long an unused grant is taken back.
-	grantTime = 500 * time.Millisecond
-	secondsOf = time.Second
-	grantTick = 250 * time.Millisecond
+	grantTimeout       = 500 * time.Millisecond
+	tickInterval       = time.Second
+	grantCheckInterval = 250 * time.Millisecond
 	// fullReportTicks is how often a report names every account again.
 	fullReportTicks = 30
 )
 
 func newAdmission(a *Agent) *admission {
 	return &admission{
-		agent:    a,
-		book:     fair.NewTracker(fair.Options{Slots: float64(a.options.Slots), Policy: a.options.Policy}),
-		desk:     dispatch.NewScheduler(0),
-		limit:    dispatch.NewConcurrencyLimit(a.options.Slots),
-		registry: attempt.NewRegistry(attemptWindow, attemptsKept),
-		keys:     attempt.NewKeyStore(KeyWindow, keysKept, now()),
-		peers:    map[string]*peerState{},
-		granted:  map[uint64]time.Time{},
-		pools:    map[string]bool{},
-		since:    map[string]time.Time{},
+		agent:         a,
+		tracker:       fair.NewTracker(fair.Options{Slots: float64(a.options.Slots), Policy: a.options.Policy}),
+		scheduler:     dispatch.NewScheduler(0),
+		limit:         dispatch.NewConcurrencyLimit(a.options.Slots),
+		registry:      attempt.NewRegistry(attemptWindow, maxAttempts),
+		keys:          attempt.NewKeyStore(KeyWindow, maxKeys, now()),
+		peers:         map[string]*peerState{},
+		grantedAt:     map[uint64]time.Time{},
+		pools:         map[string]bool{},
+		degradedSince: map[string]time.Time{},
 	}
 }
 
@@ -72,9 +72,9 @@
 	defer close(d.agent.stopped)
 	report := time.NewTicker(d.agent.options.Interval)
 	defer report.Stop()
-	second := time.NewTicker(secondsOf)
+	second := time.NewTicker(tickInterval)
 	defer second.Stop()
-	grants := time.NewTicker(grantTick)
+	grants := time.NewTicker(grantCheckInterval)
 	defer grants.Stop()
 	for {
 		select {
@@ -89,60 +89,60 @@
 		case <-ctx.Done():
 			return
 		}
-		d.grant()
-		d.assertBusy()
-		d.tell()
+		d.issueGrants()
+		d.assertWorkConserving()
+		d.sendLoad()
 	}
 }
 
 // assertBusy holds that no place is free while a request that could have it waits:
 // whatever happened, places were granted before anything else is looked at.
-func (d *admission) assertBusy() {
-	if !d.leaving && d.desk.HasFreeSlot() && d.desk.Waiting() > 0 {
+func (d *admission) assertWorkConserving() {
+	if !d.leaving && d.scheduler.HasFreeSlot() && d.scheduler.Waiting() > 0 {
 		panic(errors.AssertionFailedf("agent: %d of %d places taken while %d requests wait",
-			d.desk.Running()+d.desk.Granted(), d.desk.Limit(), d.desk.Waiting()))
+			d.scheduler.Running()+d.scheduler.Granted(), d.scheduler.Limit(), d.scheduler.Waiting()))
 	}
 }
 
 func (d *admission) handle(e event) {
 	switch e := e.(type) {
-	case peerUp:
-		d.peerUp(e.peer)
-	case peerDown:
-		d.peerDown(e.peer)
+	case peerConnected:
+		d.peerConnected(e.peer)
+	case peerDisconnected:
+		d.peerDisconnected(e.peer)
 	case summingEvent:
 		if s := d.peers[e.peer.Hello.Node]; s != nil && s.peer == e.peer {
 			s.summing = e.on
 		}
-	case wantEvent:
-		d.heard(e.peer.Hello.Node)
-		d.want(e)
+	case demandEvent:
+		d.markResponsive(e.peer.Hello.Node)
+		d.setDemand(e)
 	case declineEvent:
-		d.heard(e.peer.Hello.Node)
+		d.markResponsive(e.peer.Hello.Node)
 		d.cancel(e.grant)
-	case listEvent:
+	case leavingEvent:
 		if s := d.peers[e.peer.Hello.Node]; s != nil && s.peer == e.peer {
 			s.leaving = e.leaving
-			d.settleLeaving()
+			d.updateLeaving()
 		}
-	case heardEvent:
-		d.heard(e.peer.Hello.Node)
+	case pongEvent:
+		d.markResponsive(e.peer.Hello.Node)
 	case startEvent:
-		d.heard(e.peer.Hello.Node)
+		d.markResponsive(e.peer.Hello.Node)
 		e.reply <- d.start(e)
 	case revokeEvent:
 		e.reply <- d.registry.Revoke(e.id, now())
 	case chargeEvent:
-		d.book.Charge(e.account, e.cost, e.reserved)
+		d.tracker.Charge(e.account, e.cost, e.reserved)
 	case doneEvent:
 		d.done(e)
 	case totalsEvent:
-		if d.book.Merge(e.sequence, e.totals) {
-			d.merged = now()
-			d.book.CapDebts()
+		if d.tracker.Merge(e.sequence, e.totals) {
+			d.totalsMergedAt = now()
+			d.tracker.CapDebts()
 		}
 	case loadEvent:
-		d.load(e)
+		d.applyServerLoad(e)
 	case configEvent:
 		d.configure(d.agent.holder.Current())
 	case drainEvent:
@@ -152,67 +152,67 @@
 	}
 }
 
-func (d *admission) peerUp(p *wire.Peer) {
+func (d *admission) peerConnected(p *wire.Peer) {
 	if old := d.peers[p.Hello.Node]; old != nil {
-		d.desk.DropRouter(p.Hello.Node)
+		d.scheduler.DropRouter(p.Hello.Node)
 	}
 	d.peers[p.Hello.Node] = &peerState{peer: p}
-	p.Send(d.message(&wirepb.Control_Load{Load: d.loadNow()}))
+	p.Send(d.message(&wirepb.Control_Load{Load: d.currentLoad()}))
 }
 
-func (d *admission) peerDown(p *wire.Peer) {
+func (d *admission) peerDisconnected(p *wire.Peer) {
 	s := d.peers[p.Hello.Node]
 	if s == nil || s.peer != p {
 		return
 	}
 	delete(d.peers, p.Hello.Node)
-	d.settleLeaving()
-	for _, g := range d.desk.DropRouter(p.Hello.Node) {
-		delete(d.granted, g.ID)
-		d.book.Release(g.Class.Account, g.Estimate)
+	d.updateLeaving()
+	for _, g := range d.scheduler.DropRouter(p.Hello.Node) {
+		delete(d.grantedAt, g.ID)
+		d.tracker.Release(g.Class.Account, g.Estimate)
 	}
-	d.settleWaits()
+	d.updateWaiting()
 }
 
 // settleWaits tells the book which accounts wait here no more.
-func (d *admission) settleWaits() {
+func (d *admission) updateWaiting() {
 	for _, a := range d.agent.holder.Current().Accounts {
-		if id := fair.Account(a.ID); !d.desk.HasWaiting(id) {
-			d.book.StopWaiting(id)
+		if id := fair.Account(a.ID); !d.scheduler.HasWaiting(id) {
+			d.tracker.StopWaiting(id)
 		}
 	}
 }
 
-func (d *admission) want(e wantEvent) {
+func (d *admission) setDemand(e demandEvent) {
 	s := d.peers[e.peer.Hello.Node]
-	if s == nil || s.peer != e.peer || !d.pools[e.key.Pool] {
+	if s == nil || s.peer != e.peer || !d.pools[e.class.Pool] {
 		return
 	}
-	before := d.desk.HasWaiting(e.key.Account)
-	d.desk.SetDemand(e.peer.Hello.Node, e.key, e.count, e.estimate)
-	after := d.desk.HasWaiting(e.key.Account)
+	before := d.scheduler.HasWaiting(e.class.Account)
+	d.scheduler.SetDemand(e.peer.Hello.Node, e.class, e.count, e.estimate)
+	after := d.scheduler.HasWaiting(e.class.Account)
 	switch {
 	case after && !before:
-		d.book.StartWaiting(e.key.Account)
+		d.tracker.StartWaiting(e.class.Account)
 	case before && !after:
-		d.book.StopWaiting(e.key.Account)
+		d.tracker.StopWaiting(e.class.Account)
 	}
 }
 
 // grant hands out every free place that somebody wants.
-func (d *admission) grant() {
+func (d *admission) issueGrants() {
 	if d.leaving {
 		return
 	}
 	for {
-		g, ok := d.desk.Grant(d.book)
+		g, ok := d.scheduler.Grant(d.tracker)
 		if !ok {
 			return
 		}
-		if !d.desk.HasWaiting(g.Class.Account) {
-			d.book.StopWaiting(g.Class.Account)
+		if !d.scheduler.HasWaiting(g.Class.Account) {
+			d.tracker.StopWaiting(g.Class.Account)
 		}
-		d.granted[g.ID] = now()
+		d.grantedAt[g.ID] = now()
 		d.peers[g.Router].peer.Send(d.message(&wirepb.Control_Grant{Grant: &wirepb.Grant{
 			Id: g.ID, Account: uint32(g.Class.Account), Pool: g.Class.Pool, Urgent: g.Class.Urgent, Pinned: g.Class.Server != "",
 		}}))
@@ -220,14 +220,14 @@
 }
 
 func (d *admission) cancel(id uint64) {
-	g, ok := d.desk.Cancel(id)
-	delete(d.granted, id)
+	g, ok := d.scheduler.Cancel(id)
+	delete(d.grantedAt, id)
 	if ok {
-		d.book.Release(g.Class.Account, g.Estimate)
+		d.tracker.Release(g.Class.Account, g.Estimate)
 	}
 }
 
-func (d *admission) healthChanged(before dispatch.Health) {
+func (d *admission) reportHealthChange(before dispatch.Health) {
 	after := d.limit.Health()
 	if after == before {
 		return
@@ -235,25 +235,25 @@
 	kind := explain.Degrade
 	if after == dispatch.Healthy {
 		kind = explain.Repair
-		delete(d.since, "server")
+		delete(d.degradedSince, "server")
 	} else {
-		d.since["server"] = now()
+		d.degradedSince["server"] = now()
 	}
 	d.agent.record(explain.Event{Kind: kind, Text: fmt.Sprintf("server went from %s to %s", before, after)})
 	d.agent.options.Log.Warn().Str("from", string(before)).Str("to", string(after)).Msg("server health changed")
 }
 
 func (d *admission) applyLimit() {
-	d.desk.SetLimit(d.limit.Current())
+	d.scheduler.SetLimit(d.limit.Current())
 	if d.leaving {
-		d.desk.SetLimit(0)
+		d.scheduler.SetLimit(0)
 	}
 	if d.limit.Current() > 0 {
-		d.book.SetSlots(float64(d.limit.Current()))
+		d.tracker.SetSlots(float64(d.limit.Current()))
 	}
 }
 
-func (d *admission) load(e loadEvent) {
+func (d *admission) applyServerLoad(e loadEvent) {
 	if e.slots > 0 {
 		d.limit.SetMax(min(e.slots, d.agent.options.Slots))
 	}
@@ -267,7 +267,7 @@
 	d.ticks++
 	before := d.limit.Health()
 	d.limit.Tick()
-	d.healthChanged(before)
+	d.reportHealthChange(before)
 	d.applyLimit()
 	d.agent.jobs.expire(now())
 	d.checkBound()
@@ -276,13 +276,13 @@
 // expireGrants takes unused grants back. A router that left one unused gets no
 // more until it is heard again.
 func (d *admission) expireGrants() {
-	for id, at := range d.granted {
-		if now().Sub(at) <= grantTime {
+	for id, at := range d.grantedAt {
+		if now().Sub(at) <= grantTimeout {
 			continue
 		}
-		if g, ok := d.desk.GrantHolder(id); ok && d.desk.SetUnresponsive(g, true) {
+		if g, ok := d.scheduler.GrantHolder(id); ok && d.scheduler.SetUnresponsive(g, true) {
 			d.agent.record(explain.Event{Kind: explain.Degrade, Text: g + " left a grant unused: no more until it is heard"})
-			d.settleWaits()
+			d.updateWaiting()
 			d.peers[g].peer.Send(d.message(&wirepb.Control_Ping{Ping: &wirepb.Ping{Sent: now().UnixNano()}}))
 		}
 		d.cancel(id)
@@ -290,14 +290,14 @@
 }
 
 // heard notes that a router spoke.
-func (d *admission) heard(router string) {
-	if !d.desk.SetUnresponsive(router, false) {
+func (d *admission) markResponsive(router string) {
+	if !d.scheduler.SetUnresponsive(router, false) {
 		return
 	}
 	d.agent.record(explain.Event{Kind: explain.Repair, Text: router + " is heard again"})
 	for _, a := range d.agent.holder.Current().Accounts {
-		if id := fair.Account(a.ID); d.desk.HasWaiting(id) {
-			d.book.StartWaiting(id)
+		if id := fair.Account(a.ID); d.scheduler.HasWaiting(id) {
+			d.tracker.StartWaiting(id)
 		}
 	}
 }
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -39,10 +39,10 @@
 const (
 	defaultSlots    = 8
 	defaultInterval = 2 * time.Second
-	eventQueue      = 1024
+	eventQueueSize  = 1024
 	attemptWindow   = 2 * time.Minute
-	attemptsKept    = 1 << 16
-	keysKept        = 1 << 16
+	maxAttempts     = 1 << 16
+	maxKeys         = 1 << 16
 	// KeyWindow is how long a caller's idempotency key is remembered.
 	KeyWindow = 10 * time.Minute
 )
@@ -90,10 +90,10 @@
 	violations  atomic.Int64
 	drained     chan struct{}
 	stopped     chan struct{} // closed when the admission duty has ended
-	duties      *duty.Group
-	life        context.Context // of the agent: an attempt outlives its connection
+	goroutines  *duty.Group
+	lifetime    context.Context // of the agent: an attempt outlives its connection
 	control     wire.ControlCount
-	begun       time.Time
+	startedAt   time.Time
 }
 
 // New returns an agent that Start has yet to start.
@@ -104,11 +104,11 @@
 	a := &Agent{
 		options:     o.withDefaults(),
 		incarnation: rand.Text(),
-		events:      make(chan event, eventQueue),
+		events:      make(chan event, eventQueueSize),
 		drained:     make(chan struct{}),
 		stopped:     make(chan struct{}),
-		duties:      duty.NewGroup(),
-		begun:       time.Now(),
+		goroutines:  duty.NewGroup(),
+		startedAt:   time.Now(),
 	}
 	a.jobs.grace = a.options.Grace
 	a.admission = newAdmission(a)
@@ -125,14 +125,14 @@
 // the end, when everything has stopped.
 func (a *Agent) Start(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
-	a.life = ctx
-	a.duties.Go(ctx, "admission", a.admission.run)
-	a.duties.Go(ctx, "server watch", a.watchServer)
-	a.duties.Go(ctx, "accept", a.accept)
+	a.lifetime = ctx
+	a.goroutines.Go(ctx, "admission", a.admission.run)
+	a.goroutines.Go(ctx, "server watch", a.pollServerLoad)
+	a.goroutines.Go(ctx, "accept", a.accept)
 	go func() {
 		stop := context.AfterFunc(ctx, func() { _ = a.options.Listener.Close() })
 		defer stop()
-		a.duties.Wait(ctx)
+		a.goroutines.Wait(ctx)
 		done <- context.Cause(ctx)
 	}()
 	return done
@@ -140,7 +140,7 @@
 
 // tell passes an event to the admission duty; it reports false when that has
 // ended.
-func (a *Agent) tell(e event) bool {
+func (a *Agent) send(e event) bool {
 	select {
 	case a.events <- e:
 		return true
@@ -153,7 +153,7 @@
 // channel is closed when nothing runs any more.
 func (a *Agent) Drain() <-chan struct{} {
 	if a.draining.CompareAndSwap(false, true) {
-		a.tell(drainEvent{})
+		a.send(drainEvent{})
 	}
 	return a.drained
 }
@@ -170,7 +170,7 @@
 			}
 			return
 		}
-		a.duties.Go(ctx, "connection", func(ctx context.Context) { a.serveConn(ctx, conn) })
+		a.goroutines.Go(ctx, "connection", func(ctx context.Context) { a.serveConn(ctx, conn) })
 	}
 }
 
--- a/agent/event.go
+++ b/agent/event.go
@@ -13,30 +13,30 @@
 // event is what the admission duty is told: one of the types below.
 type event interface{ event() }
 
-type peerUp struct{ peer *wire.Peer }
+type peerConnected struct{ peer *wire.Peer }
 
-type peerDown struct{ peer *wire.Peer }
+type peerDisconnected struct{ peer *wire.Peer }
 
 type summingEvent struct {
 	peer *wire.Peer
 	on   bool
 }
 
-type wantEvent struct {
+type demandEvent struct {
 	peer     *wire.Peer
-	key      dispatch.Class
+	class    dispatch.Class
 	count    int
 	estimate float64
 }
 
 // listEvent tells what a router reads of this host in the live list.
-type listEvent struct {
+type leavingEvent struct {
 	peer    *wire.Peer
 	leaving bool
 }
 
 // heardEvent tells that a router answered a ping.
-type heardEvent struct{ peer *wire.Peer }
+type pongEvent struct{ peer *wire.Peer }
 
 type declineEvent struct {
 	peer  *wire.Peer
@@ -46,16 +46,16 @@
 type startEvent struct {
 	start *wirepb.Start
 	peer  *wire.Peer
-	reply chan admitted // capacity one: the duty never waits
+	reply chan startResult // capacity one: the duty never waits
 }
 
 // admitted answers a startEvent; refused is nil when the attempt may run.
-type admitted struct {
-	refused  *wirepb.NotRun
-	unknown  string
-	repeat   *attempt.Duplicate
-	reserved float64
-	standing float64
+type startResult struct {
+	refused       *wirepb.NotRun
+	unknownReason string
+	duplicate     *attempt.Duplicate
+	reserved      float64
+	virtualTime   float64
 }
 
 type revokeEvent struct {
@@ -71,17 +71,17 @@
 
 // doneEvent tells that an admitted attempt has ended.
 type doneEvent struct {
-	start    *wirepb.Start
-	reserved float64 // what is left of the reservation
-	outcome  attempt.Outcome
-	verdict  verdict
+	start        *wirepb.Start
+	reserved     float64 // what is left of the reservation
+	outcome      attempt.Outcome
+	healthSignal healthSignal
 }
 
 // verdict is what an attempt's end tells of the server's health.
-type verdict int
+type healthSignal int
 
 const (
-	noVerdict verdict = iota
+	noSignal healthSignal = iota
 	served
 	failed
 )
@@ -102,22 +102,22 @@
 
 type statusEvent struct{ reply chan *wirepb.NodeStatus } // capacity one
 
-func (peerUp) event()       {}
-func (peerDown) event()     {}
-func (summingEvent) event() {}
-func (wantEvent) event()    {}
-func (listEvent) event()    {}
-func (heardEvent) event()   {}
-func (declineEvent) event() {}
-func (startEvent) event()   {}
-func (revokeEvent) event()  {}
-func (chargeEvent) event()  {}
-func (doneEvent) event()    {}
-func (totalsEvent) event()  {}
-func (loadEvent) event()    {}
-func (configEvent) event()  {}
-func (drainEvent) event()   {}
-func (statusEvent) event()  {}
+func (peerConnected) event()    {}
+func (peerDisconnected) event() {}
+func (summingEvent) event()     {}
+func (demandEvent) event()      {}
+func (leavingEvent) event()     {}
+func (pongEvent) event()        {}
+func (declineEvent) event()     {}
+func (startEvent) event()       {}
+func (revokeEvent) event()      {}
+func (chargeEvent) event()      {}
+func (doneEvent) event()        {}
+func (totalsEvent) event()      {}
+func (loadEvent) event()        {}
+func (configEvent) event()      {}
+func (drainEvent) event()       {}
+func (statusEvent) event()      {}
 
 // now is the runtime's clock; tests pause and advance it.
 func now() time.Time { return time.Now() }
--- a/agent/health.go
+++ b/agent/health.go
@@ -11,11 +11,11 @@
 )
 
 // watchServer reads the server's own load reports.
-func (a *Agent) watchServer(ctx context.Context) {
+func (a *Agent) pollServerLoad(ctx context.Context) {
 	t := time.NewTicker(loadInterval)
 	defer t.Stop()
 	for {
-		a.readLoad(ctx)
+		a.readServerLoad(ctx)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -24,7 +24,7 @@
 	}
 }
 
-func (a *Agent) readLoad(ctx context.Context) {
+func (a *Agent) readServerLoad(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	l, err := a.options.Engine.Load(ctx)
--- a/agent/job.go
+++ b/agent/job.go
@@ -13,13 +13,13 @@
 const (
 	// keptBytes of an answer's latest pieces are kept so that a router can resume
 	// after a lost connection. It is twice what one stream may have under way.
-	keptBytes = 512 << 10
+	maxRetainedBytes = 512 << 10
 	// aheadBytes is how far the server may be read ahead of the router.
-	aheadBytes = 256 << 10
+	maxReadAhead = 256 << 10
 	// endedTime is how long an answer is kept after its end.
-	endedTime = 30 * time.Second
+	endedRetention = 30 * time.Second
 	// endedKept is how many ended answers are kept at most.
-	endedKept = 256
+	maxEndedJobs = 256
 )
 
 // job is one attempt that was admitted: its answer's pieces as they come, for the
@@ -28,26 +28,26 @@
 	id     attempt.ID
 	cancel context.CancelCauseFunc
 
-	mutex    sync.Mutex
-	head     *wirepb.Head
-	chunks   [][]byte // from number first on
-	first    uint64
-	next     uint64 // number of the next chunk to come
-	kept     int    // bytes in chunks
-	read     uint64 // chunks before this one went to a stream
-	unread   int    // bytes from chunk read on
-	last     *wirepb.Piece
-	readers  int
-	alone    time.Time // since when nobody reads
-	ended    time.Time
-	progress chan struct{} // closed and replaced at every change
+	mutex       sync.Mutex
+	head        *wirepb.Head
+	chunks      [][]byte // from number first on
+	firstChunk  uint64
+	nextChunk   uint64 // number of the next chunk to come
+	retained    int    // bytes in chunks
+	delivered   uint64 // chunks before this one went to a stream
+	undelivered int    // bytes from chunk read on
+	last        *wirepb.Piece
+	readers     int
+	idleSince   time.Time // since when nobody reads
+	ended       time.Time
+	progress    chan struct{} // closed and replaced at every change
 }
 
 func newJob(id attempt.ID, cancel context.CancelCauseFunc) *job {
-	return &job{id: id, cancel: cancel, progress: make(chan struct{}), alone: now()}
+	return &job{id: id, cancel: cancel, progress: make(chan struct{}), idleSince: now()}
 }
 
-func (j *job) changed() {
+func (j *job) notify() {
 	close(j.progress)
 	j.progress = make(chan struct{})
 }
@@ -56,24 +56,24 @@
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.head = h
-	j.changed()
+	j.notify()
 }
 
 // add appends a chunk and drops the oldest that are no longer needed.
-func (j *job) add(content []byte) {
+func (j *job) addChunk(content []byte) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.chunks = append(j.chunks, slices.Clone(content))
-	j.next++
-	j.kept += len(content)
-	j.unread += len(content)
-	for j.kept > keptBytes && j.first < j.read {
-		j.kept -= len(j.chunks[0])
+	j.nextChunk++
+	j.retained += len(content)
+	j.undelivered += len(content)
+	for j.retained > maxRetainedBytes && j.firstChunk < j.delivered {
+		j.retained -= len(j.chunks[0])
 		j.chunks[0] = nil
 		j.chunks = j.chunks[1:]
-		j.first++
+		j.firstChunk++
 	}
-	j.changed()
+	j.notify()
 }
 
 // end closes the answer with its last piece.
@@ -82,14 +82,14 @@
 	defer j.mutex.Unlock()
 	j.last = last
 	j.ended = now()
-	j.changed()
+	j.notify()
 }
 
 // room waits until the stream has taken enough of what was read.
-func (j *job) room(ctx context.Context) error {
+func (j *job) waitForReadAhead(ctx context.Context) error {
 	for {
 		j.mutex.Lock()
-		full := j.unread > aheadBytes
+		full := j.undelivered > maxReadAhead
 		progress := j.progress
 		j.mutex.Unlock()
 		if !full {
@@ -108,20 +108,20 @@
 	head    *wirepb.Head
 	chunk   []byte
 	last    *wirepb.Piece
-	gone    bool // the chunk is no longer kept
+	dropped bool // the chunk is no longer kept
 	waiting <-chan struct{}
 }
 
-func (j *job) after(headSeen bool, next uint64) piece {
+func (j *job) nextPiece(headSeen bool, next uint64) piece {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	switch {
 	case !headSeen && j.head != nil:
 		return piece{head: j.head}
-	case next < j.first:
-		return piece{gone: true}
-	case next < j.next:
-		return piece{chunk: j.chunks[next-j.first]}
+	case next < j.firstChunk:
+		return piece{dropped: true}
+	case next < j.nextChunk:
+		return piece{chunk: j.chunks[next-j.firstChunk]}
 	case j.last != nil:
 		return piece{last: j.last}
 	}
@@ -129,16 +129,16 @@
 }
 
 // took notes that chunks before the given number went to a stream.
-func (j *job) took(next uint64) {
+func (j *job) markDelivered(next uint64) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	for j.read < next {
-		if j.read >= j.first {
-			j.unread -= len(j.chunks[j.read-j.first])
+	for j.delivered < next {
+		if j.delivered >= j.firstChunk {
+			j.undelivered -= len(j.chunks[j.delivered-j.firstChunk])
 		}
-		j.read++
+		j.delivered++
 	}
-	j.changed()
+	j.notify()
 }
 
 func (j *job) attach() {
@@ -151,7 +151,7 @@
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.readers--
-	j.alone = now()
+	j.idleSince = now()
 }
 
 // jobs are an agent's admitted attempts, running and lately ended.
@@ -208,7 +208,7 @@
 	var ended []old
 	for _, j := range s.list() {
 		j.mutex.Lock()
-		abandoned := j.readers == 0 && j.last == nil && at.Sub(j.alone) > s.grace
+		abandoned := j.readers == 0 && j.last == nil && at.Sub(j.idleSince) > s.grace
 		if j.last != nil && j.readers == 0 {
 			ended = append(ended, old{job: j, ended: j.ended})
 		}
@@ -221,7 +221,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for i, o := range ended {
-		if at.Sub(o.ended) > endedTime || len(ended)-i > endedKept {
+		if at.Sub(o.ended) > endedRetention || len(ended)-i > maxEndedJobs {
 			delete(s.all, o.job.id)
 		}
 	}
--- a/agent/leaving.go
+++ b/agent/leaving.go
@@ -8,9 +8,9 @@
 
 func (d *admission) configure(c *config.Document) {
 	limits := c.Limits.WithDefaults()
-	d.book.SetLimits(float64(limits.UrgentCredit), float64(limits.DebtCap))
+	d.tracker.SetLimits(float64(limits.UrgentCredit), float64(limits.DebtCap))
 	for _, a := range c.Accounts {
-		d.book.SetShare(fair.Account(a.ID), float64(a.Share))
+		d.tracker.SetShare(fair.Account(a.ID), float64(a.Share))
 	}
 	d.pools = map[string]bool{}
 	s := c.Server(d.agent.options.Name)
@@ -19,18 +19,18 @@
 			d.pools[p] = true
 		}
 	}
-	if siblings := d.siblingsIn(c); siblings != d.siblings {
-		if d.siblings != "" {
+	if poolMembers := d.poolMembersIn(c); poolMembers != d.poolMembers {
+		if d.poolMembers != "" {
 			d.keys.OwnershipChanged(now())
 		}
-		d.siblings = siblings
+		d.poolMembers = poolMembers
 	}
-	d.settleLeaving()
+	d.updateLeaving()
 }
 
 // siblingsIn names the servers among which the keys of this server's pools are
 // divided.
-func (d *admission) siblingsIn(c *config.Document) string {
+func (d *admission) poolMembersIn(c *config.Document) string {
 	names := ""
 	for _, s := range c.Servers {
 		for _, p := range s.Pools {
@@ -43,14 +43,14 @@
 }
 
 func (d *admission) drain() {
-	d.settleLeaving()
+	d.updateLeaving()
 	d.checkDrained()
 }
 
 // settleLeaving decides whether the server takes new work: not when its agent is
 // stopping, when the configuration says so or lacks it, or when a router reads so
 // in the live list.
-func (d *admission) settleLeaving() {
+func (d *admission) updateLeaving() {
 	s := d.agent.holder.Current().Server(d.agent.options.Name)
 	leaving := d.agent.draining.Load() || s == nil || s.Leaving
 	for _, p := range d.peers {
@@ -68,7 +68,7 @@
 	kind, text := explain.Repair, "takes new work again"
 	if leaving {
 		kind, text = explain.Degrade, "takes no new work: leaving"
-		for id := range d.granted {
+		for id := range d.grantedAt {
 			d.cancel(id)
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 func (d *admission) checkDrained() {
-	if !d.agent.draining.Load() || d.desk.Running() > 0 {
+	if !d.agent.draining.Load() || d.scheduler.Running() > 0 {
 		return
 	}
 	select {
--- a/agent/peer.go
+++ b/agent/peer.go
@@ -26,46 +26,46 @@
 		return
 	}
 	a.control.Add(p)
-	a.tell(peerUp{peer: p})
+	a.send(peerConnected{peer: p})
 	streams := duty.NewGroup()
 	alive, end := context.WithCancel(ctx)
 	streams.Go(alive, "accept", func(ctx context.Context) { a.acceptStreams(ctx, p, streams) })
 	streams.Go(alive, "control", func(context.Context) {
 		defer end()
 		for m := range p.Control() {
-			a.takeControl(p, m)
+			a.handleControl(p, m)
 		}
 	})
 	streams.Wait(alive)
-	a.tell(peerDown{peer: p})
+	a.send(peerDisconnected{peer: p})
 	a.control.Remove(p)
 	a.options.Log.Info().Str("router", p.Hello.Node).AnErr("reason", p.Reason()).Msg("router disconnected")
 }
 
 // takeControl handles one control message of a router.
-func (a *Agent) takeControl(p *wire.Peer, m *wirepb.Control) {
+func (a *Agent) handleControl(p *wire.Peer, m *wirepb.Control) {
 	if m.Revision > a.holder.Revision() && m.GetDocument() == nil {
 		p.Send(wire.Control(a.holder.Revision(), &wirepb.Control_DocumentRequest{DocumentRequest: &wirepb.DocumentRequest{}}))
 	}
 	switch b := m.Body.(type) {
 	case *wirepb.Control_Want:
-		a.tell(wantEvent{peer: p, key: a.keyOf(b.Want), count: int(b.Want.Count), estimate: float64(b.Want.Estimate)})
+		a.send(demandEvent{peer: p, class: a.classOf(b.Want), count: int(b.Want.Count), estimate: float64(b.Want.Estimate)})
 	case *wirepb.Control_Decline:
-		a.tell(declineEvent{peer: p, grant: b.Decline.Grant})
+		a.send(declineEvent{peer: p, grant: b.Decline.Grant})
 	case *wirepb.Control_Summing:
-		a.tell(summingEvent{peer: p, on: b.Summing.On})
+		a.send(summingEvent{peer: p, on: b.Summing.On})
 	case *wirepb.Control_Totals:
-		a.tell(totalsEvent{sequence: b.Totals.Sequence, totals: wire.Totals(b.Totals.Counters)})
+		a.send(totalsEvent{sequence: b.Totals.Sequence, totals: wire.Totals(b.Totals.Counters)})
 	case *wirepb.Control_Document:
-		a.offer(p, b.Document.Content)
+		a.offerDocument(p, b.Document.Content)
 	case *wirepb.Control_DocumentRequest:
 		a.sendDocument(p)
 	case *wirepb.Control_Ping:
 		p.Send(wire.Control(a.holder.Revision(), &wirepb.Control_Pong{Pong: &wirepb.Pong{Sent: b.Ping.Sent}}))
 	case *wirepb.Control_Leaving:
-		a.tell(listEvent{peer: p, leaving: b.Leaving.On})
+		a.send(leavingEvent{peer: p, leaving: b.Leaving.On})
 	case *wirepb.Control_Pong:
-		a.tell(heardEvent{peer: p})
+		a.send(pongEvent{peer: p})
 	default:
 		p.Close(errUnexpected)
 	}
@@ -73,7 +73,7 @@
 
 var errUnexpected = errors.New("agent: message that a router does not send")
 
-func (a *Agent) keyOf(w *wirepb.Want) dispatch.Class {
+func (a *Agent) classOf(w *wirepb.Want) dispatch.Class {
 	k := dispatch.Class{Account: fair.Account(w.Account), Pool: w.Pool, Urgent: w.Urgent}
 	if w.Pinned {
 		k.Server = a.options.Name
@@ -81,7 +81,7 @@
 	return k
 }
 
-func (a *Agent) offer(p *wire.Peer, content []byte) {
+func (a *Agent) offerDocument(p *wire.Peer, content []byte) {
 	d, err := config.Decode(content)
 	if err != nil {
 		p.Close(err)
@@ -91,7 +91,7 @@
 		return
 	}
 	a.options.Log.Info().Uint64("revision", d.Revision).Msg("configuration in force")
-	a.tell(configEvent{})
+	a.send(configEvent{})
 }
 
 func (a *Agent) sendDocument(p *wire.Peer) {
@@ -119,11 +119,11 @@
 }
 
 // firstMessageTime is how long a stream may stay without its call.
-const firstMessageTime = 10 * time.Second
+const firstMessageTimeout = 10 * time.Second
 
 func (a *Agent) serveStream(ctx context.Context, p *wire.Peer, s *wire.Stream) {
 	defer s.Close()
-	wait, cancel := context.WithTimeout(ctx, firstMessageTime)
+	wait, cancel := context.WithTimeout(ctx, firstMessageTimeout)
 	release := s.Shut(wait)
 	var c wirepb.Call
 	err := s.Read(&c)
@@ -155,7 +155,7 @@
 		return
 	}
 	reply := make(chan bool, 1)
-	if !a.tell(revokeEvent{id: attempt.ID{Request: r.Request, Attempt: r.Attempt}, reply: reply}) {
+	if !a.send(revokeEvent{id: attempt.ID{Request: r.Request, Attempt: r.Attempt}, reply: reply}) {
 		return
 	}
 	revoked, ok := await(a, reply)
@@ -194,7 +194,7 @@
 	switch {
 	case r.Status:
 		reply := make(chan *wirepb.NodeStatus, 1)
-		a.tell(statusEvent{reply: reply})
+		a.send(statusEvent{reply: reply})
 		list.Status, _ = await(a, reply)
 	case r.Request != "":
 		list.Records = wire.Records(a.options.Records.Request(r.Request))
--- a/agent/tell.go
+++ b/agent/report.go
@@ -17,34 +17,34 @@
 	if len(to) == 0 {
 		return
 	}
-	sequence, totals := d.book.Report(d.ticks%fullReportTicks == 0)
+	sequence, totals := d.tracker.Report(d.ticks%fullReportTicks == 0)
 	r := &wirepb.Report{Sequence: sequence, Counters: wire.Counters(totals)}
 	for _, p := range to {
 		p.Send(d.message(&wirepb.Control_Report{Report: r}))
 	}
 }
 
-func (d *admission) loadNow() *wirepb.Load {
+func (d *admission) currentLoad() *wirepb.Load {
 	return &wirepb.Load{
-		Running: uint32(d.desk.Running() + d.desk.Granted()),
-		Limit:   uint32(d.desk.Limit()),
+		Running: uint32(d.scheduler.Running() + d.scheduler.Granted()),
+		Limit:   uint32(d.scheduler.Limit()),
 		Leaving: d.leaving,
 		Sick:    d.limit.Health() != dispatch.Healthy,
-		Waiting: uint32(d.desk.Waiting()),
+		Waiting: uint32(d.scheduler.Waiting()),
 	}
 }
 
 // tell sends the load to all routers when it begins or ceases to have room, or
 // when its limit or state changes; in between routers count for themselves.
-func (d *admission) tell() {
-	l := d.loadNow()
+func (d *admission) sendLoad() {
+	l := d.currentLoad()
 	room := func(l *wirepb.Load) bool { return l.Running < l.Limit && l.Waiting == 0 }
-	same := room(l) == room(&d.told) && l.Limit == d.told.Limit && l.Leaving == d.told.Leaving && l.Sick == d.told.Sick
+	same := room(l) == room(&d.sentLoad) && l.Limit == d.sentLoad.Limit && l.Leaving == d.sentLoad.Leaving && l.Sick == d.sentLoad.Sick
 	if same {
 		return
 	}
-	d.told.Running, d.told.Limit, d.told.Leaving = l.Running, l.Limit, l.Leaving
-	d.told.Sick, d.told.Waiting = l.Sick, l.Waiting
+	d.sentLoad.Running, d.sentLoad.Limit, d.sentLoad.Leaving = l.Running, l.Limit, l.Leaving
+	d.sentLoad.Sick, d.sentLoad.Waiting = l.Sick, l.Waiting
 	for _, s := range d.peers {
 		s.peer.Send(d.message(&wirepb.Control_Load{Load: l}))
 	}
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -22,15 +22,15 @@
 
 // Why a running attempt was stopped.
 var (
-	errAbandoned  = errors.New("agent: no router reads the answer")
-	errCallerLeft = errors.New(wire.ReasonCallerLeft)
-	errDeadline   = errors.New(wire.ReasonDeadline)
+	errAbandoned          = errors.New("agent: no router reads the answer")
+	errCallerDisconnected = errors.New(wire.ReasonCallerLeft)
+	errDeadline           = errors.New(wire.ReasonDeadline)
 )
 
 const (
-	readBuffer = 16 << 10
+	readBufferSize = 16 << 10
 	// chargeTime is the least time between two charges of one attempt.
-	chargeTime = 100 * time.Millisecond
+	minChargeInterval = 100 * time.Millisecond
 )
 
 // serveStart admits an attempt, runs it and passes its answer on.
@@ -38,32 +38,32 @@
 	parent := propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{"traceparent": st.Traceparent})
 	_, span := a.options.Tracer.Start(parent, "agent.admit", trace.WithAttributes(
 		attribute.String("request", st.Request), attribute.String("server", a.options.Name)))
-	reply := make(chan admitted, 1)
-	a.tell(startEvent{start: st, peer: p, reply: reply})
-	answer, ok := await(a, reply)
+	reply := make(chan startResult, 1)
+	a.send(startEvent{start: st, peer: p, reply: reply})
+	result, ok := await(a, reply)
 	if !ok {
 		return
 	}
-	span.SetAttributes(attribute.Bool("admitted", answer.refused == nil && answer.repeat == nil && answer.unknown == ""))
+	span.SetAttributes(attribute.Bool("admitted", result.refused == nil && result.duplicate == nil && result.unknownReason == ""))
 	span.End()
 	switch {
-	case answer.refused != nil:
-		a.recordStart(explain.Refuse, st, answer.refused.Reason)
-		_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_NotRun{NotRun: answer.refused}})
+	case result.refused != nil:
+		a.recordStart(explain.Refuse, st, result.refused.Reason)
+		_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_NotRun{NotRun: result.refused}})
 		return
-	case answer.unknown != "":
-		_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_Unknown{Unknown: &wirepb.Unknown{Reason: answer.unknown}}})
+	case result.unknownReason != "":
+		_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_Unknown{Unknown: &wirepb.Unknown{Reason: result.unknownReason}}})
 		return
-	case answer.repeat != nil:
-		a.serveRepeat(ctx, s, st, answer.repeat)
+	case result.duplicate != nil:
+		a.serveDuplicate(ctx, s, st, result.duplicate)
 		return
 	}
-	a.recordStart(explain.Admit, st, fmt.Sprintf("admitted with %.0f weighted tokens reserved; the account stands at %.0f", answer.reserved, answer.standing))
-	j := a.launch(parent, st, answer.reserved)
+	a.recordStart(explain.Admit, st, fmt.Sprintf("admitted with %.0f weighted tokens reserved; the account stands at %.0f", result.reserved, result.virtualTime))
+	j := a.startAttempt(parent, st, result.reserved)
 	if err := s.Write(&wirepb.Piece{Body: &wirepb.Piece_Admitted{Admitted: &wirepb.Admitted{}}}); err != nil {
 		return
 	}
-	a.passOn(ctx, s, j, 0, false)
+	a.streamResponse(ctx, s, j, 0, false)
 }
 
 func (a *Agent) recordStart(k explain.Kind, st *wirepb.Start, text string) {
@@ -72,10 +72,10 @@
 
 // serveRepeat answers a caller's retry under the same idempotency key with the
 // answer of the request that ran first.
-func (a *Agent) serveRepeat(ctx context.Context, s *wire.Stream, st *wirepb.Start, r *attempt.Duplicate) {
+func (a *Agent) serveDuplicate(ctx context.Context, s *wire.Stream, st *wirepb.Start, r *attempt.Duplicate) {
 	a.recordStart(explain.Refuse, st, "the idempotency key was used by request "+r.Request)
 	j := a.jobs.get(attempt.ID{Request: r.Request, Attempt: r.Attempt})
-	if r.Unknown || j == nil || !j.whole() {
+	if r.Unknown || j == nil || !j.retainsStart() {
 		reason := "request " + r.Request + " used this idempotency key; its answer is no longer kept"
 		if r.Unknown {
 			reason = "request " + r.Request + " used this idempotency key; its outcome is unknown"
@@ -86,14 +86,14 @@
 	if err := s.Write(&wirepb.Piece{Body: &wirepb.Piece_Admitted{Admitted: &wirepb.Admitted{}}}); err != nil {
 		return
 	}
-	a.passOn(ctx, s, j, 0, false)
+	a.streamResponse(ctx, s, j, 0, false)
 }
 
 // whole reports whether the answer is kept from its beginning.
-func (j *job) whole() bool {
+func (j *job) retainsStart() bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	return j.first == 0
+	return j.firstChunk == 0
 }
 
 func (a *Agent) serveResume(ctx context.Context, s *wire.Stream, r *wirepb.Resume) {
@@ -103,21 +103,21 @@
 		return
 	}
 	a.record(explain.Event{Kind: explain.Resume, Request: r.Request, Attempt: r.Attempt, Text: fmt.Sprintf("resumed from chunk %d", r.Next)})
-	a.passOn(ctx, s, j, r.Next, r.Next > 0)
+	a.streamResponse(ctx, s, j, r.Next, r.Next > 0)
 }
 
 // passOn writes a job's answer to a stream from a chunk on. A cancel from the
 // router stops the job; a lost stream leaves it to be resumed.
-func (a *Agent) passOn(ctx context.Context, s *wire.Stream, j *job, next uint64, headSeen bool) {
+func (a *Agent) streamResponse(ctx context.Context, s *wire.Stream, j *job, next uint64, headSeen bool) {
 	j.attach()
 	defer j.detach()
 	lost := make(chan struct{})
-	a.duties.Go(ctx, "cancel watch", func(context.Context) { watchCancel(s, j, lost) })
+	a.goroutines.Go(ctx, "cancel watch", func(context.Context) { watchCancel(s, j, lost) })
 	for {
-		p := j.after(headSeen, next)
+		p := j.nextPiece(headSeen, next)
 		var err error
 		switch {
-		case p.gone:
+		case p.dropped:
 			_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_Unknown{Unknown: &wirepb.Unknown{Reason: "that part of the answer is no longer kept"}}})
 			return
 		case p.head != nil:
@@ -126,7 +126,7 @@
 		case p.chunk != nil:
 			err = s.Write(&wirepb.Piece{Body: &wirepb.Piece_Chunk{Chunk: &wirepb.Chunk{Number: next, Content: p.chunk}}})
 			next++
-			j.took(next)
+			j.markDelivered(next)
 		case p.last != nil:
 			_ = s.Write(p.last)
 			return
@@ -150,18 +150,18 @@
 	defer close(lost)
 	var c wirepb.Call
 	if err := s.Read(&c); err == nil && c.GetCancel() != nil {
-		j.cancel(errCallerLeft)
+		j.cancel(errCallerDisconnected)
 	}
 }
 
 // launch starts the goroutine that runs an admitted attempt.
-func (a *Agent) launch(parent context.Context, st *wirepb.Start, reserved float64) *job {
-	ctx := trace.ContextWithSpanContext(a.life, trace.SpanContextFromContext(parent))
+func (a *Agent) startAttempt(parent context.Context, st *wirepb.Start, reserved float64) *job {
+	ctx := trace.ContextWithSpanContext(a.lifetime, trace.SpanContextFromContext(parent))
 	ctx, cancel := context.WithCancelCause(ctx)
 	j := newJob(attempt.ID{Request: st.Request, Attempt: st.Attempt}, cancel)
 	a.jobs.put(j)
-	r := &run{agent: a, start: st, job: j, reserved: reserved}
-	a.duties.Go(ctx, "attempt", func(ctx context.Context) {
+	r := &attemptRun{agent: a, start: st, job: j, reserved: reserved}
+	a.goroutines.Go(ctx, "attempt", func(ctx context.Context) {
 		defer cancel(nil)
 		budget, stop := context.WithTimeoutCause(ctx, time.Duration(st.BudgetMs)*time.Millisecond, errDeadline)
 		defer stop()
@@ -171,58 +171,58 @@
 }
 
 // run is the work of one admitted attempt.
-type run struct {
-	agent    *Agent
-	start    *wirepb.Start
-	job      *job
-	reserved float64
-	meter    *engine.Meter
-	charged  float64
-	at       time.Time // of the last charge
-	begun    bool      // the server has begun to answer
+type attemptRun struct {
+	agent      *Agent
+	start      *wirepb.Start
+	job        *job
+	reserved   float64
+	meter      *engine.Meter
+	charged    float64
+	lastCharge time.Time
+	responded  bool // the server has begun to answer
 }
 
-func (r *run) run(ctx context.Context) {
+func (r *attemptRun) run(ctx context.Context) {
 	ctx, span := r.agent.options.Tracer.Start(ctx, "agent.serve", trace.WithAttributes(attribute.String("request", r.start.Request)))
 	defer span.End()
 	r.meter = engine.NewMeter(r.agent.weights(), r.start.Content)
-	answer, err := r.engine(ctx)
+	response, err := r.callEngine(ctx)
 	if err != nil {
-		r.failedBefore(ctx, err)
+		r.finishWithoutResponse(ctx, err)
 		return
 	}
-	defer answer.Body.Close()
-	r.begun = true
-	r.job.setHead(&wirepb.Head{Status: uint32(answer.Status), Headers: headers(answer.Header)})
-	err = r.copy(ctx, answer.Body)
-	cost := r.cost(answer.Status)
+	defer response.Body.Close()
+	r.responded = true
+	r.job.setHead(&wirepb.Head{Status: uint32(response.Status), Headers: headers(response.Header)})
+	err = r.copyBody(ctx, response.Body)
+	cost := r.totalCost(response.Status)
 	r.charge(cost, true)
 	if err != nil {
-		r.cut(ctx, err, cost)
+		r.finishTruncated(ctx, err, cost)
 		return
 	}
 	v := served
-	if answer.Status >= http.StatusInternalServerError {
+	if response.Status >= http.StatusInternalServerError {
 		v = failed
 	}
-	r.finish(&wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: r.job.count(), Complete: true, Cost: cost}}},
-		attempt.Executed{Complete: true}, v, fmt.Sprintf("the whole answer, status %d, %.0f weighted tokens", answer.Status, cost))
+	r.finish(&wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: r.job.chunkCount(), Complete: true, Cost: cost}}},
+		attempt.Executed{Complete: true}, v, fmt.Sprintf("the whole answer, status %d, %.0f weighted tokens", response.Status, cost))
 }
 
 // engine makes the call, as a hop of its own in the trace.
-func (r *run) engine(ctx context.Context) (*engine.Response, error) {
+func (r *attemptRun) callEngine(ctx context.Context) (*engine.Response, error) {
 	_, span := r.agent.options.Tracer.Start(ctx, "engine.call", trace.WithAttributes(attribute.String("request", r.start.Request)))
 	defer span.End()
-	return r.agent.options.Engine.Do(ctx, r.call(trace.ContextWithSpan(ctx, span)))
+	return r.agent.options.Engine.Do(ctx, r.newCall(trace.ContextWithSpan(ctx, span)))
 }
 
-func (j *job) count() uint64 {
+func (j *job) chunkCount() uint64 {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	return j.next
+	return j.nextChunk
 }
 
-func (r *run) call(ctx context.Context) *engine.Call {
+func (r *attemptRun) newCall(ctx context.Context) *engine.Call {
 	h := http.Header{}
 	for _, f := range r.start.Headers {
 		h.Add(f.Name, f.Value)
@@ -230,11 +230,11 @@
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(h))
 	return &engine.Call{
 		RequestID: r.start.Request,
-		Method:  r.start.Method,
-		Path:    r.start.Path,
-		Header:  h,
-		Body: r.start.Content,
-		Urgent:  r.start.Urgent,
+		Method:    r.start.Method,
+		Path:      r.start.Path,
+		Header:    h,
+		Body:      r.start.Content,
+		Urgent:    r.start.Urgent,
 	}
 }
 
@@ -260,16 +260,16 @@
 }
 
 // copy passes the answer's body into the job and charges it as it comes.
-func (r *run) copy(ctx context.Context, body io.Reader) error {
-	buffer := make([]byte, readBuffer)
+func (r *attemptRun) copyBody(ctx context.Context, body io.Reader) error {
+	buffer := make([]byte, readBufferSize)
 	for {
-		if err := r.job.room(ctx); err != nil {
+		if err := r.job.waitForReadAhead(ctx); err != nil {
 			return err
 		}
 		n, err := body.Read(buffer)
 		if n > 0 {
 			_, _ = r.meter.Write(buffer[:n])
-			r.job.add(buffer[:n])
+			r.job.addChunk(buffer[:n])
 			r.charge(r.meter.Cost(), false)
 		}
 		if errors.Is(err, io.EOF) {
@@ -283,7 +283,7 @@
 
 // cost returns what the attempt is charged in all: a plain service's calls have
 // the configured price, a model's answer what its meter says.
-func (r *run) cost(status int) float64 {
+func (r *attemptRun) totalCost(status int) float64 {
 	if p := r.agent.holder.Current().Pool(r.start.Pool); p != nil && p.Kind == "service" {
 		return r.agent.weights().Call
 	}
@@ -295,11 +295,11 @@
 
 // charge counts what has been served since the last charge, and takes the same
 // amount of the reservation back.
-func (r *run) charge(cost float64, last bool) {
+func (r *attemptRun) charge(cost float64, last bool) {
 	if p := r.agent.holder.Current().Pool(r.start.Pool); !last && p != nil && p.Kind == "service" {
 		return
 	}
-	if !last && now().Sub(r.at) < chargeTime {
+	if !last && now().Sub(r.lastCharge) < minChargeInterval {
 		return
 	}
 	more := cost - r.charged
@@ -309,19 +309,19 @@
 	part := min(more, r.reserved)
 	r.charged = cost
 	r.reserved -= part
-	r.at = now()
-	r.agent.tell(chargeEvent{account: fair.Account(r.start.AccountId), cost: more, reserved: part})
+	r.lastCharge = now()
+	r.agent.send(chargeEvent{account: fair.Account(r.start.AccountId), cost: more, reserved: part})
 }
 
 // failedBefore ends an attempt to which the server gave no answer.
-func (r *run) failedBefore(ctx context.Context, err error) {
+func (r *attemptRun) finishWithoutResponse(ctx context.Context, err error) {
 	if errors.Is(err, engine.ErrNotSent) {
 		r.finish(&wirepb.Piece{Body: &wirepb.Piece_NotRun{NotRun: &wirepb.NotRun{Reason: "the server cannot be reached", Busy: true}}},
 			attempt.NotExecuted{Reason: err.Error()}, failed, "not run: "+err.Error())
 		return
 	}
 	if ctx.Err() != nil {
-		r.cut(ctx, context.Cause(ctx), 0)
+		r.finishTruncated(ctx, context.Cause(ctx), 0)
 		return
 	}
 	r.finish(&wirepb.Piece{Body: &wirepb.Piece_Unknown{Unknown: &wirepb.Unknown{Reason: "the server broke off before it answered"}}},
@@ -329,22 +329,22 @@
 }
 
 // cut ends an attempt whose answer broke off.
-func (r *run) cut(ctx context.Context, err error, cost float64) {
+func (r *attemptRun) finishTruncated(ctx context.Context, err error, cost float64) {
 	v := failed
 	reason := "the server broke off its answer"
 	if ctx.Err() != nil {
-		v = noVerdict
+		v = noSignal
 		reason = context.Cause(ctx).Error()
-		if errors.Is(context.Cause(ctx), errDeadline) && !r.begun {
+		if errors.Is(context.Cause(ctx), errDeadline) && !r.responded {
 			v = failed
 		}
 	}
-	r.finish(&wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: r.job.count(), Reason: reason, Cost: cost}}},
+	r.finish(&wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: r.job.chunkCount(), Reason: reason, Cost: cost}}},
 		attempt.Executed{Reason: reason}, v, "cut: "+reason+": "+err.Error())
 }
 
-func (r *run) finish(last *wirepb.Piece, o attempt.Outcome, v verdict, text string) {
+func (r *attemptRun) finish(last *wirepb.Piece, o attempt.Outcome, v healthSignal, text string) {
 	r.agent.recordStart(explain.Outcome, r.start, text)
-	r.agent.tell(doneEvent{start: r.start, reserved: r.reserved, outcome: o, verdict: v})
+	r.agent.send(doneEvent{start: r.start, reserved: r.reserved, outcome: o, healthSignal: v})
 	r.job.end(last)
 }
--- a/agent/start.go
+++ b/agent/start.go
@@ -11,7 +11,7 @@
 )
 
 // start decides whether an attempt may run.
-func (d *admission) start(e startEvent) admitted {
+func (d *admission) start(e startEvent) startResult {
 	s := e.start
 	id := attempt.ID{Request: s.Request, Attempt: s.Attempt}
 	if s.Incarnation != d.agent.incarnation {
@@ -30,57 +30,57 @@
 	case attempt.Revoked:
 		return refuse("the attempt was revoked", false)
 	case attempt.AlreadyBegun:
-		return admitted{unknown: "the attempt was sent twice"}
+		return startResult{unknownReason: "the attempt was sent twice"}
 	case attempt.RegistryFull:
 		return refuse("this agent remembers too many attempts", true)
 	default:
 		panic(fmt.Sprintf("agent: unknown answer %T", b))
 	}
-	reserved, ok := d.place(s)
+	reserved, ok := d.reserveSlot(s)
 	if !ok {
 		d.registry.MarkNotExecuted(id, now())
 		return refuse("this server is full", true)
 	}
-	if a, stop := d.claim(s); stop {
-		d.desk.Done()
-		d.book.Release(fair.Account(s.AccountId), reserved)
+	if a, stop := d.claimKey(s); stop {
+		d.scheduler.Done()
+		d.tracker.Release(fair.Account(s.AccountId), reserved)
 		d.registry.MarkNotExecuted(id, now())
 		return a
 	}
-	d.largest = math.Max(d.largest, reserved)
-	return admitted{reserved: reserved, standing: d.book.VirtualTime(fair.Account(s.AccountId))}
+	d.largestReservation = math.Max(d.largestReservation, reserved)
+	return startResult{reserved: reserved, virtualTime: d.tracker.VirtualTime(fair.Account(s.AccountId))}
 }
 
-func refuse(reason string, busy bool) admitted {
-	return admitted{refused: &wirepb.NotRun{Reason: reason, Busy: busy}}
+func refuse(reason string, busy bool) startResult {
+	return startResult{refused: &wirepb.NotRun{Reason: reason, Busy: busy}}
 }
 
 // place takes the granted place, or a free one when nobody waits.
-func (d *admission) place(s *wirepb.Start) (reserved float64, ok bool) {
-	delete(d.granted, s.Grant)
-	if g, granted := d.desk.StartGranted(s.Grant); granted {
-		d.book.Release(g.Class.Account, g.Estimate)
-		d.book.Reserve(fair.Account(s.AccountId), float64(s.Estimate))
+func (d *admission) reserveSlot(s *wirepb.Start) (reserved float64, ok bool) {
+	delete(d.grantedAt, s.Grant)
+	if g, granted := d.scheduler.StartGranted(s.Grant); granted {
+		d.tracker.Release(g.Class.Account, g.Estimate)
+		d.tracker.Reserve(fair.Account(s.AccountId), float64(s.Estimate))
 		return float64(s.Estimate), true
 	}
-	if !d.desk.TryStart() {
+	if !d.scheduler.TryStart() {
 		return 0, false
 	}
-	d.book.Reserve(fair.Account(s.AccountId), float64(s.Estimate))
+	d.tracker.Reserve(fair.Account(s.AccountId), float64(s.Estimate))
 	return float64(s.Estimate), true
 }
 
 // claim settles the caller's idempotency key, if there is one.
-func (d *admission) claim(s *wirepb.Start) (admitted, bool) {
+func (d *admission) claimKey(s *wirepb.Start) (startResult, bool) {
 	if s.IdempotencyKey == "" {
-		return admitted{}, false
+		return startResult{}, false
 	}
 	id := attempt.KeyID{Account: s.AccountId, Key: s.IdempotencyKey}
 	switch c := d.keys.Claim(id, s.Request, s.Attempt, now()).(type) {
 	case attempt.NewKey:
-		return admitted{}, false
+		return startResult{}, false
 	case attempt.Duplicate:
-		return admitted{repeat: &c}, true
+		return startResult{duplicate: &c}, true
 	case attempt.Indeterminate:
 		a := refuse("it cannot be told whether this idempotency key was used before", false)
 		a.refused.RetryAfterMs = max(c.RetryAfter, time.Second).Milliseconds()
@@ -91,11 +91,11 @@
 }
 
 func (d *admission) done(e doneEvent) {
-	d.desk.Done()
+	d.scheduler.Done()
 	s := e.start
 	id := attempt.ID{Request: s.Request, Attempt: s.Attempt}
 	key := attempt.KeyID{Account: s.AccountId, Key: s.IdempotencyKey}
-	d.book.Release(fair.Account(s.AccountId), e.reserved)
+	d.tracker.Release(fair.Account(s.AccountId), e.reserved)
 	switch o := e.outcome.(type) {
 	case attempt.NotExecuted:
 		d.registry.MarkNotExecuted(id, now())
@@ -110,14 +110,14 @@
 		panic(fmt.Sprintf("agent: unknown outcome %T", o))
 	}
 	before := d.limit.Health()
-	switch e.verdict {
+	switch e.healthSignal {
 	case served:
 		d.limit.Success()
 	case failed:
 		d.limit.Failure()
-	case noVerdict:
+	case noSignal:
 	}
-	d.healthChanged(before)
+	d.reportHealthChange(before)
 	d.applyLimit()
 	d.checkDrained()
 }
--- a/agent/status.go
+++ b/agent/status.go
@@ -11,19 +11,19 @@
 )
 
 // pace measures how fast the fleet serves, from the totals that come in.
-type pace struct {
+type rateEstimator struct {
 	served float64
 	at     time.Time
 	rate   float64 // weighted tokens a second, the highest of late
 }
 
 // ratePart is how much of an earlier, higher rate is kept each second.
-const ratePart = 0.98
+const rateDecay = 0.98
 
-func (p *pace) observe(served float64, at time.Time) {
+func (p *rateEstimator) observe(served float64, at time.Time) {
 	if !p.at.IsZero() && at.After(p.at) && served >= p.served {
 		rate := (served - p.served) / at.Sub(p.at).Seconds()
-		p.rate = max(rate, p.rate*ratePart)
+		p.rate = max(rate, p.rate*rateDecay)
 	}
 	p.served, p.at = served, at
 }
@@ -31,19 +31,19 @@
 // bound returns the gap between accounts that wait here and the bound it must
 // keep, both in service.
 func (d *admission) bound() (gap, bound float64) {
-	gap, waiting := d.book.Gap()
+	gap, waiting := d.tracker.Gap()
 	if waiting < 2 {
 		return 0, 0
 	}
-	reach, share := d.book.BoundInputs()
+	reach, share := d.tracker.BoundInputs()
 	age := 2 * d.agent.options.Interval
-	if !d.merged.IsZero() {
-		age += now().Sub(d.merged)
+	if !d.totalsMergedAt.IsZero() {
+		age += now().Sub(d.totalsMergedAt)
 	}
 	b := fair.GapBound{
-		MaxCost:      d.largest,
+		MaxCost:      d.largestReservation,
 		Slots:        reach,
-		ServiceRate:  d.pace.rate,
+		ServiceRate:  d.serviceRate.rate,
 		TotalsAge:    age.Seconds(),
 		UrgentCredit: float64(d.agent.holder.Current().Limits.WithDefaults().UrgentCredit),
 		MinShare:     share,
@@ -53,7 +53,7 @@
 
 // checkBound asserts the fairness bound; a violation is recorded and counted.
 func (d *admission) checkBound() {
-	d.pace.observe(d.book.TotalServed(), now())
+	d.serviceRate.observe(d.tracker.TotalServed(), now())
 	gap, bound := d.bound()
 	if gap <= bound {
 		return
@@ -68,26 +68,26 @@
 
 func (d *admission) status() *wirepb.NodeStatus {
 	gap, bound := d.bound()
-	_, totals := d.book.Snapshot()
+	_, totals := d.tracker.Snapshot()
 	s := &wirepb.NodeStatus{
 		Node:         d.agent.options.Name,
 		Role:         "agent",
 		Hall:         d.agent.options.Hall,
 		Incarnation:  d.agent.incarnation,
 		Revision:     d.agent.holder.Revision(),
-		Running:      uint32(d.desk.Running()),
-		Limit:        uint32(d.desk.Limit()),
-		Waiting:      uint32(d.desk.Waiting()),
+		Running:      uint32(d.scheduler.Running()),
+		Limit:        uint32(d.scheduler.Limit()),
+		Waiting:      uint32(d.scheduler.Waiting()),
 		Gap:          gap,
 		Bound:        bound,
 		ControlBytes: d.agent.ControlBytes(),
-		UpMs:         now().Sub(d.agent.begun).Milliseconds(),
+		UpMs:         now().Sub(d.agent.startedAt).Milliseconds(),
 		Violations:   uint32(d.agent.Violations()),
 	}
 	for _, t := range totals {
 		s.Counters = append(s.Counters, &wirepb.Counter{Account: uint32(t.Account), Service: uint64(max(0, t.Service)), Reach: uint32(t.Slots)})
 	}
-	for what, at := range d.since {
+	for what, at := range d.degradedSince {
 		s.Degraded = append(s.Degraded, fmt.Sprintf("%s: %s since %s", what, d.limit.Health(), at.UTC().Format(time.RFC3339)))
 	}
 	if d.leaving {
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -50,9 +50,9 @@
 	return "http://" + l.Addr().String(), reads
 }
 
-// TestTransportRepeatsNothing breaks kept connections under every kind of request
+// TestTransportDoesNotRetry breaks kept connections under every kind of request
 // that net/http would send again by itself; each must arrive once.
-func TestTransportRepeatsNothing(t *testing.T) {
+func TestTransportDoesNotRetry(t *testing.T) {
 	tests := []struct {
 		name    string
 		method  string
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestUnreachableServerIsNotSent(t *testing.T) {
+func TestUnreachableServerReturnsErrNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	url := "http://" + l.Addr().String()
--- a/secure/secure_test.go
+++ b/secure/secure_test.go
@@ -89,7 +89,7 @@
 	return l.Addr().String(), handshakes
 }
 
-func TestWhoCannotShowWhoItIsTakesNoPart(t *testing.T) {
+func TestPeersRequireFleetCertificate(t *testing.T) {
 	dir := t.TempDir()
 	fleet, other := newAuthority(t, dir, "fleet"), newAuthority(t, dir, "other")
 	server := open(t, fleet, fleet, dir, "agent")
@@ -121,7 +121,7 @@
 	require.Error(t, <-handshakes)
 }
 
-func TestCertificateIsReadAgain(t *testing.T) {
+func TestCertificateReload(t *testing.T) {
 	dir := t.TempDir()
 	fleet := newAuthority(t, dir, "fleet")
 	server := open(t, fleet, fleet, dir, "agent")
