--- a/agent/admission.go
+++ b/agent/admission.go
@@ -15,8 +15,8 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// admission is the duty that owns the agent's places, counters and memory of
-// attempts. Only its goroutine touches them.
+// admission is the agent's admission controller. It owns the slots, the service
+// counters and the registry of attempts; only the goroutine of run accesses them.
 type admission struct {
 	agent              *Agent
 	tracker            *fair.Tracker
@@ -24,32 +24,34 @@
 	limit              *dispatch.ConcurrencyLimit
 	registry           *attempt.Registry
 	keys               *attempt.KeyStore
-	peers              map[string]*peerState // by router
-	grantedAt          map[uint64]time.Time
-	pools              map[string]bool
-	poolMembers        string // the servers of this server's pools, to notice that keys moved
+	peers              map[string]*peerState // by router name
+	grantedAt          map[uint64]time.Time  // when each unused grant was issued
+	pools              map[string]bool       // pools of this server
+	poolMembers        string                // all servers of these pools; a change may move idempotency keys
 	largestReservation float64
 	leaving            bool
-	sentLoad           wirepb.Load
-	ticks              int
+	sentLoad           wirepb.Load // the last load sent to the routers
+	ticks              int         // seconds since the start
 
-	degradedSince  map[string]time.Time // what is degraded, and since when
+	degradedSince  map[string]time.Time // by degraded component
 	serviceRate    rateEstimator
-	totalsMergedAt time.Time // when the totals in use came
+	totalsMergedAt time.Time // when the totals in use were received
 }
 
+// peerState is what the agent knows about a connected router.
 type peerState struct {
 	peer    *wire.Peer
-	summing bool
-	leaving bool // it reads in the live list that this host is leaving
+	summing bool // the router sums the service counters of the agents
+	leaving bool // its live list says that this host is leaving
 }
 
 const (
-	// grantTime is after how long an unused grant is taken back.
+	// grantTimeout is how long a grant may stay unused before it is canceled.
 	grantTimeout       = 500 * time.Millisecond
 	tickInterval       = time.Second
 	grantCheckInterval = 250 * time.Millisecond
-	// fullReportTicks is how often a report names every account again.
+	// A report lists every account, not only the changed ones, when ticks is a
+	// multiple of fullReportTicks.
 	fullReportTicks = 30
 )
 
@@ -95,11 +97,12 @@
 	}
 }
 
-// assertBusy holds that no place is free while a request that could have it waits:
-// whatever happened, places were granted before anything else is looked at.
+// assertWorkConserving panics if a slot is free while a request waits that could
+// use it. It holds after every event, because grants are issued before the next
+// event is handled.
 func (d *admission) assertWorkConserving() {
 	if !d.leaving && d.scheduler.HasFreeSlot() && d.scheduler.Waiting() > 0 {
-		panic(errors.AssertionFailedf("agent: %d of %d places taken while %d requests wait",
+		panic(errors.AssertionFailedf("agent: not work conserving: %d of %d slots in use while %d requests wait",
 			d.scheduler.Running()+d.scheduler.Granted(), d.scheduler.Limit(), d.scheduler.Waiting()))
 	}
 }
@@ -174,7 +177,8 @@
 	d.updateWaiting()
 }
 
-// settleWaits tells the book which accounts wait here no more.
+// updateWaiting removes the accounts without waiting requests here from the
+// tracker's set of waiting accounts.
 func (d *admission) updateWaiting() {
 	for _, a := range d.agent.holder.Current().Accounts {
 		if id := fair.Account(a.ID); !d.scheduler.HasWaiting(id) {
@@ -199,7 +203,7 @@
 	}
 }
 
-// grant hands out every free place that somebody wants.
+// issueGrants grants every free slot for which a request waits.
 func (d *admission) issueGrants() {
 	if d.leaving {
 		return
@@ -273,8 +277,8 @@
 	d.checkBound()
 }
 
-// expireGrants takes unused grants back. A router that left one unused gets no
-// more until it is heard again.
+// expireGrants cancels grants that were not used in time. A router that let one
+// expire gets no more grants until it sends a message.
 func (d *admission) expireGrants() {
 	for id, at := range d.grantedAt {
 		if now().Sub(at) <= grantTimeout {
@@ -289,7 +293,8 @@
 	}
 }
 
-// heard notes that a router spoke.
+// markResponsive records a message from a router, which makes the router eligible
+// for grants again if one of its grants had expired.
 func (d *admission) markResponsive(router string) {
 	if !d.scheduler.SetUnresponsive(router, false) {
 		return
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,18 +1,19 @@
-// Package agent is the process in the slot beside a backend server, and the only
-// way to it. It admits attempts, decides with the fair package whom to grant a
-// place when it is full, meters what answers really cost, and remembers attempts
-// so that a router can revoke or find one it lost sight of.
+// Package agent is the sidecar process of a backend server; all requests to the
+// server go through it. It admits attempts, decides with package fair which account
+// gets the next slot when the server is full, meters the actual cost of responses,
+// and remembers attempts so that a router can revoke or resume one after a lost
+// connection.
 //
 // # Usage
 //
 //	a, err := agent.New(agent.Options{Name: "model-1", Hall: "quito-1", Engine: client, Listener: l})
 //	done := a.Start(ctx)
-//	a.Drain()            // a planned stop: no new work, what runs goes on
+//	a.Drain()            // planned stop: no new attempts, running ones continue
 //	err = <-done
 //
-// One goroutine, the admission duty, owns all counters and places; connections
-// and running attempts talk to it through one bounded channel. The agent keeps
-// nothing on its host: a restarted one is a new incarnation that knows nothing.
+// One goroutine, the admission loop, owns all counters and slots; connections and
+// running attempts send it events through one bounded channel. The agent stores
+// nothing on disk: after a restart it is a new incarnation without state.
 package agent
 
 import (
@@ -43,22 +44,22 @@
 	attemptWindow   = 2 * time.Minute
 	maxAttempts     = 1 << 16
 	maxKeys         = 1 << 16
-	// KeyWindow is how long a caller's idempotency key is remembered.
+	// KeyWindow is how long an idempotency key of a caller is remembered.
 	KeyWindow = 10 * time.Minute
 )
 
-// Options set up an Agent. Zero values mean the defaults named.
+// Options configures an Agent. Zero values select the defaults given below.
 type Options struct {
-	Name     string // of the agent and of its server in the configuration
+	Name     string // of the agent, and of its server in the configuration
 	Hall     string
 	Engine   engine.Server
-	Listener net.Listener  // for routers; the agent closes it
-	Slots    int           // requests the server takes at once at most; 8
-	Interval time.Duration // between reports to summing routers; 2 s
-	Policy   fair.Policy   // how to pick; fair.Fleet
-	Grace    time.Duration // an answer nobody reads is kept running so long; 10 s
+	Listener net.Listener  // accepts connections of routers; closed by the agent
+	Slots    int           // maximum concurrent requests of the server; 8
+	Interval time.Duration // between reports of service counters to summing routers; 2 s
+	Policy   fair.Policy   // how the next account is chosen; fair.Fleet
+	Grace    time.Duration // how long a response without a reader continues; 10 s
 	Log      zerolog.Logger
-	Tracer   trace.Tracer // nil: none
+	Tracer   trace.Tracer // nil disables tracing
 	Records  *explain.Log
 }
 
@@ -78,25 +79,25 @@
 	return o
 }
 
-// Agent is a running or ready agent.
+// Agent admits and runs the attempts of one backend server.
 type Agent struct {
 	options     Options
 	incarnation string
 	holder      config.Holder
-	events      chan event // full: senders wait; the admission duty never waits for them
+	events      chan event // senders block when it is full; the admission loop never blocks on them
 	admission   *admission
 	jobs        jobs
 	draining    atomic.Bool
 	violations  atomic.Int64
-	drained     chan struct{}
-	stopped     chan struct{} // closed when the admission duty has ended
+	drained     chan struct{} // closed when a drain is complete
+	stopped     chan struct{} // closed when the admission loop has ended
 	goroutines  *duty.Group
-	lifetime    context.Context // of the agent: an attempt outlives its connection
+	lifetime    context.Context // the agent's context: an attempt outlives its connection
 	control     wire.ControlCount
 	startedAt   time.Time
 }
 
-// New returns an agent that Start has yet to start.
+// New returns an agent. Start runs it.
 func New(o Options) (*Agent, error) {
 	if o.Name == "" || o.Engine == nil || o.Listener == nil {
 		return nil, errors.New("agent: new: name, engine and listener must be set")
@@ -115,14 +116,14 @@
 	return a, nil
 }
 
-// Incarnation returns the id of this start of the agent.
+// Incarnation returns the random ID of this run of the agent.
 func (a *Agent) Incarnation() string { return a.incarnation }
 
-// Revision returns the configuration revision in force here.
+// Revision returns the revision of the configuration in use.
 func (a *Agent) Revision() uint64 { return a.holder.Revision() }
 
-// Start runs the agent until ctx ends. The channel gets one value, the reason of
-// the end, when everything has stopped.
+// Start runs the agent until ctx is done. The channel receives the cause once all
+// goroutines have ended.
 func (a *Agent) Start(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	a.lifetime = ctx
@@ -138,7 +139,7 @@
 	return done
 }
 
-// tell passes an event to the admission duty; it reports false when that has
+// send passes an event to the admission loop. It reports false if the loop has
 // ended.
 func (a *Agent) send(e event) bool {
 	select {
@@ -149,8 +150,8 @@
 	}
 }
 
-// Drain begins a planned stop: no new work is taken, what runs goes on. The
-// channel is closed when nothing runs any more.
+// Drain begins a planned stop: no new attempts are admitted, running ones continue.
+// The channel is closed when no attempt is running.
 func (a *Agent) Drain() <-chan struct{} {
 	if a.draining.CompareAndSwap(false, true) {
 		a.send(drainEvent{})
@@ -158,7 +159,7 @@
 	return a.drained
 }
 
-// Running returns the number of attempts that run.
+// Running returns the number of running attempts.
 func (a *Agent) Running() int { return a.jobs.running() }
 
 func (a *Agent) accept(ctx context.Context) {
@@ -190,14 +191,14 @@
 	return h
 }
 
-// record adds a decision to the agent's record.
+// record adds a decision to the agent's decision log.
 func (a *Agent) record(e explain.Event) {
 	e.Revision = a.holder.Revision()
 	a.options.Records.Add(e)
 }
 
-// ControlBytes returns the bytes of control messages sent and received so far.
+// ControlBytes returns the number of bytes of control messages sent and received.
 func (a *Agent) ControlBytes() uint64 { return a.control.Total() }
 
-// Violations returns how often the fairness bound was seen broken here.
+// Violations returns how many checks found the fairness bound exceeded.
 func (a *Agent) Violations() int { return int(a.violations.Load()) }
--- a/agent/health.go
+++ b/agent/health.go
@@ -6,11 +6,12 @@
 )
 
 const (
+	// loadInterval is the time between two reads of the server's load.
 	loadInterval = time.Second
 	loadTimeout  = 2 * time.Second
 )
 
-// watchServer reads the server's own load reports.
+// pollServerLoad reads the server's load reports until ctx is done.
 func (a *Agent) pollServerLoad(ctx context.Context) {
 	t := time.NewTicker(loadInterval)
 	defer t.Stop()
@@ -24,6 +25,7 @@
 	}
 }
 
+// readServerLoad reads one report; after an error the previous one stays in use.
 func (a *Agent) readServerLoad(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
--- a/agent/job.go
+++ b/agent/job.go
@@ -11,42 +11,45 @@
 )
 
 const (
-	// keptBytes of an answer's latest pieces are kept so that a router can resume
-	// after a lost connection. It is twice what one stream may have under way.
+	// maxRetainedBytes is how much of a response's latest content is retained, so that
+	// a router can resume after a lost connection. It is twice the most that one
+	// stream may have in flight.
 	maxRetainedBytes = 512 << 10
-	// aheadBytes is how far the server may be read ahead of the router.
+	// maxReadAhead bounds the bytes that are read from the server and not yet written
+	// to a router.
 	maxReadAhead = 256 << 10
-	// endedTime is how long an answer is kept after its end.
+	// endedRetention is how long a response is retained after its end.
 	endedRetention = 30 * time.Second
-	// endedKept is how many ended answers are kept at most.
+	// maxEndedJobs bounds the number of ended responses that are retained.
 	maxEndedJobs = 256
 )
 
-// job is one attempt that was admitted: its answer's pieces as they come, for the
-// one stream that passes them on, or the next one after a lost connection.
+// job is an admitted attempt. It buffers the response as it arrives, for the stream
+// that delivers it and for another one after a lost connection.
 type job struct {
 	id     attempt.ID
 	cancel context.CancelCauseFunc
 
 	mutex       sync.Mutex
 	head        *wirepb.Head
-	chunks      [][]byte // from number first on
+	chunks      [][]byte // retained chunks, starting with number firstChunk
 	firstChunk  uint64
-	nextChunk   uint64 // number of the next chunk to come
-	retained    int    // bytes in chunks
-	delivered   uint64 // chunks before this one went to a stream
-	undelivered int    // bytes from chunk read on
-	last        *wirepb.Piece
-	readers     int
-	idleSince   time.Time // since when nobody reads
+	nextChunk   uint64        // number of the next chunk to arrive
+	retained    int           // bytes in chunks
+	delivered   uint64        // chunks with lower numbers were written to a stream
+	undelivered int           // bytes in chunks not yet delivered
+	last        *wirepb.Piece // the end of the response; nil while the attempt runs
+	readers     int           // attached streams
+	idleSince   time.Time     // when the last reader detached
 	ended       time.Time
-	progress    chan struct{} // closed and replaced at every change
+	progress    chan struct{} // closed and replaced on every change
 }
 
 func newJob(id attempt.ID, cancel context.CancelCauseFunc) *job {
 	return &job{id: id, cancel: cancel, progress: make(chan struct{}), idleSince: now()}
 }
 
+// notify wakes all goroutines that wait for a change. j.mutex must be held.
 func (j *job) notify() {
 	close(j.progress)
 	j.progress = make(chan struct{})
@@ -59,7 +62,8 @@
 	j.notify()
 }
 
-// add appends a chunk and drops the oldest that are no longer needed.
+// addChunk appends a chunk and drops delivered chunks beyond maxRetainedBytes,
+// oldest first.
 func (j *job) addChunk(content []byte) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -76,7 +80,7 @@
 	j.notify()
 }
 
-// end closes the answer with its last piece.
+// end ends the response with its last piece.
 func (j *job) end(last *wirepb.Piece) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -85,7 +89,7 @@
 	j.notify()
 }
 
-// room waits until the stream has taken enough of what was read.
+// waitForReadAhead blocks while more than maxReadAhead bytes are undelivered.
 func (j *job) waitForReadAhead(ctx context.Context) error {
 	for {
 		j.mutex.Lock()
@@ -103,15 +107,17 @@
 	}
 }
 
-// piece is what comes next for a reader that has seen so much.
+// piece is the next part of a response for a reader. One field is set.
 type piece struct {
 	head    *wirepb.Head
 	chunk   []byte
 	last    *wirepb.Piece
-	dropped bool // the chunk is no longer kept
-	waiting <-chan struct{}
+	dropped bool            // the chunk is no longer retained
+	waiting <-chan struct{} // nothing to read yet; closed on the next change
 }
 
+// nextPiece returns the next part for a reader that needs chunk next, and the head
+// first unless it has seen it.
 func (j *job) nextPiece(headSeen bool, next uint64) piece {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -128,7 +134,7 @@
 	return piece{waiting: j.progress}
 }
 
-// took notes that chunks before the given number went to a stream.
+// markDelivered records that the chunks before next were written to a stream.
 func (j *job) markDelivered(next uint64) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -154,11 +160,11 @@
 	j.idleSince = now()
 }
 
-// jobs are an agent's admitted attempts, running and lately ended.
+// jobs is the set of an agent's admitted attempts: running and recently ended ones.
 type jobs struct {
 	mutex sync.Mutex
 	all   map[attempt.ID]*job
-	grace time.Duration
+	grace time.Duration // how long an attempt may run without a reader
 }
 
 func (s *jobs) put(j *job) {
@@ -198,31 +204,32 @@
 	return list
 }
 
-// expire stops answers that nobody has read for the grace time and forgets those
-// that ended long ago, or the oldest when there are too many.
+// expire cancels running attempts that had no reader for the grace time. It removes
+// ended attempts without readers after endedRetention, and the oldest ones beyond
+// maxEndedJobs.
 func (s *jobs) expire(at time.Time) {
-	type old struct {
+	type endedJob struct {
 		job   *job
 		ended time.Time
 	}
-	var ended []old
+	var ended []endedJob
 	for _, j := range s.list() {
 		j.mutex.Lock()
 		abandoned := j.readers == 0 && j.last == nil && at.Sub(j.idleSince) > s.grace
 		if j.last != nil && j.readers == 0 {
-			ended = append(ended, old{job: j, ended: j.ended})
+			ended = append(ended, endedJob{job: j, ended: j.ended})
 		}
 		j.mutex.Unlock()
 		if abandoned {
 			j.cancel(errAbandoned)
 		}
 	}
-	slices.SortFunc(ended, func(a, b old) int { return a.ended.Compare(b.ended) })
+	slices.SortFunc(ended, func(a, b endedJob) int { return a.ended.Compare(b.ended) })
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for i, o := range ended {
-		if at.Sub(o.ended) > endedRetention || len(ended)-i > maxEndedJobs {
-			delete(s.all, o.job.id)
+	for i, e := range ended {
+		if at.Sub(e.ended) > endedRetention || len(ended)-i > maxEndedJobs {
+			delete(s.all, e.job.id)
 		}
 	}
 }
--- a/agent/leaving.go
+++ b/agent/leaving.go
@@ -6,6 +6,7 @@
 	"opalbridge.dev/fair"
 )
 
+// configure applies a new configuration.
 func (d *admission) configure(c *config.Document) {
 	limits := c.Limits.WithDefaults()
 	d.tracker.SetLimits(float64(limits.UrgentCredit), float64(limits.DebtCap))
@@ -19,17 +20,17 @@
 			d.pools[p] = true
 		}
 	}
-	if poolMembers := d.poolMembersIn(c); poolMembers != d.poolMembers {
+	if members := d.poolMembersIn(c); members != d.poolMembers {
 		if d.poolMembers != "" {
 			d.keys.OwnershipChanged(now())
 		}
-		d.poolMembers = poolMembers
+		d.poolMembers = members
 	}
 	d.updateLeaving()
 }
 
-// siblingsIn names the servers among which the keys of this server's pools are
-// divided.
+// poolMembersIn returns the names of all servers of this server's pools. Idempotency
+// keys are partitioned among them.
 func (d *admission) poolMembersIn(c *config.Document) string {
 	names := ""
 	for _, s := range c.Servers {
@@ -47,9 +48,9 @@
 	d.checkDrained()
 }
 
-// settleLeaving decides whether the server takes new work: not when its agent is
-// stopping, when the configuration says so or lacks it, or when a router reads so
-// in the live list.
+// updateLeaving updates whether the server is leaving and takes no new attempts: its
+// agent is draining, the configuration says so or does not list the server, or the
+// live list of a router says so.
 func (d *admission) updateLeaving() {
 	s := d.agent.holder.Current().Server(d.agent.options.Name)
 	leaving := d.agent.draining.Load() || s == nil || s.Leaving
@@ -60,6 +61,7 @@
 	d.applyLimit()
 }
 
+// setLeaving starts or ends leaving; the start cancels all unused grants.
 func (d *admission) setLeaving(leaving bool) {
 	if d.leaving == leaving {
 		return
@@ -75,6 +77,7 @@
 	d.agent.record(explain.Event{Kind: kind, Text: text})
 }
 
+// checkDrained closes the drained channel once a draining agent runs no attempt.
 func (d *admission) checkDrained() {
 	if !d.agent.draining.Load() || d.scheduler.Running() > 0 {
 		return
--- a/agent/peer.go
+++ b/agent/peer.go
@@ -18,7 +18,7 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// serveConn serves one router's connection until it ends.
+// serveConn serves a router's connection until it ends.
 func (a *Agent) serveConn(ctx context.Context, conn net.Conn) {
 	p, err := wire.Accept(ctx, conn, a.hello())
 	if err != nil {
@@ -42,7 +42,7 @@
 	a.options.Log.Info().Str("router", p.Hello.Node).AnErr("reason", p.Reason()).Msg("router disconnected")
 }
 
-// takeControl handles one control message of a router.
+// handleControl handles a control message from a router.
 func (a *Agent) handleControl(p *wire.Peer, m *wirepb.Control) {
 	if m.Revision > a.holder.Revision() && m.GetDocument() == nil {
 		p.Send(wire.Control(a.holder.Revision(), &wirepb.Control_DocumentRequest{DocumentRequest: &wirepb.DocumentRequest{}}))
@@ -71,7 +71,7 @@
 	}
 }
 
-var errUnexpected = errors.New("agent: message that a router does not send")
+var errUnexpected = errors.New("agent: unexpected message from router")
 
 func (a *Agent) classOf(w *wirepb.Want) dispatch.Class {
 	k := dispatch.Class{Account: fair.Account(w.Account), Pool: w.Pool, Urgent: w.Urgent}
@@ -81,6 +81,8 @@
 	return k
 }
 
+// offerDocument applies a configuration received from a router if it is newer than
+// the one in use.
 func (a *Agent) offerDocument(p *wire.Peer, content []byte) {
 	d, err := config.Decode(content)
 	if err != nil {
@@ -118,13 +120,13 @@
 	}
 }
 
-// firstMessageTime is how long a stream may stay without its call.
+// firstMessageTimeout is how long a new stream may stay without a call.
 const firstMessageTimeout = 10 * time.Second
 
 func (a *Agent) serveStream(ctx context.Context, p *wire.Peer, s *wire.Stream) {
 	defer s.Close()
-	wait, cancel := context.WithTimeout(ctx, firstMessageTimeout)
-	release := s.Shut(wait)
+	readCtx, cancel := context.WithTimeout(ctx, firstMessageTimeout)
+	release := s.Shut(readCtx)
 	var c wirepb.Call
 	err := s.Read(&c)
 	release()
@@ -170,15 +172,15 @@
 	_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_Started{Started: &wirepb.Started{}}})
 }
 
-// await waits for the admission duty's answer; it reports false when that has
+// await waits for a reply of the admission loop. It reports false if the loop has
 // ended.
 func await[T any](a *Agent, reply <-chan T) (T, bool) {
 	select {
 	case v := <-reply:
 		return v, true
 	case <-a.stopped:
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 }
 
--- a/agent/report.go
+++ b/agent/report.go
@@ -6,7 +6,7 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// report sends the counters to the summing routers.
+// report sends the service counters to the summing routers.
 func (d *admission) report() {
 	var to []*wire.Peer
 	for _, s := range d.peers {
@@ -34,12 +34,12 @@
 	}
 }
 
-// tell sends the load to all routers when it begins or ceases to have room, or
-// when its limit or state changes; in between routers count for themselves.
+// sendLoad sends the load to all routers when the server becomes available or full,
+// or when its limit or state changes. In between, routers keep their own count.
 func (d *admission) sendLoad() {
 	l := d.currentLoad()
-	room := func(l *wirepb.Load) bool { return l.Running < l.Limit && l.Waiting == 0 }
-	same := room(l) == room(&d.sentLoad) && l.Limit == d.sentLoad.Limit && l.Leaving == d.sentLoad.Leaving && l.Sick == d.sentLoad.Sick
+	available := func(l *wirepb.Load) bool { return l.Running < l.Limit && l.Waiting == 0 }
+	same := available(l) == available(&d.sentLoad) && l.Limit == d.sentLoad.Limit && l.Leaving == d.sentLoad.Leaving && l.Sick == d.sentLoad.Sick
 	if same {
 		return
 	}
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -20,7 +20,7 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// Why a running attempt was stopped.
+// Causes for canceling a running attempt.
 var (
 	errAbandoned          = errors.New("agent: no router reads the answer")
 	errCallerDisconnected = errors.New(wire.ReasonCallerLeft)
@@ -29,11 +29,12 @@
 
 const (
 	readBufferSize = 16 << 10
-	// chargeTime is the least time between two charges of one attempt.
+	// minChargeInterval is the minimum time between two charges of an attempt while it
+	// runs.
 	minChargeInterval = 100 * time.Millisecond
 )
 
-// serveStart admits an attempt, runs it and passes its answer on.
+// serveStart admits an attempt, runs it and streams its response.
 func (a *Agent) serveStart(ctx context.Context, p *wire.Peer, s *wire.Stream, st *wirepb.Start) {
 	parent := propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{"traceparent": st.Traceparent})
 	_, span := a.options.Tracer.Start(parent, "agent.admit", trace.WithAttributes(
@@ -70,8 +71,8 @@
 	a.record(explain.Event{Kind: k, Request: st.Request, Account: st.Account, Attempt: st.Attempt, Text: text})
 }
 
-// serveRepeat answers a caller's retry under the same idempotency key with the
-// answer of the request that ran first.
+// serveDuplicate answers a caller's retry with the same idempotency key by the
+// response to the request that used the key first.
 func (a *Agent) serveDuplicate(ctx context.Context, s *wire.Stream, st *wirepb.Start, r *attempt.Duplicate) {
 	a.recordStart(explain.Refuse, st, "the idempotency key was used by request "+r.Request)
 	j := a.jobs.get(attempt.ID{Request: r.Request, Attempt: r.Attempt})
@@ -89,13 +90,14 @@
 	a.streamResponse(ctx, s, j, 0, false)
 }
 
-// whole reports whether the answer is kept from its beginning.
+// retainsStart reports whether the response is retained from its first chunk on.
 func (j *job) retainsStart() bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return j.firstChunk == 0
 }
 
+// serveResume streams the rest of a response after a lost connection.
 func (a *Agent) serveResume(ctx context.Context, s *wire.Stream, r *wirepb.Resume) {
 	j := a.jobs.get(attempt.ID{Request: r.Request, Attempt: r.Attempt})
 	if j == nil {
@@ -106,8 +108,8 @@
 	a.streamResponse(ctx, s, j, r.Next, r.Next > 0)
 }
 
-// passOn writes a job's answer to a stream from a chunk on. A cancel from the
-// router stops the job; a lost stream leaves it to be resumed.
+// streamResponse writes a job's response to a stream, starting with chunk next. A
+// cancel from the router stops the job; after a lost stream it can be resumed.
 func (a *Agent) streamResponse(ctx context.Context, s *wire.Stream, j *job, next uint64, headSeen bool) {
 	j.attach()
 	defer j.detach()
@@ -145,7 +147,8 @@
 	}
 }
 
-// watchCancel waits for the router's cancel, or for the stream's end.
+// watchCancel waits for a cancel from the router, or for the end of the stream, and
+// closes lost.
 func watchCancel(s *wire.Stream, j *job, lost chan<- struct{}) {
 	defer close(lost)
 	var c wirepb.Call
@@ -154,7 +157,7 @@
 	}
 }
 
-// launch starts the goroutine that runs an admitted attempt.
+// startAttempt starts the goroutine that runs an admitted attempt.
 func (a *Agent) startAttempt(parent context.Context, st *wirepb.Start, reserved float64) *job {
 	ctx := trace.ContextWithSpanContext(a.lifetime, trace.SpanContextFromContext(parent))
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -170,16 +173,16 @@
 	return j
 }
 
-// run is the work of one admitted attempt.
+// attemptRun executes one admitted attempt.
 type attemptRun struct {
 	agent      *Agent
 	start      *wirepb.Start
 	job        *job
-	reserved   float64
+	reserved   float64 // remaining reservation
 	meter      *engine.Meter
 	charged    float64
 	lastCharge time.Time
-	responded  bool // the server has begun to answer
+	responded  bool // the server has sent its status and headers
 }
 
 func (r *attemptRun) run(ctx context.Context) {
@@ -209,7 +212,7 @@
 		attempt.Executed{Complete: true}, v, fmt.Sprintf("the whole answer, status %d, %.0f weighted tokens", response.Status, cost))
 }
 
-// engine makes the call, as a hop of its own in the trace.
+// callEngine calls the server, in a span of its own.
 func (r *attemptRun) callEngine(ctx context.Context) (*engine.Response, error) {
 	_, span := r.agent.options.Tracer.Start(ctx, "engine.call", trace.WithAttributes(attribute.String("request", r.start.Request)))
 	defer span.End()
@@ -238,6 +241,7 @@
 	}
 }
 
+// weights returns the configured prices of tokens and calls.
 func (a *Agent) weights() engine.Weights {
 	const thousand = 1000
 	l := a.holder.Current().Limits.WithDefaults()
@@ -259,7 +263,8 @@
 	return list
 }
 
-// copy passes the answer's body into the job and charges it as it comes.
+// copyBody reads the response body into the job and charges the account as it
+// arrives.
 func (r *attemptRun) copyBody(ctx context.Context, body io.Reader) error {
 	buffer := make([]byte, readBufferSize)
 	for {
@@ -281,8 +286,8 @@
 	}
 }
 
-// cost returns what the attempt is charged in all: a plain service's calls have
-// the configured price, a model's answer what its meter says.
+// totalCost returns the total cost of the attempt: the configured price for a call of
+// a plain service, the metered cost for a model's response.
 func (r *attemptRun) totalCost(status int) float64 {
 	if p := r.agent.holder.Current().Pool(r.start.Pool); p != nil && p.Kind == "service" {
 		return r.agent.weights().Call
@@ -293,8 +298,8 @@
 	return max(r.meter.Finish(), r.charged)
 }
 
-// charge counts what has been served since the last charge, and takes the same
-// amount of the reservation back.
+// charge charges the account for the cost since the last charge, and releases the
+// same amount of the reservation.
 func (r *attemptRun) charge(cost float64, last bool) {
 	if p := r.agent.holder.Current().Pool(r.start.Pool); !last && p != nil && p.Kind == "service" {
 		return
@@ -302,18 +307,18 @@
 	if !last && now().Sub(r.lastCharge) < minChargeInterval {
 		return
 	}
-	more := cost - r.charged
-	if more <= 0 {
+	delta := cost - r.charged
+	if delta <= 0 {
 		return
 	}
-	part := min(more, r.reserved)
+	released := min(delta, r.reserved)
 	r.charged = cost
-	r.reserved -= part
+	r.reserved -= released
 	r.lastCharge = now()
-	r.agent.send(chargeEvent{account: fair.Account(r.start.AccountId), cost: more, reserved: part})
+	r.agent.send(chargeEvent{account: fair.Account(r.start.AccountId), cost: delta, reserved: released})
 }
 
-// failedBefore ends an attempt to which the server gave no answer.
+// finishWithoutResponse ends an attempt that got no response from the server.
 func (r *attemptRun) finishWithoutResponse(ctx context.Context, err error) {
 	if errors.Is(err, engine.ErrNotSent) {
 		r.finish(&wirepb.Piece{Body: &wirepb.Piece_NotRun{NotRun: &wirepb.NotRun{Reason: "the server cannot be reached", Busy: true}}},
@@ -328,7 +333,7 @@
 		attempt.Unknown{Reason: err.Error()}, failed, "unknown: "+err.Error())
 }
 
-// cut ends an attempt whose answer broke off.
+// finishTruncated ends an attempt whose response was truncated or canceled.
 func (r *attemptRun) finishTruncated(ctx context.Context, err error, cost float64) {
 	v := failed
 	reason := "the server broke off its answer"
@@ -343,6 +348,7 @@
 		attempt.Executed{Reason: reason}, v, "cut: "+reason+": "+err.Error())
 }
 
+// finish records the outcome and ends the response with its last piece.
 func (r *attemptRun) finish(last *wirepb.Piece, o attempt.Outcome, v healthSignal, text string) {
 	r.agent.recordStart(explain.Outcome, r.start, text)
 	r.agent.send(doneEvent{start: r.start, reserved: r.reserved, outcome: o, healthSignal: v})
--- a/agent/start.go
+++ b/agent/start.go
@@ -10,7 +10,7 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// start decides whether an attempt may run.
+// start decides whether an attempt may run, and reserves a slot for it.
 func (d *admission) start(e startEvent) startResult {
 	s := e.start
 	id := attempt.ID{Request: s.Request, Attempt: s.Attempt}
@@ -55,7 +55,8 @@
 	return startResult{refused: &wirepb.NotRun{Reason: reason, Busy: busy}}
 }
 
-// place takes the granted place, or a free one when nobody waits.
+// reserveSlot takes the granted slot, or a free one if no request waits, and reserves
+// the estimated cost.
 func (d *admission) reserveSlot(s *wirepb.Start) (reserved float64, ok bool) {
 	delete(d.grantedAt, s.Grant)
 	if g, granted := d.scheduler.StartGranted(s.Grant); granted {
@@ -70,7 +71,8 @@
 	return float64(s.Estimate), true
 }
 
-// claim settles the caller's idempotency key, if there is one.
+// claimKey claims the caller's idempotency key, if there is one. It reports true if
+// the attempt must not run, with the result to return.
 func (d *admission) claimKey(s *wirepb.Start) (startResult, bool) {
 	if s.IdempotencyKey == "" {
 		return startResult{}, false
@@ -90,6 +92,8 @@
 	}
 }
 
+// done releases the slot and the remaining reservation of an attempt, and records its
+// outcome.
 func (d *admission) done(e doneEvent) {
 	d.scheduler.Done()
 	s := e.start
--- a/agent/status.go
+++ b/agent/status.go
@@ -10,14 +10,14 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// pace measures how fast the fleet serves, from the totals that come in.
+// rateEstimator estimates the fleet's service rate from the totals received.
 type rateEstimator struct {
 	served float64
 	at     time.Time
-	rate   float64 // weighted tokens a second, the highest of late
+	rate   float64 // weighted tokens per second: a decaying maximum
 }
 
-// ratePart is how much of an earlier, higher rate is kept each second.
+// rateDecay is the factor by which an earlier, higher rate shrinks each second.
 const rateDecay = 0.98
 
 func (p *rateEstimator) observe(served float64, at time.Time) {
@@ -28,8 +28,8 @@
 	p.served, p.at = served, at
 }
 
-// bound returns the gap between accounts that wait here and the bound it must
-// keep, both in service.
+// bound returns the largest gap between the accounts that wait here and the bound
+// that it must not exceed, both in weighted service.
 func (d *admission) bound() (gap, bound float64) {
 	gap, waiting := d.tracker.Gap()
 	if waiting < 2 {
@@ -51,7 +51,7 @@
 	return gap, b.Value()
 }
 
-// checkBound asserts the fairness bound; a violation is recorded and counted.
+// checkBound checks the fairness bound; a violation is recorded and counted.
 func (d *admission) checkBound() {
 	d.serviceRate.observe(d.tracker.TotalServed(), now())
 	gap, bound := d.bound()
@@ -63,7 +63,7 @@
 		Kind: explain.Degrade,
 		Text: fmt.Sprintf("the gap of %.0f between waiting accounts is above the bound of %.0f", gap, bound),
 	})
-	d.agent.options.Log.Error().Float64("gap", gap).Float64("bound", bound).Msg("fairness bound broken")
+	d.agent.options.Log.Error().Float64("gap", gap).Float64("bound", bound).Msg("fairness bound exceeded")
 }
 
 func (d *admission) status() *wirepb.NodeStatus {
@@ -87,8 +87,8 @@
 	for _, t := range totals {
 		s.Counters = append(s.Counters, &wirepb.Counter{Account: uint32(t.Account), Service: uint64(max(0, t.Service)), Reach: uint32(t.Slots)})
 	}
-	for what, at := range d.degradedSince {
-		s.Degraded = append(s.Degraded, fmt.Sprintf("%s: %s since %s", what, d.limit.Health(), at.UTC().Format(time.RFC3339)))
+	for component, at := range d.degradedSince {
+		s.Degraded = append(s.Degraded, fmt.Sprintf("%s: %s since %s", component, d.limit.Health(), at.UTC().Format(time.RFC3339)))
 	}
 	if d.leaving {
 		s.Degraded = append(s.Degraded, "leaving")
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -1,13 +1,13 @@
-// Package duty starts the goroutines of a process, one for each duty, and lets
-// their owner hear when each has ended.
+// Package duty starts the goroutines of a process, one for each long-running task,
+// and lets their owner wait until all have ended.
 //
 // # Usage
 //
 //	g := duty.NewGroup()
 //	g.Go(ctx, "report", a.report)
-//	g.Collect(ctx) // reads the ends until ctx is done and all have ended
+//	g.Wait(ctx) // returns once ctx is done and all have ended
 //
-// A duty that panics takes the process down: only broken invariants do that.
+// Panics are not recovered: a violated invariant ends the process.
 package duty
 
 import (
@@ -15,8 +15,8 @@
 	"sync/atomic"
 )
 
-// endedBuffer bounds the ends not yet read; a goroutine that ends when it is full
-// waits for the owner, which does nothing but read.
+// endedBuffer is the capacity of Group.ended. A goroutine that ends while it is full
+// blocks until Wait, which does nothing else, receives from it.
 const endedBuffer = 256
 
 // Group is a set of goroutines with one owner.
@@ -28,8 +28,8 @@
 // NewGroup returns an empty group.
 func NewGroup() *Group { return &Group{ended: make(chan string, endedBuffer)} }
 
-// Go runs f in its own goroutine, which ends when f returns and then reports its
-// name. After Collect has begun, only the group's own goroutines may call it.
+// Go runs f in a new goroutine of the group. Once Wait has been called, only the
+// group's own goroutines may call Go.
 func (g *Group) Go(ctx context.Context, name string, f func(context.Context)) {
 	g.running.Add(1)
 	go func() {
@@ -38,10 +38,10 @@
 	}()
 }
 
-// Running returns how many goroutines have not been seen to end.
+// Running returns the number of goroutines whose end Wait has not yet received.
 func (g *Group) Running() int { return int(g.running.Load()) }
 
-// Wait reads the ends of goroutines until ctx is done and all have ended.
+// Wait blocks until ctx is done and all goroutines have ended.
 func (g *Group) Wait(ctx context.Context) {
 	done := ctx.Done()
 	for done != nil || g.running.Load() > 0 {
--- a/secure/secure.go
+++ b/secure/secure.go
@@ -1,16 +1,16 @@
-// Package secure gives listeners and connections their TLS: one certificate for
-// callers, and mutual TLS between the fleet's own processes under an authority of
-// its own.
+// Package secure configures TLS for listeners and connections: a server certificate
+// for callers, and mutual TLS between the processes of the fleet under a private
+// certificate authority.
 //
 // # Usage
 //
-//	k, err := secure.Open("cert.pem", "key.pem", "fleet-ca.pem")
-//	callers = tls.NewListener(callers, k.Callers())
-//	peers = tls.NewListener(peers, k.Peers())
-//	conn, err := k.Dial(ctx, "10.0.0.5:7000")
+//	creds, err := secure.Open("cert.pem", "key.pem", "fleet-ca.pem")
+//	callers = tls.NewListener(callers, creds.Callers())
+//	peers = tls.NewListener(peers, creds.Peers())
+//	conn, err := creds.Dial(ctx, "10.0.0.5:7000")
 //
-// The files are read again when they change, so that certificates are renewed
-// without a restart; a file that cannot be read leaves the last good one in use.
+// The files are reloaded when they change, so that certificates can be renewed
+// without a restart. If a reload fails, the previous files stay in use.
 package secure
 
 import (
@@ -25,10 +25,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// checkTime is the least time between two looks at the files.
+// checkInterval is the minimum time between two checks of the files for changes.
 const checkInterval = time.Second
 
-// Credentials holds a process's certificate and the fleet's authority.
+// Credentials holds the certificate of a process and the certificate authority of
+// the fleet.
 type Credentials struct {
 	certificateFile, keyFile, authorityFile string
 
@@ -36,43 +37,43 @@
 	certificate    *tls.Certificate
 	authority      *x509.CertPool
 	lastCheck      time.Time
-	loadedModTimes [3]time.Time
+	loadedModTimes [3]time.Time // modification times of the loaded files
 }
 
-// Open reads the files; the authority's may be empty when there is no TLS between
-// processes.
+// Open loads the files. authorityFile may be empty if the process uses no TLS with
+// other processes of the fleet.
 func Open(certificateFile, keyFile, authorityFile string) (*Credentials, error) {
-	k := &Credentials{certificateFile: certificateFile, keyFile: keyFile, authorityFile: authorityFile}
-	if err := k.load(); err != nil {
+	c := &Credentials{certificateFile: certificateFile, keyFile: keyFile, authorityFile: authorityFile}
+	if err := c.load(); err != nil {
 		return nil, err
 	}
-	k.loadedModTimes = k.modTimes()
-	return k, nil
+	c.loadedModTimes = c.modTimes()
+	return c, nil
 }
 
-func (k *Credentials) load() error {
-	certificate, err := tls.LoadX509KeyPair(k.certificateFile, k.keyFile)
+func (c *Credentials) load() error {
+	certificate, err := tls.LoadX509KeyPair(c.certificateFile, c.keyFile)
 	if err != nil {
-		return errors.Wrapf(err, "secure: read certificate %s", k.certificateFile)
+		return errors.Wrapf(err, "secure: read certificate %s", c.certificateFile)
 	}
 	var authority *x509.CertPool
-	if k.authorityFile != "" {
-		pem, err := os.ReadFile(k.authorityFile)
+	if c.authorityFile != "" {
+		pem, err := os.ReadFile(c.authorityFile)
 		if err != nil {
 			return errors.Wrap(err, "secure: read authority")
 		}
 		authority = x509.NewCertPool()
 		if !authority.AppendCertsFromPEM(pem) {
-			return errors.Newf("secure: read authority %s: no certificate in it", k.authorityFile)
+			return errors.Newf("secure: read authority %s: no certificate found", c.authorityFile)
 		}
 	}
-	k.certificate, k.authority = &certificate, authority
+	c.certificate, c.authority = &certificate, authority
 	return nil
 }
 
-func (k *Credentials) modTimes() [3]time.Time {
+func (c *Credentials) modTimes() [3]time.Time {
 	var times [3]time.Time
-	for i, file := range []string{k.certificateFile, k.keyFile, k.authorityFile} {
+	for i, file := range []string{c.certificateFile, c.keyFile, c.authorityFile} {
 		if info, err := os.Stat(file); err == nil {
 			times[i] = info.ModTime()
 		}
@@ -80,37 +81,37 @@
 	return times
 }
 
-// current returns what is in force, after a look at the files.
-func (k *Credentials) current() (*tls.Certificate, *x509.CertPool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if time.Since(k.lastCheck) >= checkInterval {
-		k.lastCheck = time.Now()
-		if times := k.modTimes(); times != k.loadedModTimes && k.load() == nil {
-			k.loadedModTimes = times
+// current returns the current credentials, after reloading changed files.
+func (c *Credentials) current() (*tls.Certificate, *x509.CertPool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if time.Since(c.lastCheck) >= checkInterval {
+		c.lastCheck = time.Now()
+		if times := c.modTimes(); times != c.loadedModTimes && c.load() == nil {
+			c.loadedModTimes = times
 		}
 	}
-	return k.certificate, k.authority
+	return c.certificate, c.authority
 }
 
-// CallerConfig returns the configuration of a listener for callers and operators.
-func (k *Credentials) CallerConfig() *tls.Config {
+// CallerConfig returns the TLS configuration of a listener for callers and operators.
+func (c *Credentials) CallerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			c, _ := k.current()
-			return c, nil
+			certificate, _ := c.current()
+			return certificate, nil
 		},
 	}
 }
 
-// PeerConfig returns the configuration of a listener for the fleet's own processes:
-// who shows no certificate of the fleet's authority is not let in.
-func (k *Credentials) PeerConfig() *tls.Config {
+// PeerConfig returns the TLS configuration of a listener for other processes of the
+// fleet. A client must present a certificate signed by the fleet's authority.
+func (c *Credentials) PeerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			certificate, authority := k.current()
+			certificate, authority := c.current()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
 				Certificates: []tls.Certificate{*certificate},
@@ -121,15 +122,15 @@
 	}
 }
 
-// Dial connects to a process of the fleet and checks that the authority vouches
-// for it. Hosts are replaced at any time, so it is the authority that counts and
-// not the address.
-func (k *Credentials) Dial(ctx context.Context, address string) (net.Conn, error) {
-	certificate, authority := k.current()
+// Dial connects to a process of the fleet and verifies that its certificate is signed
+// by the fleet's authority. The host name is not verified, because hosts may be
+// replaced at any time.
+func (c *Credentials) Dial(ctx context.Context, address string) (net.Conn, error) {
+	certificate, authority := c.current()
 	d := &tls.Dialer{Config: &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{*certificate},
-		// The chain is checked below; only the check of the name is left out.
+		// VerifyConnection verifies the chain, but not the host name.
 		InsecureSkipVerify: true,
 		VerifyConnection:   func(s tls.ConnectionState) error { return verify(s, authority) },
 	}}
@@ -142,7 +143,7 @@
 
 func verify(s tls.ConnectionState, authority *x509.CertPool) error {
 	if len(s.PeerCertificates) == 0 {
-		return errors.New("secure: no certificate was shown")
+		return errors.New("secure: peer presented no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range s.PeerCertificates[1:] {
@@ -151,5 +152,5 @@
 	_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{
 		Roots: authority, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 	})
-	return errors.Wrap(err, "secure: certificate")
+	return errors.Wrap(err, "secure: verify certificate")
 }
--- a/secure/secure_test.go
+++ b/secure/secure_test.go
@@ -21,7 +21,7 @@
 	"opalbridge.dev/secure"
 )
 
-// authority signs test certificates.
+// authority is a certificate authority for tests.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -46,7 +46,7 @@
 	require.NoError(t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 }
 
-// issue writes a certificate and key for a node and returns the files.
+// issue writes a certificate and key for a node and returns the file names.
 func (a *authority) issue(t *testing.T, dir, node string, serial int64) (certificate, key string) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -69,7 +69,7 @@
 	return k
 }
 
-// serve accepts connections and tells of each whether its handshake succeeded.
+// serve accepts connections and sends the result of each TLS handshake.
 func serve(t *testing.T, k *secure.Credentials) (address string, handshakes chan error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -89,6 +89,8 @@
 	return l.Addr().String(), handshakes
 }
 
+// TestPeersRequireFleetCertificate checks that a connection between processes fails
+// if either side has no certificate of the authority that the other side trusts.
 func TestPeersRequireFleetCertificate(t *testing.T) {
 	dir := t.TempDir()
 	fleet, other := newAuthority(t, dir, "fleet"), newAuthority(t, dir, "other")
@@ -101,15 +103,15 @@
 	c.Close()
 
 	c, err = open(t, other, fleet, dir, "stranger").Dial(context.Background(), address)
-	if err == nil { // the refusal reaches the dialler with its first read
+	if err == nil { // TLS 1.3 clients learn of the rejection on the first read
 		_, err = c.Read(make([]byte, 1))
 		c.Close()
 	}
 	require.Error(t, err)
 	require.Error(t, <-handshakes)
 
-	_, err = open(t, fleet, other, dir, "misled").Dial(context.Background(), address)
-	require.Error(t, err, "an agent the router's authority does not vouch for")
+	_, err = open(t, fleet, other, dir, "other-trust").Dial(context.Background(), address)
+	require.Error(t, err, "the server's certificate is of another authority")
 	<-handshakes
 
 	plain, err := tls.Dial("tcp", address, &tls.Config{InsecureSkipVerify: true})
@@ -117,10 +119,12 @@
 		_, err = plain.Read(make([]byte, 1))
 		plain.Close()
 	}
-	require.Error(t, err, "no certificate at all")
+	require.Error(t, err, "the client presents no certificate")
 	require.Error(t, <-handshakes)
 }
 
+// TestCertificateReload checks that a renewed certificate is used without a restart,
+// and that an invalid file leaves the previous certificate in use.
 func TestCertificateReload(t *testing.T) {
 	dir := t.TempDir()
 	fleet := newAuthority(t, dir, "fleet")
@@ -137,5 +141,5 @@
 	require.NoError(t, os.WriteFile(certificate, []byte("rubbish"), 0o600))
 	now, err := server.CallerConfig().GetCertificate(nil)
 	require.NoError(t, err)
-	require.NotNil(t, now, "the last good certificate stays in use")
+	require.NotNil(t, now, "the previous certificate stays in use")
 }
