--- a/engine/client.go
+++ b/engine/client.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Headers that the client adds to every call.
+// Headers that Client sets on every call.
 const (
 	RequestHeader  = "X-Request-Id"
 	PriorityHeader = "X-Priority" // 0 for urgent calls, 1 for the rest
@@ -20,8 +20,7 @@
 
 const dialTimeout = 2 * time.Second
 
-// Client speaks to a model engine or plain service over HTTP. It implements
-// [Server].
+// Client calls a model engine or plain service over HTTP. It implements [Server].
 type Client struct {
 	BaseURL string // URL, without a trailing slash
 	HTTP    *http.Client
@@ -33,7 +32,7 @@
 	return NewClientWithDialer(base, dialer.DialContext)
 }
 
-// NewClientWithDialer is NewClient with another way to open connections.
+// NewClientWithDialer is like NewClient, but opens connections with dial.
 func NewClientWithDialer(base string, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	transport := &http.Transport{
 		DialContext:         dial,
@@ -85,9 +84,9 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// singleUse is a body that net/http cannot rewind. The transport sends a request
-// again by itself when a kept connection breaks and the request looks repeatable:
-// no body, or one it can get anew. This one is neither.
+// singleUse is a request body that net/http cannot rewind. http.Transport
+// retries a request by itself when a reused connection breaks and the request has no
+// body or one that can be replayed; neither is true with this body.
 type nonReplayableBody struct{ reader *bytes.Reader }
 
 // Read implements io.Reader.
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -17,8 +17,8 @@
 	"opalbridge.dev/engine"
 )
 
-// breakingServer answers the first request of each connection and breaks off
-// after it has read the second. It counts the requests it has read.
+// breakingServer answers the first request of each connection and closes the
+// connection after it has read the second. It counts the requests that it has read.
 func breakingServer(t *testing.T) (url string, reads *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -34,11 +34,11 @@
 				defer c.Close()
 				r := bufio.NewReader(c)
 				for i := range 2 {
-					q, err := http.ReadRequest(r)
+					request, err := http.ReadRequest(r)
 					if err != nil {
 						return
 					}
-					_, _ = io.Copy(io.Discard, q.Body)
+					_, _ = io.Copy(io.Discard, request.Body)
 					reads.Add(1)
 					if i == 0 {
 						fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -50,8 +50,8 @@
 	return "http://" + l.Addr().String(), reads
 }
 
-// TestTransportDoesNotRetry breaks kept connections under every kind of request
-// that net/http would send again by itself; each must arrive once.
+// TestTransportDoesNotRetry closes reused connections during every kind of
+// request that net/http would retry by itself; each must arrive once.
 func TestTransportDoesNotRetry(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -77,12 +77,14 @@
 			first.Body.Close()
 			_, err = c.Do(context.Background(), call)
 			require.Error(t, err)
-			require.False(t, errors.Is(err, engine.ErrNotSent), "the server has seen it")
-			require.Equal(t, int64(2), reads.Load(), "the second call was sent again")
+			require.False(t, errors.Is(err, engine.ErrNotSent), "the server has received the call")
+			require.Equal(t, int64(2), reads.Load(), "the second call was retried")
 		})
 	}
 }
 
+// TestUnreachableServerReturnsErrNotSent checks that a refused connection is reported
+// as ErrNotSent, so that the call may be retried.
 func TestUnreachableServerReturnsErrNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -95,19 +97,19 @@
 func TestMeter(t *testing.T) {
 	weights := engine.Weights{Input: 0.25, Output: 1, Cached: 0.025}
 	tests := []struct {
-		name   string
-		answer string
-		want   float64
+		name     string
+		response string
+		want     float64
 	}{
 		{"events without usage", "data: {}\n\ndata: {}\n\n", 10*0.25 + 2},
 		{"usage of a stream", "data: {}\n\ndata: {\"usage\":{\"prompt_tokens\":100,\"completion_tokens\":7,\"prompt_tokens_details\":{\"cached_tokens\":40}}}\n\n", 60*0.25 + 40*0.025 + 7},
-		{"usage of a whole answer", `data:{"usage":{"prompt_tokens":8,"completion_tokens":2}}`, 8*0.25 + 2},
+		{"usage of a whole response", `data:{"usage":{"prompt_tokens":8,"completion_tokens":2}}`, 8*0.25 + 2},
 		{"a line that is too long", "data: " + strings.Repeat("x", 100_000) + "\n", 10*0.25 + 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			m := engine.NewMeter(weights, make([]byte, 40))
-			for _, b := range []byte(test.answer) {
+			for _, b := range []byte(test.response) {
 				_, _ = m.Write([]byte{b})
 			}
 			require.InDelta(t, test.want, m.Finish(), 0.001)
@@ -115,15 +117,16 @@
 	}
 }
 
+// FuzzMeter checks that no response makes the meter panic or its cost negative.
 func FuzzMeter(f *testing.F) {
 	f.Add([]byte("data: {\"usage\":{}}\n\n"))
 	f.Add([]byte("data: [DONE]\n"))
-	f.Fuzz(func(t *testing.T, answer []byte) {
+	f.Fuzz(func(t *testing.T, response []byte) {
 		m := engine.NewMeter(engine.Weights{Input: 1, Output: 1}, nil)
-		for len(answer) > 0 {
-			n := min(7, len(answer))
-			_, _ = m.Write(answer[:n])
-			answer = answer[n:]
+		for len(response) > 0 {
+			n := min(7, len(response))
+			_, _ = m.Write(response[:n])
+			response = response[n:]
 		}
 		require.GreaterOrEqual(t, m.Finish(), 0.0)
 	})
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,17 +1,17 @@
-// Package engine is what opalbridge needs of a backend server: to do one call, to
-// be told to stop it, and to say how loaded it is.
+// Package engine defines how opalbridge calls a backend server, cancels a call and
+// reads the server's load.
 //
 // # Usage
 //
-// An agent keeps one [Server], for its own host:
+// An agent has one [Server], on its own host:
 //
 //	s := &engine.Client{Base: "http://127.0.0.1:9000"}
-//	answer, err := s.Do(ctx, call)
-//	_, err = answer.Body.Read(buffer)
+//	response, err := s.Do(ctx, call)
+//	_, err = response.Body.Read(buffer)
 //
-// Cancelling the call's context stops the work. A [Meter] reads the cost of an
-// answer as it streams. Another protocol is met by another implementation of
-// Server. Stand-ins for tests are in enginetest.
+// Canceling the context of a call stops the work. A [Meter] reads the cost of a
+// response as it streams. Other protocols are supported by other implementations of
+// Server. Package enginetest has fake servers for tests.
 package engine
 
 import (
@@ -22,37 +22,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrNotSent says that the server has not seen the call.
+// ErrNotSent means that the server has not received the call.
 var ErrNotSent = errors.New("engine: call not sent")
 
-// Call is one call of a model engine or a plain service.
+// Call is a request to a model engine or a plain service.
 type Call struct {
-	RequestID string // the request's id, which the server may record
+	RequestID string // may be recorded by the server
 	Method    string
-	Path      string // with the query
+	Path      string // includes the query
 	Header    http.Header
 	Body      []byte
 	Urgent    bool
 }
 
-// Response is a server's answer; its body must be closed.
+// Response is a server's response. The caller must close Body.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 }
 
-// Load is a server's own report; it lags.
+// Load is a server's own load report, which may be out of date.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	Slots   int `json:"slots"`
+	Slots   int `json:"slots"` // maximum concurrent requests; 0 if unknown
 }
 
-// Server is one backend server.
+// Server is a backend server.
 type Server interface {
 	// Do sends the call at most once. An error that wraps ErrNotSent means that
-	// the server has not seen it; after any other error it may have run.
+	// the server has not received it; after any other error it may have run.
 	Do(ctx context.Context, c *Call) (*Response, error)
 	// Load returns the server's latest report.
 	Load(ctx context.Context) (Load, error)
--- a/engine/enginetest/direct.go
+++ b/engine/enginetest/direct.go
@@ -15,23 +15,23 @@
 	"opalbridge.dev/engine"
 )
 
-// Direct gives a stand-in to an agent without a connection between them, for
-// tests in virtual time. It implements engine.Server.
+// Direct calls a fake server without a network connection, for tests in virtual
+// time. It implements engine.Server.
 type Direct struct {
-	Handler http.Handler
+	Handler http.Handler // the fake server
 
 	mutex sync.Mutex
 	down  bool
 }
 
-// SetDown makes calls fail as if the server's host refused connections.
+// SetDown sets whether calls fail as if the server's host refused connections.
 func (d *Direct) SetDown(down bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.down = down
 }
 
-// errBroken stands for a connection that broke.
+// errConnectionBroken is returned in place of the error of a broken connection.
 var errConnectionBroken = errors.New("enginetest: connection broken")
 
 // Do implements engine.Server.
@@ -84,9 +84,11 @@
 	pipe   *io.PipeWriter
 	status int
 	once   sync.Once
-	ready  chan struct{} // closed when the status is known or never will be
+	ready  chan struct{} // closed when the status is known, or when there will be none
 }
 
+// serve runs the handler. A panic of the handler or a canceled request breaks the
+// connection.
 func (w *directWriter) serve(h http.Handler, r *http.Request) {
 	defer func() {
 		if recover() != nil {
--- a/engine/enginetest/model.go
+++ b/engine/enginetest/model.go
@@ -1,13 +1,13 @@
-// Package enginetest has small stand-ins for backend servers: a model engine that
-// batches continuously and a plain service that counts its executions.
+// Package enginetest provides fake backend servers: a model engine with continuous
+// batching and a plain service that counts its executions.
 //
 // # Usage
 //
 //	m := enginetest.NewModel(enginetest.ModelOptions{Models: []string{"small"}, Slots: 8})
 //	http.Serve(listener, m)
 //
-// Both are http.Handlers. They produce tokens that mean nothing; what they imitate
-// is time, order, counting and failure. They are for tests and the dev command.
+// Both are http.Handlers. They simulate timing, queueing, usage and failures, not the
+// content of responses. They are for tests and the dev command.
 package enginetest
 
 import (
@@ -26,19 +26,19 @@
 	"opalbridge.dev/engine"
 )
 
-// ModelOptions set up a Model. Zero values mean the defaults named.
+// ModelOptions configures a Model. Zero values select the defaults given below.
 type ModelOptions struct {
 	Models           []string
-	Slots            int           // requests in the batch at most; 8
-	PrefillPerToken  time.Duration // for each input token not in the cache; 20 µs
-	DecodeStep       time.Duration // for one token of a batch of one; 10 ms
-	DecodePerRequest time.Duration // more for each further request in the batch; 1 ms
-	CachedPrefixes   int           // prompt beginnings the cache holds; 64
-	MaxLoadAge       time.Duration // age of a load report; 1 s
-	DefaultTokens    int           // answer length when the caller sets none; 32
-	Burst            int           // tokens made and sent at once; 1
-	LabelHeader      string        // requests are tallied by this header's value; empty: not
-	TagTokens        bool          // tokens name their request
+	Slots            int           // maximum batch size, in requests; 8
+	PrefillPerToken  time.Duration // time for each input token that is not cached; 20 µs
+	DecodeStep       time.Duration // time for one token in a batch of one; 10 ms
+	DecodePerRequest time.Duration // added to DecodeStep for each further request; 1 ms
+	CachedPrefixes   int           // capacity of the prefix cache; 64
+	MaxLoadAge       time.Duration // maximum age of a load report; 1 s
+	DefaultTokens    int           // response length if the caller sets no limit; 32
+	Burst            int           // tokens generated and flushed at once; 1
+	LabelHeader      string        // header whose value labels token counts; empty for none
+	TagTokens        bool          // tokens contain their request's ID
 }
 
 func (o ModelOptions) withDefaults() ModelOptions {
@@ -69,46 +69,46 @@
 	return o
 }
 
-// ModelFaults tell a model how to misbehave.
+// ModelFaults are faults to inject into a Model.
 type ModelFaults struct {
-	ReturnErrors bool    // every call is answered with status 500
-	Hang         bool    // calls are taken and never answered
-	AbortAfter   int     // answers break off after so many tokens; 0: never
-	Slowdown     float64 // decode takes so many times as long; 0: once
+	ReturnErrors bool    // every call gets status 500
+	Hang         bool    // calls are accepted and never answered
+	AbortAfter   int     // connections break after so many tokens; 0 for never
+	Slowdown     float64 // factor on the decode time; 0 means 1
 }
 
-// Model is the stand-in for a model engine.
+// Model is a fake of a model engine.
 type Model struct {
-	options     ModelOptions
-	mutex       sync.Mutex
-	running     int
-	waiting     int
-	cache       []uint64 // prompt beginnings, latest last
-	runs        map[string]int
-	tokens      int
-	tally       map[string]TokenCounts
-	busy        time.Duration // summed time of requests in the batch
-	faults      ModelFaults
-	report      engine.Load
-	at          time.Time
-	urgentQueue []chan struct{} // urgent calls that wait for a place
-	queue       []chan struct{} // other calls that wait for a place
+	options       ModelOptions
+	mutex         sync.Mutex
+	running       int
+	waiting       int
+	cache         []uint64 // hashes of cached prefixes, most recently used last
+	runs          map[string]int
+	tokens        int
+	tokensByLabel map[string]TokenCounts
+	busy          time.Duration // total time of requests in the batch
+	faults        ModelFaults
+	report        engine.Load
+	reportedAt    time.Time
+	urgentQueue   []chan struct{} // urgent calls that wait for a slot
+	queue         []chan struct{} // other calls that wait for a slot
 }
 
-// NewModel returns a model engine's stand-in.
+// NewModel returns a fake model engine.
 func NewModel(o ModelOptions) *Model {
 	o = o.withDefaults()
 	return &Model{options: o, runs: map[string]int{}}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (m *Model) SetFaults(f ModelFaults) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.faults = f
 }
 
-// Runs returns how often each request was executed, by request id.
+// Runs returns the number of executions of each request, by request ID.
 func (m *Model) Runs() map[string]int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -119,8 +119,8 @@
 	return runs
 }
 
-// Busy returns the summed time that requests spent in the batch, and the tokens
-// produced.
+// Busy returns the total time that requests spent in the batch, and the number of
+// generated tokens.
 func (m *Model) Busy() (time.Duration, int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -134,24 +134,25 @@
 func (m *Model) TokensByLabel() map[string]TokenCounts {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return maps.Clone(m.tally)
+	return maps.Clone(m.tokensByLabel)
 }
 
+// countTokens adds to the token counts of the request's label.
 func (m *Model) countTokens(r *http.Request, input, cached, output int) {
 	if m.options.LabelHeader == "" {
 		return
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.tally == nil {
-		m.tally = map[string]TokenCounts{}
+	if m.tokensByLabel == nil {
+		m.tokensByLabel = map[string]TokenCounts{}
 	}
 	label := r.Header.Get(m.options.LabelHeader)
-	t := m.tally[label]
+	t := m.tokensByLabel[label]
 	t.Input += input
 	t.Cached += cached
 	t.Output += output
-	m.tally[label] = t
+	m.tokensByLabel[label] = t
 }
 
 // ServeHTTP implements http.Handler.
@@ -170,8 +171,8 @@
 func (m *Model) load() engine.Load {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if now := time.Now(); now.Sub(m.at) >= m.options.MaxLoadAge {
-		m.at = now
+	if now := time.Now(); now.Sub(m.reportedAt) >= m.options.MaxLoadAge {
+		m.reportedAt = now
 		m.report = engine.Load{Running: m.running, Waiting: m.waiting, Slots: m.options.Slots}
 	}
 	return m.report
@@ -187,8 +188,8 @@
 	Options   struct {
 		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
-	// Actual is the answer's true length, which callers cannot know; load tools
-	// set it so that max_tokens is but a hint.
+	// Actual is the actual length of the response, which real callers cannot know.
+	// Load generators set it, and max_tokens is then only a hint.
 	Actual int `json:"x_actual_tokens"`
 }
 
@@ -202,7 +203,7 @@
 		http.Error(w, `{"error":{"message":"no such model","type":"invalid_request_error"}}`, http.StatusNotFound)
 		return
 	}
-	faults := m.begin(r.Header.Get(engine.RequestHeader))
+	faults := m.recordRun(r.Header.Get(engine.RequestHeader))
 	switch {
 	case faults.ReturnErrors:
 		http.Error(w, `{"error":{"message":"broken","type":"server_error"}}`, http.StatusInternalServerError)
@@ -219,14 +220,16 @@
 	m.generate(w, r, &c, content, faults)
 }
 
-func (m *Model) begin(request string) ModelFaults {
+// recordRun counts an execution and returns the faults to inject.
+func (m *Model) recordRun(request string) ModelFaults {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.runs[request]++
 	return m.faults
 }
 
-// enter waits for a place in the batch; urgent calls go first.
+// acquireSlot waits for a slot in the batch, urgent calls first. It reports false if
+// ctx is done first.
 func (m *Model) acquireSlot(ctx context.Context, urgent bool) bool {
 	m.mutex.Lock()
 	if m.running < m.options.Slots {
@@ -250,8 +253,8 @@
 	}
 }
 
-// giveUp takes a call out of the waiting line; one that was given its place at
-// the same moment hands it on.
+// abandonSlot removes a call from the queue. If the call got its slot at the same
+// time, it passes the slot on.
 func (m *Model) abandonSlot(turn chan struct{}) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -274,6 +277,7 @@
 	m.passSlot()
 }
 
+// passSlot gives a slot to the next waiting call, urgent calls first, or frees it.
 func (m *Model) passSlot() {
 	var next chan struct{}
 	switch {
@@ -293,7 +297,7 @@
 
 const cachedPrefixBytes = 256
 
-// prefill returns the input tokens and how many of them were in the cache.
+// prefill returns the number of input tokens and how many of them were cached.
 func (m *Model) prefill(content []byte) (tokens, cached int) {
 	tokens = len(content) / 4
 	prefix := maphash.Bytes(seed, content[:min(len(content), cachedPrefixBytes)])
@@ -310,8 +314,8 @@
 	return tokens, cached
 }
 
-// step returns how long so many tokens take with the batch as it is.
-func (m *Model) step(tokens int) time.Duration {
+// decodeTime returns the time to decode so many tokens at the current batch size.
+func (m *Model) decodeTime(tokens int) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.tokens += tokens
@@ -322,9 +326,10 @@
 	return d * time.Duration(tokens)
 }
 
+// generate runs prefill and decoding, and writes the response.
 func (m *Model) generate(w http.ResponseWriter, r *http.Request, c *completion, content []byte, f ModelFaults) {
 	input, cached := m.prefill(content)
-	if !pause(r.Context(), time.Duration(input-cached)*m.options.PrefillPerToken) {
+	if !sleep(r.Context(), time.Duration(input-cached)*m.options.PrefillPerToken) {
 		return
 	}
 	m.countTokens(r, input, cached, 0)
@@ -338,7 +343,7 @@
 	var events bytes.Buffer
 	for i := 0; i < length; i += m.options.Burst {
 		n := min(m.options.Burst, length-i)
-		if !pause(r.Context(), m.step(n)) {
+		if !sleep(r.Context(), m.decodeTime(n)) {
 			return
 		}
 		if f.AbortAfter > 0 && i+n > f.AbortAfter {
@@ -346,7 +351,7 @@
 		}
 		m.countTokens(r, 0, 0, n)
 		for j := range n {
-			word := m.word(r, i+j)
+			word := m.token(r, i+j)
 			text = append(text, word...)
 			if c.Stream {
 				appendEvent(&events, r.URL.Path, c.Model, word, "")
@@ -375,13 +380,14 @@
 	writeCompletion(w, r.URL.Path, c.Model, string(text), u)
 }
 
-func (m *Model) word(r *http.Request, i int) string {
+func (m *Model) token(r *http.Request, i int) string {
 	if m.options.TagTokens {
 		return fmt.Sprintf("%s.%d ", r.Header.Get(engine.RequestHeader), i)
 	}
 	return fmt.Sprintf("t%d ", i)
 }
 
+// length returns the number of tokens to generate.
 func (m *Model) length(c *completion) int {
 	limit := max(c.MaxTokens, c.MaxNew)
 	switch {
@@ -422,8 +428,8 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"id": "x", "object": object, "created": 0, "model": model, "choices": []any{choice}, "usage": u})
 }
 
-// pause waits for d and reports false when ctx ended first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It reports false if ctx is done first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/engine/enginetest/service.go
+++ b/engine/enginetest/service.go
@@ -10,30 +10,30 @@
 	"opalbridge.dev/engine"
 )
 
-// ServiceFaults tell a plain service how to misbehave.
+// ServiceFaults are faults to inject into a Service.
 type ServiceFaults struct {
-	ExtraLatency  time.Duration // every call takes so long more
-	DropResponses int           // so many calls run, and their answer is lost
+	ExtraLatency  time.Duration // added to the latency of every call
+	DropResponses int           // number of calls that run but whose responses are lost
 }
 
-// Service is the stand-in for a plain service, such as bookings. It counts the
+// Service is a fake of a plain service, such as a booking service. It counts the
 // executions of each request.
 type Service struct {
-	Latency time.Duration // a call takes so long; 0: 5 ms
+	Latency time.Duration // of a call; 0 means 5 ms
 
 	mutex  sync.Mutex
 	runs   map[string]int
 	faults ServiceFaults
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = f
 }
 
-// Runs returns how often each request was executed, by request id.
+// Runs returns the number of executions of each request, by request ID.
 func (s *Service) Runs() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -56,11 +56,11 @@
 	}
 	id := r.Header.Get(engine.RequestHeader)
 	faults, lost := s.run(id)
-	spend := s.Latency
-	if spend == 0 {
-		spend = 5 * time.Millisecond
+	latency := s.Latency
+	if latency == 0 {
+		latency = 5 * time.Millisecond
 	}
-	if !pause(r.Context(), spend+faults.ExtraLatency) {
+	if !sleep(r.Context(), latency+faults.ExtraLatency) {
 		return
 	}
 	if lost {
@@ -72,6 +72,7 @@
 	})
 }
 
+// run counts an execution. It reports true if the response is to be lost.
 func (s *Service) run(id string) (f ServiceFaults, lost bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/engine/meter.go
+++ b/engine/meter.go
@@ -5,25 +5,27 @@
 	"encoding/json"
 )
 
-// Weights turn tokens into cost.
+// Weights are the prices from which the cost of a response is computed.
 type Weights struct {
-	Input, Output, Cached float64 // weighted tokens for each token
-	Call                  float64 // weighted tokens for a plain service's call
+	Input, Output, Cached float64 // weighted tokens per token
+	Call                  float64 // weighted tokens per call of a plain service
 }
 
-// bytesPerToken is the guess for text whose tokens nobody has counted yet.
+// bytesPerToken is the estimated length of a token, for text whose tokens the engine
+// has not counted yet.
 const bytesPerToken = 4
 
-// maxUsage is the largest event or answer that is searched for a usage record.
+// maxUsage is the longest line, an event or a whole response, that is searched
+// for a usage record.
 const maxLineLength = 64 << 10
 
-// Meter reads the cost of a model engine's answer from its bytes as they pass.
-// Until the engine tells the usage, input counts a token for four bytes and
-// output a token for each event. The zero value is ready for a streamed or a
-// whole answer.
+// Meter computes the cost of a model engine's response from its bytes as they
+// arrive. Until the engine reports the usage, the input is estimated at one token
+// for four bytes and the output at one token for each event. The zero value is
+// ready to use for a streamed or a whole response.
 type Meter struct {
 	Weights        Weights
-	EstimatedInput int // guessed input tokens
+	EstimatedInput int // estimated input tokens
 
 	events    int
 	line      []byte
@@ -39,14 +41,14 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// NewMeter returns a meter for the answer to a call with this content.
+// NewMeter returns a meter for the response to a call with this content.
 func NewMeter(w Weights, content []byte) *Meter {
 	return &Meter{Weights: w, EstimatedInput: len(content) / bytesPerToken}
 }
 
 var dataPrefix = []byte("data:")
 
-// Write reads the next bytes of the answer. It never fails.
+// Write adds the next bytes of the response. It never fails.
 func (m *Meter) Write(p []byte) (int, error) {
 	n := len(p)
 	for len(p) > 0 {
@@ -62,6 +64,8 @@
 	return n, nil
 }
 
+// appendLine adds to the current line, or marks it as truncated if it grows beyond
+// maxLineLength.
 func (m *Meter) appendLine(p []byte) {
 	if len(m.line)+len(p) > maxLineLength {
 		m.truncated = true
@@ -84,6 +88,7 @@
 	m.truncated = false
 }
 
+// parseUsage records the usage in an event or a whole response, if it has one.
 func (m *Meter) parseUsage(data []byte) {
 	var message struct {
 		Usage *usage `json:"usage"`
@@ -93,7 +98,7 @@
 	}
 }
 
-// Cost returns the cost so far in weighted tokens.
+// Cost returns the cost so far, in weighted tokens.
 func (m *Meter) Cost() float64 {
 	if m.usage == nil {
 		return float64(m.EstimatedInput)*m.Weights.Input + float64(m.events)*m.Weights.Output
@@ -106,7 +111,7 @@
 		float64(max(0, u.CompletionTokens))*m.Weights.Output
 }
 
-// Finish reads what is left when the answer has ended and returns its cost.
+// Finish processes the last line of a response that has ended and returns the cost.
 func (m *Meter) Finish() float64 {
 	if len(m.line) > 0 {
 		m.finishLine()
--- a/secure/secure.go
+++ b/secure/secure.go
@@ -5,8 +5,8 @@
 // # Usage
 //
 //	creds, err := secure.Open("cert.pem", "key.pem", "fleet-ca.pem")
-//	callers = tls.NewListener(callers, creds.Callers())
-//	peers = tls.NewListener(peers, creds.Peers())
+//	callers = tls.NewListener(callers, creds.CallerConfig())
+//	peers = tls.NewListener(peers, creds.PeerConfig())
 //	conn, err := creds.Dial(ctx, "10.0.0.5:7000")
 //
 // The files are reloaded when they change, so that certificates can be renewed
