--- a/engine/client.go
+++ b/engine/client.go
@@ -84,7 +84,7 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// singleUse is a request body that net/http cannot rewind. http.Transport
+// nonReplayableBody is a request body that net/http cannot rewind. http.Transport
 // retries a request by itself when a reused connection breaks and the request has no
 // body or one that can be replayed; neither is true with this body.
 type nonReplayableBody struct{ reader *bytes.Reader }
--- a/engine/enginetest/model.go
+++ b/engine/enginetest/model.go
@@ -127,10 +127,10 @@
 	return m.busy, m.tokens
 }
 
-// TokenCounts is what a model did for the requests with one value of the tally header.
+// TokenCounts are the tokens processed for the requests with one label.
 type TokenCounts struct{ Input, Cached, Output int } // tokens
 
-// TokensByLabel returns what was done so far, by value of the tally header.
+// TokensByLabel returns the token counts so far, by value of LabelHeader.
 func (m *Model) TokensByLabel() map[string]TokenCounts {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -167,7 +167,7 @@
 	}
 }
 
-// load returns a report that is up to LoadLag old.
+// load returns a report that is at most MaxLoadAge old.
 func (m *Model) load() engine.Load {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/engine/meter.go
+++ b/engine/meter.go
@@ -15,7 +15,7 @@
 // has not counted yet.
 const bytesPerToken = 4
 
-// maxUsage is the longest line, an event or a whole response, that is searched
+// maxLineLength is the longest line, an event or a whole response, that is searched
 // for a usage record.
 const maxLineLength = 64 << 10
 
@@ -30,7 +30,7 @@
 	events    int
 	line      []byte
 	usage     *usage
-	truncated bool
+	truncated bool // the line exceeds maxLineLength
 }
 
 type usage struct {
