--- a/agent/serve.go
+++ b/agent/serve.go
@@ -204,12 +204,12 @@
 		r.finishTruncated(ctx, err, cost)
 		return
 	}
-	v := served
+	signal := served
 	if response.Status >= http.StatusInternalServerError {
-		v = failed
+		signal = failed
 	}
 	r.finish(&wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: r.job.chunkCount(), Complete: true, Cost: cost}}},
-		attempt.Executed{Complete: true}, v, fmt.Sprintf("the whole answer, status %d, %.0f weighted tokens", response.Status, cost))
+		attempt.Executed{Complete: true}, signal, fmt.Sprintf("the whole answer, status %d, %.0f weighted tokens", response.Status, cost))
 }
 
 // callEngine calls the server, in a span of its own.
@@ -335,22 +335,22 @@
 
 // finishTruncated ends an attempt whose response was truncated or canceled.
 func (r *attemptRun) finishTruncated(ctx context.Context, err error, cost float64) {
-	v := failed
+	signal := failed
 	reason := "the server broke off its answer"
 	if ctx.Err() != nil {
-		v = noSignal
+		signal = noSignal
 		reason = context.Cause(ctx).Error()
 		if errors.Is(context.Cause(ctx), errDeadline) && !r.responded {
-			v = failed
+			signal = failed
 		}
 	}
 	r.finish(&wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: r.job.chunkCount(), Reason: reason, Cost: cost}}},
-		attempt.Executed{Reason: reason}, v, "cut: "+reason+": "+err.Error())
+		attempt.Executed{Reason: reason}, signal, "cut: "+reason+": "+err.Error())
 }
 
 // finish records the outcome and ends the response with its last piece.
-func (r *attemptRun) finish(last *wirepb.Piece, o attempt.Outcome, v healthSignal, text string) {
+func (r *attemptRun) finish(last *wirepb.Piece, o attempt.Outcome, signal healthSignal, text string) {
 	r.agent.recordStart(explain.Outcome, r.start, text)
-	r.agent.send(doneEvent{start: r.start, reserved: r.reserved, outcome: o, healthSignal: v})
+	r.agent.send(doneEvent{start: r.start, reserved: r.reserved, outcome: o, healthSignal: signal})
 	r.job.end(last)
 }
--- a/engine/enginetest/model.go
+++ b/engine/enginetest/model.go
@@ -237,28 +237,28 @@
 		m.mutex.Unlock()
 		return true
 	}
-	turn := make(chan struct{})
+	ready := make(chan struct{})
 	if urgent {
-		m.urgentQueue = append(m.urgentQueue, turn)
+		m.urgentQueue = append(m.urgentQueue, ready)
 	} else {
-		m.queue = append(m.queue, turn)
+		m.queue = append(m.queue, ready)
 	}
 	m.waiting++
 	m.mutex.Unlock()
 	select {
-	case <-turn:
+	case <-ready:
 		return true
 	case <-ctx.Done():
-		return m.abandonSlot(turn)
+		return m.abandonSlot(ready)
 	}
 }
 
 // abandonSlot removes a call from the queue. If the call got its slot at the same
 // time, it passes the slot on.
-func (m *Model) abandonSlot(turn chan struct{}) bool {
+func (m *Model) abandonSlot(ready chan struct{}) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	same := func(c chan struct{}) bool { return c == turn }
+	same := func(c chan struct{}) bool { return c == ready }
 	before := len(m.urgentQueue) + len(m.queue)
 	m.urgentQueue = slices.DeleteFunc(m.urgentQueue, same)
 	m.queue = slices.DeleteFunc(m.queue, same)
@@ -351,10 +351,10 @@
 		}
 		m.countTokens(r, 0, 0, n)
 		for j := range n {
-			word := m.token(r, i+j)
-			text = append(text, word...)
+			token := m.token(r, i+j)
+			text = append(text, token...)
 			if c.Stream {
-				appendEvent(&events, r.URL.Path, c.Model, word, "")
+				appendEvent(&events, r.URL.Path, c.Model, token, "")
 			}
 		}
 		if c.Stream {
@@ -400,7 +400,7 @@
 	}
 }
 
-func appendEvent(w *bytes.Buffer, path, model, word, finish string) {
+func appendEvent(w *bytes.Buffer, path, model, token, finish string) {
 	choice := map[string]any{"index": 0, "finish_reason": nil}
 	if finish != "" {
 		choice["finish_reason"] = finish
@@ -408,9 +408,9 @@
 	object := "text_completion"
 	if path == "/v1/chat/completions" {
 		object = "chat.completion.chunk"
-		choice["delta"] = map[string]any{"content": word}
+		choice["delta"] = map[string]any{"content": token}
 	} else {
-		choice["text"] = word
+		choice["text"] = token
 	}
 	b, _ := json.Marshal(map[string]any{"id": "x", "object": object, "created": 0, "model": model, "choices": []any{choice}})
 	fmt.Fprintf(w, "data: %s\n\n", b)
--- a/secure/secure_test.go
+++ b/secure/secure_test.go
@@ -64,18 +64,18 @@
 
 func open(t *testing.T, a, trusted *authority, dir, node string) *secure.Credentials {
 	certificate, key := a.issue(t, dir, node, 2)
-	k, err := secure.Open(certificate, key, trusted.file)
+	creds, err := secure.Open(certificate, key, trusted.file)
 	require.NoError(t, err)
-	return k
+	return creds
 }
 
 // serve accepts connections and sends the result of each TLS handshake.
-func serve(t *testing.T, k *secure.Credentials) (address string, handshakes chan error) {
+func serve(t *testing.T, creds *secure.Credentials) (address string, handshakes chan error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
 	handshakes = make(chan error, 8)
-	peers := tls.NewListener(l, k.PeerConfig())
+	peers := tls.NewListener(l, creds.PeerConfig())
 	go func() {
 		for {
 			c, err := peers.Accept()
