--- a/mutants/main.go
+++ b/mutants/main.go
@@ -44,7 +44,7 @@
 	{"go on while leaving", "agent/leaving.go", "	d.leaving = leaving\n", "", "./fleettest", "TestLeavingServer"},
 	{"cut off requests at a stop", "agent/agent.go", "		a.send(drainEvent{})\n", "		a.send(drainEvent{})\n		for _, j := range a.jobs.list() {\n			j.cancel(errAbandoned)\n		}\n", "./fleettest", "TestPlannedStop"},
 	{"let a key be used again", "attempt/keys.go", "	if c, known := k.entries[id]; known {\n		return Duplicate", "	if c, known := k.entries[id]; known && false {\n		return Duplicate", "./attempt", "TestKeyStoreClaim"},
-	{"let the transport repeat", "engine/client.go", "body := &nonReplayableBody{reader: bytes.NewReader(call.Content)}", "body := bytes.NewReader(call.Content)", "./engine", "TestTransportDoesNotRetry"},
+	{"let the transport repeat", "engine/client.go", "body := &nonReplayableBody{reader: bytes.NewReader(call.Body)}", "body := bytes.NewReader(call.Body)", "./engine", "TestTransportDoesNotRetry"},
 	{"pick the account ahead", "fair/fair.go", "if best < 0 || k < minKey ||", "if best < 0 || k > minKey ||", "./fair", "TestPickOrder|TestFleetGap"},
 	{"forget what a dead incarnation served", "ledger/ledger.go", "	h.clearPending(s)\n	s.pastIncarnations = append", "	h.clearPending(s)\n	for _, t := range s.totals {\n		h.replaceTotal(s, fair.Total{Account: t.Account})\n	}\n	s.pastIncarnations = append", "./ledger", "TestAgentRestart"},
 	{"lend the credit at every server", "fair/fair.go", "max(tr.options.Slots, s.slots, tr.maxSlots)", "tr.options.Slots", "./fair", "TestUrgentCredit"},
