--- a/agent/health.go
+++ b/agent/health.go
@@ -6,16 +6,17 @@
 )
 
 const (
+	// loadInterval is the time between two reads of the server's load.
 	loadInterval = time.Second
 	loadTimeout  = 2 * time.Second
 )
 
-// watchServer reads the server's own load reports.
-func (a *Agent) watchServer(ctx context.Context) {
+// pollServerLoad reads the server's load reports until ctx is done.
+func (a *Agent) pollServerLoad(ctx context.Context) {
 	t := time.NewTicker(loadInterval)
 	defer t.Stop()
 	for {
-		a.readLoad(ctx)
+		a.readServerLoad(ctx)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -24,7 +25,8 @@
 	}
 }
 
-func (a *Agent) readLoad(ctx context.Context) {
+// readServerLoad reads one report; after an error the previous one stays in use.
+func (a *Agent) readServerLoad(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	l, err := a.options.Engine.Load(ctx)
--- a/agent/job.go
+++ b/agent/job.go
@@ -11,43 +11,46 @@
 )
 
 const (
-	// keptBytes of an answer's latest pieces are kept so that a router can resume
-	// after a lost connection. It is twice what one stream may have under way.
-	keptBytes = 512 << 10
-	// aheadBytes is how far the server may be read ahead of the router.
-	aheadBytes = 256 << 10
-	// endedTime is how long an answer is kept after its end.
-	endedTime = 30 * time.Second
-	// endedKept is how many ended answers are kept at most.
-	endedKept = 256
+	// maxRetainedBytes is how much of a response's latest content is retained, so that
+	// a router can resume after a lost connection. It is twice the most that one
+	// stream may have in flight.
+	maxRetainedBytes = 512 << 10
+	// maxReadAhead bounds the bytes that are read from the server and not yet written
+	// to a router.
+	maxReadAhead = 256 << 10
+	// endedRetention is how long a response is retained after its end.
+	endedRetention = 30 * time.Second
+	// maxEndedJobs bounds the number of ended responses that are retained.
+	maxEndedJobs = 256
 )
 
-// job is one attempt that was admitted: its answer's pieces as they come, for the
-// one stream that passes them on, or the next one after a lost connection.
+// job is an admitted attempt. It buffers the response as it arrives, for the stream
+// that delivers it and for another one after a lost connection.
 type job struct {
 	id     attempt.ID
 	cancel context.CancelCauseFunc
 
-	mutex    sync.Mutex
-	head     *wirepb.Head
-	chunks   [][]byte // from number first on
-	first    uint64
-	next     uint64 // number of the next chunk to come
-	kept     int    // bytes in chunks
-	read     uint64 // chunks before this one went to a stream
-	unread   int    // bytes from chunk read on
-	last     *wirepb.Piece
-	readers  int
-	alone    time.Time // since when nobody reads
-	ended    time.Time
-	progress chan struct{} // closed and replaced at every change
+	mutex       sync.Mutex
+	head        *wirepb.Head
+	chunks      [][]byte // retained chunks, starting with number firstChunk
+	firstChunk  uint64
+	nextChunk   uint64        // number of the next chunk to arrive
+	retained    int           // bytes in chunks
+	delivered   uint64        // chunks with lower numbers were written to a stream
+	undelivered int           // bytes in chunks not yet delivered
+	last        *wirepb.Piece // the end of the response; nil while the attempt runs
+	readers     int           // attached streams
+	idleSince   time.Time     // when the last reader detached
+	ended       time.Time
+	progress    chan struct{} // closed and replaced on every change
 }
 
 func newJob(id attempt.ID, cancel context.CancelCauseFunc) *job {
-	return &job{id: id, cancel: cancel, progress: make(chan struct{}), alone: now()}
+	return &job{id: id, cancel: cancel, progress: make(chan struct{}), idleSince: now()}
 }
 
-func (j *job) changed() {
+// notify wakes all goroutines that wait for a change. j.mutex must be held.
+func (j *job) notify() {
 	close(j.progress)
 	j.progress = make(chan struct{})
 }
@@ -56,40 +59,41 @@
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.head = h
-	j.changed()
+	j.notify()
 }
 
-// add appends a chunk and drops the oldest that are no longer needed.
-func (j *job) add(content []byte) {
+// addChunk appends a chunk and drops delivered chunks beyond maxRetainedBytes,
+// oldest first.
+func (j *job) addChunk(content []byte) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.chunks = append(j.chunks, slices.Clone(content))
-	j.next++
-	j.kept += len(content)
-	j.unread += len(content)
-	for j.kept > keptBytes && j.first < j.read {
-		j.kept -= len(j.chunks[0])
+	j.nextChunk++
+	j.retained += len(content)
+	j.undelivered += len(content)
+	for j.retained > maxRetainedBytes && j.firstChunk < j.delivered {
+		j.retained -= len(j.chunks[0])
 		j.chunks[0] = nil
 		j.chunks = j.chunks[1:]
-		j.first++
+		j.firstChunk++
 	}
-	j.changed()
+	j.notify()
 }
 
-// end closes the answer with its last piece.
+// end ends the response with its last piece.
 func (j *job) end(last *wirepb.Piece) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.last = last
 	j.ended = now()
-	j.changed()
+	j.notify()
 }
 
-// room waits until the stream has taken enough of what was read.
-func (j *job) room(ctx context.Context) error {
+// waitForReadAhead blocks while more than maxReadAhead bytes are undelivered.
+func (j *job) waitForReadAhead(ctx context.Context) error {
 	for {
 		j.mutex.Lock()
-		full := j.unread > aheadBytes
+		full := j.undelivered > maxReadAhead
 		progress := j.progress
 		j.mutex.Unlock()
 		if !full {
@@ -103,42 +107,44 @@
 	}
 }
 
-// piece is what comes next for a reader that has seen so much.
+// piece is the next part of a response for a reader. One field is set.
 type piece struct {
 	head    *wirepb.Head
 	chunk   []byte
 	last    *wirepb.Piece
-	gone    bool // the chunk is no longer kept
-	waiting <-chan struct{}
+	dropped bool            // the chunk is no longer retained
+	waiting <-chan struct{} // nothing to read yet; closed on the next change
 }
 
-func (j *job) after(headSeen bool, next uint64) piece {
+// nextPiece returns the next part for a reader that needs chunk next, and the head
+// first unless it has seen it.
+func (j *job) nextPiece(headSeen bool, next uint64) piece {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	switch {
 	case !headSeen && j.head != nil:
 		return piece{head: j.head}
-	case next < j.first:
-		return piece{gone: true}
-	case next < j.next:
-		return piece{chunk: j.chunks[next-j.first]}
+	case next < j.firstChunk:
+		return piece{dropped: true}
+	case next < j.nextChunk:
+		return piece{chunk: j.chunks[next-j.firstChunk]}
 	case j.last != nil:
 		return piece{last: j.last}
 	}
 	return piece{waiting: j.progress}
 }
 
-// took notes that chunks before the given number went to a stream.
-func (j *job) took(next uint64) {
+// markDelivered records that the chunks before next were written to a stream.
+func (j *job) markDelivered(next uint64) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	for j.read < next {
-		if j.read >= j.first {
-			j.unread -= len(j.chunks[j.read-j.first])
+	for j.delivered < next {
+		if j.delivered >= j.firstChunk {
+			j.undelivered -= len(j.chunks[j.delivered-j.firstChunk])
 		}
-		j.read++
+		j.delivered++
 	}
-	j.changed()
+	j.notify()
 }
 
 func (j *job) attach() {
@@ -151,14 +157,14 @@
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.readers--
-	j.alone = now()
+	j.idleSince = now()
 }
 
-// jobs are an agent's admitted attempts, running and lately ended.
+// jobs is the set of an agent's admitted attempts: running and recently ended ones.
 type jobs struct {
 	mutex sync.Mutex
 	all   map[attempt.ID]*job
-	grace time.Duration
+	grace time.Duration // how long an attempt may run without a reader
 }
 
 func (s *jobs) put(j *job) {
@@ -198,31 +204,32 @@
 	return list
 }
 
-// expire stops answers that nobody has read for the grace time and forgets those
-// that ended long ago, or the oldest when there are too many.
+// expire cancels running attempts that had no reader for the grace time. It removes
+// ended attempts without readers after endedRetention, and the oldest ones beyond
+// maxEndedJobs.
 func (s *jobs) expire(at time.Time) {
-	type old struct {
+	type endedJob struct {
 		job   *job
 		ended time.Time
 	}
-	var ended []old
+	var ended []endedJob
 	for _, j := range s.list() {
 		j.mutex.Lock()
-		abandoned := j.readers == 0 && j.last == nil && at.Sub(j.alone) > s.grace
+		abandoned := j.readers == 0 && j.last == nil && at.Sub(j.idleSince) > s.grace
 		if j.last != nil && j.readers == 0 {
-			ended = append(ended, old{job: j, ended: j.ended})
+			ended = append(ended, endedJob{job: j, ended: j.ended})
 		}
 		j.mutex.Unlock()
 		if abandoned {
 			j.cancel(errAbandoned)
 		}
 	}
-	slices.SortFunc(ended, func(a, b old) int { return a.ended.Compare(b.ended) })
+	slices.SortFunc(ended, func(a, b endedJob) int { return a.ended.Compare(b.ended) })
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for i, o := range ended {
-		if at.Sub(o.ended) > endedTime || len(ended)-i > endedKept {
-			delete(s.all, o.job.id)
+	for i, e := range ended {
+		if at.Sub(e.ended) > endedRetention || len(ended)-i > maxEndedJobs {
+			delete(s.all, e.job.id)
 		}
 	}
 }
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -20,62 +20,63 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// Why a running attempt was stopped.
+// Causes for canceling a running attempt.
 var (
-	errAbandoned  = errors.New("agent: no router reads the answer")
-	errCallerLeft = errors.New(wire.ReasonCallerDisconnected)
-	errDeadline   = errors.New(wire.ReasonDeadline)
+	errAbandoned          = errors.New("agent: no router reads the answer")
+	errCallerDisconnected = errors.New(wire.ReasonCallerDisconnected)
+	errDeadline           = errors.New(wire.ReasonDeadline)
 )
 
 const (
-	readBuffer = 16 << 10
-	// chargeTime is the least time between two charges of one attempt.
-	chargeTime = 100 * time.Millisecond
+	readBufferSize = 16 << 10
+	// minChargeInterval is the minimum time between two charges of an attempt while it
+	// runs.
+	minChargeInterval = 100 * time.Millisecond
 )
 
-// serveStart admits an attempt, runs it and passes its answer on.
+// serveStart admits an attempt, runs it and streams its response.
 func (a *Agent) serveStart(ctx context.Context, p *wire.Peer, s *wire.Stream, st *wirepb.Start) {
 	parent := propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{"traceparent": st.Traceparent})
 	_, span := a.options.Tracer.Start(parent, "agent.admit", trace.WithAttributes(
 		attribute.String("request", st.Request), attribute.String("server", a.options.Name)))
-	reply := make(chan admitted, 1)
-	a.tell(startEvent{start: st, peer: p, reply: reply})
-	answer, ok := await(a, reply)
+	reply := make(chan startResult, 1)
+	a.send(startEvent{start: st, peer: p, reply: reply})
+	result, ok := await(a, reply)
 	if !ok {
 		return
 	}
-	span.SetAttributes(attribute.Bool("admitted", answer.refused == nil && answer.repeat == nil && answer.unknown == ""))
+	span.SetAttributes(attribute.Bool("admitted", result.refused == nil && result.duplicate == nil && result.unknownReason == ""))
 	span.End()
 	switch {
-	case answer.refused != nil:
-		a.recordStart(explain.Refuse, st, answer.refused.Reason)
-		_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_NotRun{NotRun: answer.refused}})
+	case result.refused != nil:
+		a.recordStart(explain.Refuse, st, result.refused.Reason)
+		_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_NotRun{NotRun: result.refused}})
 		return
-	case answer.unknown != "":
-		_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_Unknown{Unknown: &wirepb.Unknown{Reason: answer.unknown}}})
+	case result.unknownReason != "":
+		_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_Unknown{Unknown: &wirepb.Unknown{Reason: result.unknownReason}}})
 		return
-	case answer.repeat != nil:
-		a.serveRepeat(ctx, s, st, answer.repeat)
+	case result.duplicate != nil:
+		a.serveDuplicate(ctx, s, st, result.duplicate)
 		return
 	}
-	a.recordStart(explain.Admit, st, fmt.Sprintf("admitted with %.0f weighted tokens reserved; the account stands at %.0f", answer.reserved, answer.standing))
-	j := a.launch(parent, st, answer.reserved)
+	a.recordStart(explain.Admit, st, fmt.Sprintf("admitted with %.0f weighted tokens reserved; the account stands at %.0f", result.reserved, result.virtualTime))
+	j := a.startAttempt(parent, st, result.reserved)
 	if err := s.Write(&wirepb.Piece{Body: &wirepb.Piece_Admitted{Admitted: &wirepb.Admitted{}}}); err != nil {
 		return
 	}
-	a.passOn(ctx, s, j, 0, false)
+	a.streamResponse(ctx, s, j, 0, false)
 }
 
 func (a *Agent) recordStart(k explain.Kind, st *wirepb.Start, text string) {
 	a.record(explain.Event{Kind: k, Request: st.Request, Account: st.Account, Attempt: st.Attempt, Text: text})
 }
 
-// serveRepeat answers a caller's retry under the same idempotency key with the
-// answer of the request that ran first.
-func (a *Agent) serveRepeat(ctx context.Context, s *wire.Stream, st *wirepb.Start, r *attempt.Duplicate) {
+// serveDuplicate answers a caller's retry with the same idempotency key by the
+// response to the request that used the key first.
+func (a *Agent) serveDuplicate(ctx context.Context, s *wire.Stream, st *wirepb.Start, r *attempt.Duplicate) {
 	a.recordStart(explain.Refuse, st, "the idempotency key was used by request "+r.Request)
 	j := a.jobs.get(attempt.ID{Request: r.Request, Attempt: r.Attempt})
-	if r.Unknown || j == nil || !j.whole() {
+	if r.Unknown || j == nil || !j.retainsStart() {
 		reason := "request " + r.Request + " used this idempotency key; its answer is no longer kept"
 		if r.Unknown {
 			reason = "request " + r.Request + " used this idempotency key; its outcome is unknown"
@@ -86,16 +87,17 @@
 	if err := s.Write(&wirepb.Piece{Body: &wirepb.Piece_Admitted{Admitted: &wirepb.Admitted{}}}); err != nil {
 		return
 	}
-	a.passOn(ctx, s, j, 0, false)
+	a.streamResponse(ctx, s, j, 0, false)
 }
 
-// whole reports whether the answer is kept from its beginning.
-func (j *job) whole() bool {
+// retainsStart reports whether the response is retained from its first chunk on.
+func (j *job) retainsStart() bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	return j.first == 0
+	return j.firstChunk == 0
 }
 
+// serveResume streams the rest of a response after a lost connection.
 func (a *Agent) serveResume(ctx context.Context, s *wire.Stream, r *wirepb.Resume) {
 	j := a.jobs.get(attempt.ID{Request: r.Request, Attempt: r.Attempt})
 	if j == nil {
@@ -103,21 +105,21 @@
 		return
 	}
 	a.record(explain.Event{Kind: explain.Resume, Request: r.Request, Attempt: r.Attempt, Text: fmt.Sprintf("resumed from chunk %d", r.Next)})
-	a.passOn(ctx, s, j, r.Next, r.Next > 0)
+	a.streamResponse(ctx, s, j, r.Next, r.Next > 0)
 }
 
-// passOn writes a job's answer to a stream from a chunk on. A cancel from the
-// router stops the job; a lost stream leaves it to be resumed.
-func (a *Agent) passOn(ctx context.Context, s *wire.Stream, j *job, next uint64, headSeen bool) {
+// streamResponse writes a job's response to a stream, starting with chunk next. A
+// cancel from the router stops the job; after a lost stream it can be resumed.
+func (a *Agent) streamResponse(ctx context.Context, s *wire.Stream, j *job, next uint64, headSeen bool) {
 	j.attach()
 	defer j.detach()
 	lost := make(chan struct{})
-	a.duties.Go(ctx, "cancel watch", func(context.Context) { watchCancel(s, j, lost) })
+	a.goroutines.Go(ctx, "cancel watch", func(context.Context) { watchCancel(s, j, lost) })
 	for {
-		p := j.after(headSeen, next)
+		p := j.nextPiece(headSeen, next)
 		var err error
 		switch {
-		case p.gone:
+		case p.dropped:
 			_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_Unknown{Unknown: &wirepb.Unknown{Reason: "that part of the answer is no longer kept"}}})
 			return
 		case p.head != nil:
@@ -126,7 +128,7 @@
 		case p.chunk != nil:
 			err = s.Write(&wirepb.Piece{Body: &wirepb.Piece_Chunk{Chunk: &wirepb.Chunk{Number: next, Content: p.chunk}}})
 			next++
-			j.took(next)
+			j.markDelivered(next)
 		case p.last != nil:
 			_ = s.Write(p.last)
 			return
@@ -145,23 +147,24 @@
 	}
 }
 
-// watchCancel waits for the router's cancel, or for the stream's end.
+// watchCancel waits for a cancel from the router, or for the end of the stream, and
+// closes lost.
 func watchCancel(s *wire.Stream, j *job, lost chan<- struct{}) {
 	defer close(lost)
 	var c wirepb.Call
 	if err := s.Read(&c); err == nil && c.GetCancel() != nil {
-		j.cancel(errCallerLeft)
+		j.cancel(errCallerDisconnected)
 	}
 }
 
-// launch starts the goroutine that runs an admitted attempt.
-func (a *Agent) launch(parent context.Context, st *wirepb.Start, reserved float64) *job {
-	ctx := trace.ContextWithSpanContext(a.life, trace.SpanContextFromContext(parent))
+// startAttempt starts the goroutine that runs an admitted attempt.
+func (a *Agent) startAttempt(parent context.Context, st *wirepb.Start, reserved float64) *job {
+	ctx := trace.ContextWithSpanContext(a.lifetime, trace.SpanContextFromContext(parent))
 	ctx, cancel := context.WithCancelCause(ctx)
 	j := newJob(attempt.ID{Request: st.Request, Attempt: st.Attempt}, cancel)
 	a.jobs.put(j)
-	r := &run{agent: a, start: st, job: j, reserved: reserved}
-	a.duties.Go(ctx, "attempt", func(ctx context.Context) {
+	r := &attemptRun{agent: a, start: st, job: j, reserved: reserved}
+	a.goroutines.Go(ctx, "attempt", func(ctx context.Context) {
 		defer cancel(nil)
 		budget, stop := context.WithTimeoutCause(ctx, time.Duration(st.BudgetMs)*time.Millisecond, errDeadline)
 		defer stop()
@@ -170,74 +173,75 @@
 	return j
 }
 
-// run is the work of one admitted attempt.
-type run struct {
-	agent    *Agent
-	start    *wirepb.Start
-	job      *job
-	reserved float64
-	meter    *engine.Meter
-	charged  float64
-	at       time.Time // of the last charge
-	begun    bool      // the server has begun to answer
+// attemptRun executes one admitted attempt.
+type attemptRun struct {
+	agent      *Agent
+	start      *wirepb.Start
+	job        *job
+	reserved   float64 // remaining reservation
+	meter      *engine.Meter
+	charged    float64
+	lastCharge time.Time
+	responded  bool // the server has sent its status and headers
 }
 
-func (r *run) run(ctx context.Context) {
+func (r *attemptRun) run(ctx context.Context) {
 	ctx, span := r.agent.options.Tracer.Start(ctx, "agent.serve", trace.WithAttributes(attribute.String("request", r.start.Request)))
 	defer span.End()
 	r.meter = engine.NewMeter(r.agent.weights(), r.start.Content)
-	answer, err := r.engine(ctx)
+	response, err := r.callEngine(ctx)
 	if err != nil {
-		r.failedBefore(ctx, err)
+		r.finishWithoutResponse(ctx, err)
 		return
 	}
-	defer answer.Body.Close()
-	r.begun = true
-	r.job.setHead(&wirepb.Head{Status: uint32(answer.Status), Headers: headers(answer.Header)})
-	err = r.copy(ctx, answer.Body)
-	cost := r.cost(answer.Status)
+	defer response.Body.Close()
+	r.responded = true
+	r.job.setHead(&wirepb.Head{Status: uint32(response.Status), Headers: headers(response.Header)})
+	err = r.copyBody(ctx, response.Body)
+	cost := r.totalCost(response.Status)
 	r.charge(cost, true)
 	if err != nil {
-		r.cut(ctx, err, cost)
+		r.finishTruncated(ctx, err, cost)
 		return
 	}
-	v := served
-	if answer.Status >= http.StatusInternalServerError {
-		v = failed
+	signal := served
+	if response.Status >= http.StatusInternalServerError {
+		signal = failed
 	}
-	r.finish(&wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: r.job.count(), Complete: true, Cost: cost}}},
-		attempt.Executed{Complete: true}, v, fmt.Sprintf("the whole answer, status %d, %.0f weighted tokens", answer.Status, cost))
+	r.finish(&wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: r.job.chunkCount(), Complete: true, Cost: cost}}},
+		attempt.Executed{Complete: true}, signal, fmt.Sprintf("the whole answer, status %d, %.0f weighted tokens", response.Status, cost))
 }
 
-// engine makes the call, as a hop of its own in the trace.
-func (r *run) engine(ctx context.Context) (*engine.Answer, error) {
+// callEngine calls the server, in a span of its own.
+func (r *attemptRun) callEngine(ctx context.Context) (*engine.Response, error) {
 	_, span := r.agent.options.Tracer.Start(ctx, "engine.call", trace.WithAttributes(attribute.String("request", r.start.Request)))
 	defer span.End()
-	return r.agent.options.Engine.Do(ctx, r.call(trace.ContextWithSpan(ctx, span)))
+	return r.agent.options.Engine.Do(ctx, r.newCall(trace.ContextWithSpan(ctx, span)))
 }
 
-func (j *job) count() uint64 {
+func (j *job) chunkCount() uint64 {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	return j.next
+	return j.nextChunk
 }
 
-func (r *run) call(ctx context.Context) *engine.Call {
+func (r *attemptRun) newCall(ctx context.Context) *engine.Call {
 	h := http.Header{}
 	for _, f := range r.start.Headers {
 		h.Add(f.Name, f.Value)
 	}
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(h))
 	return &engine.Call{
-		Request: r.start.Request,
-		Method:  r.start.Method,
-		Path:    r.start.Path,
-		Header:  h,
-		Content: r.start.Content,
-		Urgent:  r.start.Urgent,
+		RequestID: r.start.Request,
+		Method:    r.start.Method,
+		Path:      r.start.Path,
+		Header:    h,
+		Body:      r.start.Content,
+		Urgent:    r.start.Urgent,
 	}
 }
 
+// weights returns the configured prices of tokens and calls.
 func (a *Agent) weights() engine.Weights {
 	const thousand = 1000
 	l := a.holder.Current().Limits.WithDefaults()
@@ -259,17 +263,18 @@
 	return list
 }
 
-// copy passes the answer's body into the job and charges it as it comes.
-func (r *run) copy(ctx context.Context, body io.Reader) error {
-	buffer := make([]byte, readBuffer)
+// copyBody reads the response body into the job and charges the account as it
+// arrives.
+func (r *attemptRun) copyBody(ctx context.Context, body io.Reader) error {
+	buffer := make([]byte, readBufferSize)
 	for {
-		if err := r.job.room(ctx); err != nil {
+		if err := r.job.waitForReadAhead(ctx); err != nil {
 			return err
 		}
 		n, err := body.Read(buffer)
 		if n > 0 {
 			_, _ = r.meter.Write(buffer[:n])
-			r.job.add(buffer[:n])
+			r.job.addChunk(buffer[:n])
 			r.charge(r.meter.Cost(), false)
 		}
 		if errors.Is(err, io.EOF) {
@@ -281,9 +286,9 @@
 	}
 }
 
-// cost returns what the attempt is charged in all: a plain service's calls have
-// the configured price, a model's answer what its meter says.
-func (r *run) cost(status int) float64 {
+// totalCost returns the total cost of the attempt: the configured price for a call of
+// a plain service, the metered cost for a model's response.
+func (r *attemptRun) totalCost(status int) float64 {
 	if p := r.agent.holder.Current().Pool(r.start.Pool); p != nil && p.Kind == "service" {
 		return r.agent.weights().Call
 	}
@@ -293,58 +298,59 @@
 	return max(r.meter.Finish(), r.charged)
 }
 
-// charge counts what has been served since the last charge, and takes the same
-// amount of the reservation back.
-func (r *run) charge(cost float64, last bool) {
+// charge charges the account for the cost since the last charge, and releases the
+// same amount of the reservation.
+func (r *attemptRun) charge(cost float64, last bool) {
 	if p := r.agent.holder.Current().Pool(r.start.Pool); !last && p != nil && p.Kind == "service" {
 		return
 	}
-	if !last && now().Sub(r.at) < chargeTime {
+	if !last && now().Sub(r.lastCharge) < minChargeInterval {
 		return
 	}
-	more := cost - r.charged
-	if more <= 0 {
+	delta := cost - r.charged
+	if delta <= 0 {
 		return
 	}
-	part := min(more, r.reserved)
+	released := min(delta, r.reserved)
 	r.charged = cost
-	r.reserved -= part
-	r.at = now()
-	r.agent.tell(chargeEvent{account: fair.Account(r.start.AccountId), cost: more, reserved: part})
+	r.reserved -= released
+	r.lastCharge = now()
+	r.agent.send(chargeEvent{account: fair.Account(r.start.AccountId), cost: delta, reserved: released})
 }
 
-// failedBefore ends an attempt to which the server gave no answer.
-func (r *run) failedBefore(ctx context.Context, err error) {
+// finishWithoutResponse ends an attempt that got no response from the server.
+func (r *attemptRun) finishWithoutResponse(ctx context.Context, err error) {
 	if errors.Is(err, engine.ErrNotSent) {
 		r.finish(&wirepb.Piece{Body: &wirepb.Piece_NotRun{NotRun: &wirepb.NotRun{Reason: "the server cannot be reached", Busy: true}}},
 			attempt.NotExecuted{Reason: err.Error()}, failed, "not run: "+err.Error())
 		return
 	}
 	if ctx.Err() != nil {
-		r.cut(ctx, context.Cause(ctx), 0)
+		r.finishTruncated(ctx, context.Cause(ctx), 0)
 		return
 	}
 	r.finish(&wirepb.Piece{Body: &wirepb.Piece_Unknown{Unknown: &wirepb.Unknown{Reason: "the server broke off before it answered"}}},
 		attempt.Unknown{Reason: err.Error()}, failed, "unknown: "+err.Error())
 }
 
-// cut ends an attempt whose answer broke off.
-func (r *run) cut(ctx context.Context, err error, cost float64) {
-	v := failed
+// finishTruncated ends an attempt whose response was truncated or canceled.
+func (r *attemptRun) finishTruncated(ctx context.Context, err error, cost float64) {
+	signal := failed
 	reason := "the server broke off its answer"
 	if ctx.Err() != nil {
-		v = noVerdict
+		signal = noSignal
 		reason = context.Cause(ctx).Error()
-		if errors.Is(context.Cause(ctx), errDeadline) && !r.begun {
-			v = failed
+		if errors.Is(context.Cause(ctx), errDeadline) && !r.responded {
+			signal = failed
 		}
 	}
-	r.finish(&wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: r.job.count(), Reason: reason, Cost: cost}}},
-		attempt.Executed{Reason: reason}, v, "cut: "+reason+": "+err.Error())
+	r.finish(&wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: r.job.chunkCount(), Reason: reason, Cost: cost}}},
+		attempt.Executed{Reason: reason}, signal, "cut: "+reason+": "+err.Error())
 }
 
-func (r *run) finish(last *wirepb.Piece, o attempt.Outcome, v verdict, text string) {
+// finish records the outcome and ends the response with its last piece.
+func (r *attemptRun) finish(last *wirepb.Piece, o attempt.Outcome, signal healthSignal, text string) {
 	r.agent.recordStart(explain.Outcome, r.start, text)
-	r.agent.tell(doneEvent{start: r.start, reserved: r.reserved, outcome: o, verdict: v})
+	r.agent.send(doneEvent{start: r.start, reserved: r.reserved, outcome: o, healthSignal: signal})
 	r.job.end(last)
 }
--- a/engine/enginetest/direct.go
+++ b/engine/enginetest/direct.go
@@ -15,39 +15,39 @@
 	"opalbridge.dev/engine"
 )
 
-// Direct gives a stand-in to an agent without a connection between them, for
-// tests in virtual time. It implements engine.Server.
+// Direct calls a fake server without a network connection, for tests in virtual
+// time. It implements engine.Server.
 type Direct struct {
-	Handler http.Handler
+	Handler http.Handler // the fake server
 
 	mutex sync.Mutex
 	down  bool
 }
 
-// SetDown makes calls fail as if the server's host refused connections.
+// SetDown sets whether calls fail as if the server's host refused connections.
 func (d *Direct) SetDown(down bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.down = down
 }
 
-// errBroken stands for a connection that broke.
-var errBroken = errors.New("enginetest: connection broken")
+// errConnectionBroken is returned in place of the error of a broken connection.
+var errConnectionBroken = errors.New("enginetest: connection broken")
 
 // Do implements engine.Server.
-func (d *Direct) Do(ctx context.Context, c *engine.Call) (*engine.Answer, error) {
+func (d *Direct) Do(ctx context.Context, c *engine.Call) (*engine.Response, error) {
 	d.mutex.Lock()
 	down := d.down
 	d.mutex.Unlock()
 	if down {
-		return nil, errors.Mark(errBroken, engine.ErrNotSent)
+		return nil, errors.Mark(errConnectionBroken, engine.ErrNotSent)
 	}
 	u, err := url.Parse(c.Path)
 	if err != nil {
 		return nil, errors.Mark(err, engine.ErrNotSent)
 	}
-	r := (&http.Request{Method: c.Method, URL: u, Header: c.Header.Clone(), Body: io.NopCloser(bytes.NewReader(c.Content))}).WithContext(ctx)
-	r.Header.Set(engine.RequestHeader, c.Request)
+	r := (&http.Request{Method: c.Method, URL: u, Header: c.Header.Clone(), Body: io.NopCloser(bytes.NewReader(c.Body))}).WithContext(ctx)
+	r.Header.Set(engine.RequestHeader, c.RequestID)
 	priority := "1"
 	if c.Urgent {
 		priority = "0"
@@ -63,10 +63,10 @@
 		return nil, ctx.Err()
 	}
 	if w.status == 0 {
-		return nil, errBroken
+		return nil, errConnectionBroken
 	}
 	context.AfterFunc(ctx, func() { reader.CloseWithError(ctx.Err()) })
-	return &engine.Answer{Status: w.status, Header: w.header, Body: reader}, nil
+	return &engine.Response{Status: w.status, Header: w.header, Body: reader}, nil
 }
 
 // Load implements engine.Server.
@@ -84,19 +84,21 @@
 	pipe   *io.PipeWriter
 	status int
 	once   sync.Once
-	ready  chan struct{} // closed when the status is known or never will be
+	ready  chan struct{} // closed when the status is known, or when there will be none
 }
 
+// serve runs the handler. A panic of the handler or a canceled request breaks the
+// connection.
 func (w *directWriter) serve(h http.Handler, r *http.Request) {
 	defer func() {
 		if recover() != nil {
 			w.once.Do(func() { close(w.ready) })
-			w.pipe.CloseWithError(errBroken)
+			w.pipe.CloseWithError(errConnectionBroken)
 			return
 		}
 		if r.Context().Err() != nil {
 			w.once.Do(func() { close(w.ready) })
-			w.pipe.CloseWithError(errBroken)
+			w.pipe.CloseWithError(errConnectionBroken)
 			return
 		}
 		w.WriteHeader(http.StatusOK)
--- a/engine/enginetest/model.go
+++ b/engine/enginetest/model.go
@@ -1,13 +1,13 @@
-// Package enginetest has small stand-ins for backend servers: a model engine that
-// batches continuously and a plain service that counts its executions.
+// Package enginetest provides fake backend servers: a model engine with continuous
+// batching and a plain service that counts its executions.
 //
 // # Usage
 //
 //	m := enginetest.NewModel(enginetest.ModelOptions{Models: []string{"small"}, Slots: 8})
 //	http.Serve(listener, m)
 //
-// Both are http.Handlers. They produce tokens that mean nothing; what they imitate
-// is time, order, counting and failure. They are for tests and the dev command.
+// Both are http.Handlers. They simulate timing, queueing, usage and failures, not the
+// content of responses. They are for tests and the dev command.
 package enginetest
 
 import (
@@ -26,39 +26,39 @@
 	"opalbridge.dev/engine"
 )
 
-// ModelOptions set up a Model. Zero values mean the defaults named.
+// ModelOptions configures a Model. Zero values select the defaults given below.
 type ModelOptions struct {
-	Models        []string
-	Slots         int           // requests in the batch at most; 8
-	PrefillToken  time.Duration // for each input token not in the cache; 20 µs
-	DecodeStep    time.Duration // for one token of a batch of one; 10 ms
-	DecodeExtra   time.Duration // more for each further request in the batch; 1 ms
-	CachePrompts  int           // prompt beginnings the cache holds; 64
-	LoadLag       time.Duration // age of a load report; 1 s
-	DefaultTokens int           // answer length when the caller sets none; 32
-	Burst         int           // tokens made and sent at once; 1
-	TallyHeader   string        // requests are tallied by this header's value; empty: not
-	Signed        bool          // tokens name their request
+	Models           []string
+	Slots            int           // maximum batch size, in requests; 8
+	PrefillPerToken  time.Duration // time for each input token that is not cached; 20 µs
+	DecodeStep       time.Duration // time for one token in a batch of one; 10 ms
+	DecodePerRequest time.Duration // added to DecodeStep for each further request; 1 ms
+	CachedPrefixes   int           // capacity of the prefix cache; 64
+	MaxLoadAge       time.Duration // maximum age of a load report; 1 s
+	DefaultTokens    int           // response length if the caller sets no limit; 32
+	Burst            int           // tokens generated and flushed at once; 1
+	LabelHeader      string        // header whose value labels token counts; empty for none
+	TagTokens        bool          // tokens contain their request's ID
 }
 
 func (o ModelOptions) withDefaults() ModelOptions {
 	if o.Slots == 0 {
 		o.Slots = 8
 	}
-	if o.PrefillToken == 0 {
-		o.PrefillToken = 20 * time.Microsecond
+	if o.PrefillPerToken == 0 {
+		o.PrefillPerToken = 20 * time.Microsecond
 	}
 	if o.DecodeStep == 0 {
 		o.DecodeStep = 10 * time.Millisecond
 	}
-	if o.DecodeExtra == 0 {
-		o.DecodeExtra = time.Millisecond
+	if o.DecodePerRequest == 0 {
+		o.DecodePerRequest = time.Millisecond
 	}
-	if o.CachePrompts == 0 {
-		o.CachePrompts = 64
+	if o.CachedPrefixes == 0 {
+		o.CachedPrefixes = 64
 	}
-	if o.LoadLag == 0 {
-		o.LoadLag = time.Second
+	if o.MaxLoadAge == 0 {
+		o.MaxLoadAge = time.Second
 	}
 	if o.Burst == 0 {
 		o.Burst = 1
@@ -69,46 +69,46 @@
 	return o
 }
 
-// ModelFaults tell a model how to misbehave.
+// ModelFaults are faults to inject into a Model.
 type ModelFaults struct {
-	Refuse     bool    // every call is answered with status 500
-	Silent     bool    // calls are taken and never answered
-	BreakAfter int     // answers break off after so many tokens; 0: never
-	Slower     float64 // decode takes so many times as long; 0: once
+	ReturnErrors bool    // every call gets status 500
+	Hang         bool    // calls are accepted and never answered
+	AbortAfter   int     // connections break after so many tokens; 0 for never
+	Slowdown     float64 // factor on the decode time; 0 means 1
 }
 
-// Model is the stand-in for a model engine.
+// Model is a fake of a model engine.
 type Model struct {
-	options ModelOptions
-	mutex   sync.Mutex
-	running int
-	waiting int
-	cache   []uint64 // prompt beginnings, latest last
-	runs    map[string]int
-	tokens  int
-	tally   map[string]Tally
-	busy    time.Duration // summed time of requests in the batch
-	faults  ModelFaults
-	report  engine.Load
-	at      time.Time
-	urgent  []chan struct{} // urgent calls that wait for a place
-	queue   []chan struct{} // other calls that wait for a place
+	options       ModelOptions
+	mutex         sync.Mutex
+	running       int
+	waiting       int
+	cache         []uint64 // hashes of cached prefixes, most recently used last
+	runs          map[string]int
+	tokens        int
+	tokensByLabel map[string]TokenCounts
+	busy          time.Duration // total time of requests in the batch
+	faults        ModelFaults
+	report        engine.Load
+	reportedAt    time.Time
+	urgentQueue   []chan struct{} // urgent calls that wait for a slot
+	queue         []chan struct{} // other calls that wait for a slot
 }
 
-// NewModel returns a model engine's stand-in.
+// NewModel returns a fake model engine.
 func NewModel(o ModelOptions) *Model {
 	o = o.withDefaults()
 	return &Model{options: o, runs: map[string]int{}}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (m *Model) SetFaults(f ModelFaults) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.faults = f
 }
 
-// Runs returns how often each request was executed, by request id.
+// Runs returns the number of executions of each request, by request ID.
 func (m *Model) Runs() map[string]int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -119,39 +119,40 @@
 	return runs
 }
 
-// Busy returns the summed time that requests spent in the batch, and the tokens
-// produced.
+// Busy returns the total time that requests spent in the batch, and the number of
+// generated tokens.
 func (m *Model) Busy() (time.Duration, int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.busy, m.tokens
 }
 
-// Tally is what a model did for the requests with one value of the tally header.
-type Tally struct{ Input, Cached, Output int } // tokens
+// TokenCounts are the tokens processed for the requests with one label.
+type TokenCounts struct{ Input, Cached, Output int } // tokens
 
-// Tally returns what was done so far, by value of the tally header.
-func (m *Model) Tally() map[string]Tally {
+// TokensByLabel returns the token counts so far, by value of LabelHeader.
+func (m *Model) TokensByLabel() map[string]TokenCounts {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return maps.Clone(m.tally)
+	return maps.Clone(m.tokensByLabel)
 }
 
-func (m *Model) count(r *http.Request, input, cached, output int) {
-	if m.options.TallyHeader == "" {
+// countTokens adds to the token counts of the request's label.
+func (m *Model) countTokens(r *http.Request, input, cached, output int) {
+	if m.options.LabelHeader == "" {
 		return
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.tally == nil {
-		m.tally = map[string]Tally{}
+	if m.tokensByLabel == nil {
+		m.tokensByLabel = map[string]TokenCounts{}
 	}
-	label := r.Header.Get(m.options.TallyHeader)
-	t := m.tally[label]
+	label := r.Header.Get(m.options.LabelHeader)
+	t := m.tokensByLabel[label]
 	t.Input += input
 	t.Cached += cached
 	t.Output += output
-	m.tally[label] = t
+	m.tokensByLabel[label] = t
 }
 
 // ServeHTTP implements http.Handler.
@@ -166,12 +167,12 @@
 	}
 }
 
-// load returns a report that is up to LoadLag old.
+// load returns a report that is at most MaxLoadAge old.
 func (m *Model) load() engine.Load {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if now := time.Now(); now.Sub(m.at) >= m.options.LoadLag {
-		m.at = now
+	if now := time.Now(); now.Sub(m.reportedAt) >= m.options.MaxLoadAge {
+		m.reportedAt = now
 		m.report = engine.Load{Running: m.running, Waiting: m.waiting, Slots: m.options.Slots}
 	}
 	return m.report
@@ -187,8 +188,8 @@
 	Options   struct {
 		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
-	// Actual is the answer's true length, which callers cannot know; load tools
-	// set it so that max_tokens is but a hint.
+	// Actual is the actual length of the response, which real callers cannot know.
+	// Load generators set it, and max_tokens is then only a hint.
 	Actual int `json:"x_actual_tokens"`
 }
 
@@ -202,83 +203,86 @@
 		http.Error(w, `{"error":{"message":"no such model","type":"invalid_request_error"}}`, http.StatusNotFound)
 		return
 	}
-	faults := m.begin(r.Header.Get(engine.RequestHeader))
+	faults := m.recordRun(r.Header.Get(engine.RequestHeader))
 	switch {
-	case faults.Refuse:
+	case faults.ReturnErrors:
 		http.Error(w, `{"error":{"message":"broken","type":"server_error"}}`, http.StatusInternalServerError)
 		return
-	case faults.Silent:
+	case faults.Hang:
 		<-r.Context().Done()
 		return
 	}
-	if !m.enter(r.Context(), r.Header.Get(engine.PriorityHeader) == "0") {
+	if !m.acquireSlot(r.Context(), r.Header.Get(engine.PriorityHeader) == "0") {
 		return
 	}
 	start := time.Now()
-	defer func() { m.leave(time.Since(start)) }()
+	defer func() { m.releaseSlot(time.Since(start)) }()
 	m.generate(w, r, &c, content, faults)
 }
 
-func (m *Model) begin(request string) ModelFaults {
+// recordRun counts an execution and returns the faults to inject.
+func (m *Model) recordRun(request string) ModelFaults {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.runs[request]++
 	return m.faults
 }
 
-// enter waits for a place in the batch; urgent calls go first.
-func (m *Model) enter(ctx context.Context, urgent bool) bool {
+// acquireSlot waits for a slot in the batch, urgent calls first. It reports false if
+// ctx is done first.
+func (m *Model) acquireSlot(ctx context.Context, urgent bool) bool {
 	m.mutex.Lock()
 	if m.running < m.options.Slots {
 		m.running++
 		m.mutex.Unlock()
 		return true
 	}
-	turn := make(chan struct{})
+	ready := make(chan struct{})
 	if urgent {
-		m.urgent = append(m.urgent, turn)
+		m.urgentQueue = append(m.urgentQueue, ready)
 	} else {
-		m.queue = append(m.queue, turn)
+		m.queue = append(m.queue, ready)
 	}
 	m.waiting++
 	m.mutex.Unlock()
 	select {
-	case <-turn:
+	case <-ready:
 		return true
 	case <-ctx.Done():
-		return m.giveUp(turn)
+		return m.abandonSlot(ready)
 	}
 }
 
-// giveUp takes a call out of the waiting line; one that was given its place at
-// the same moment hands it on.
-func (m *Model) giveUp(turn chan struct{}) bool {
+// abandonSlot removes a call from the queue. If the call got its slot at the same
+// time, it passes the slot on.
+func (m *Model) abandonSlot(ready chan struct{}) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	same := func(c chan struct{}) bool { return c == turn }
-	before := len(m.urgent) + len(m.queue)
-	m.urgent = slices.DeleteFunc(m.urgent, same)
+	same := func(c chan struct{}) bool { return c == ready }
+	before := len(m.urgentQueue) + len(m.queue)
+	m.urgentQueue = slices.DeleteFunc(m.urgentQueue, same)
 	m.queue = slices.DeleteFunc(m.queue, same)
-	if len(m.urgent)+len(m.queue) < before {
+	if len(m.urgentQueue)+len(m.queue) < before {
 		m.waiting--
 		return false
 	}
-	m.handOn()
+	m.passSlot()
 	return false
 }
 
-func (m *Model) leave(spent time.Duration) {
+func (m *Model) releaseSlot(spent time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.busy += spent
-	m.handOn()
+	m.passSlot()
 }
 
-func (m *Model) handOn() {
+// passSlot gives a slot to the next waiting call, urgent calls first, or frees it.
+func (m *Model) passSlot() {
 	var next chan struct{}
 	switch {
-	case len(m.urgent) > 0:
-		next, m.urgent = m.urgent[0], m.urgent[1:]
+	case len(m.urgentQueue) > 0:
+		next, m.urgentQueue = m.urgentQueue[0], m.urgentQueue[1:]
 	case len(m.queue) > 0:
 		next, m.queue = m.queue[0], m.queue[1:]
 	default:
@@ -291,43 +295,44 @@
 
 var seed = maphash.MakeSeed()
 
-const prefixBytes = 256
+const cachedPrefixBytes = 256
 
-// prefill returns the input tokens and how many of them were in the cache.
+// prefill returns the number of input tokens and how many of them were cached.
 func (m *Model) prefill(content []byte) (tokens, cached int) {
 	tokens = len(content) / 4
-	beginning := maphash.Bytes(seed, content[:min(len(content), prefixBytes)])
+	prefix := maphash.Bytes(seed, content[:min(len(content), cachedPrefixBytes)])
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if at := slices.Index(m.cache, beginning); at >= 0 {
+	if at := slices.Index(m.cache, prefix); at >= 0 {
 		cached = tokens / 2
 		m.cache = slices.Delete(m.cache, at, at+1)
 	}
-	m.cache = append(m.cache, beginning)
-	if len(m.cache) > m.options.CachePrompts {
+	m.cache = append(m.cache, prefix)
+	if len(m.cache) > m.options.CachedPrefixes {
 		m.cache = m.cache[1:]
 	}
 	return tokens, cached
 }
 
-// step returns how long so many tokens take with the batch as it is.
-func (m *Model) step(tokens int) time.Duration {
+// decodeTime returns the time to decode so many tokens at the current batch size.
+func (m *Model) decodeTime(tokens int) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.tokens += tokens
-	d := m.options.DecodeStep + time.Duration(m.running-1)*m.options.DecodeExtra
-	if m.faults.Slower > 0 {
-		d = time.Duration(float64(d) * m.faults.Slower)
+	d := m.options.DecodeStep + time.Duration(m.running-1)*m.options.DecodePerRequest
+	if m.faults.Slowdown > 0 {
+		d = time.Duration(float64(d) * m.faults.Slowdown)
 	}
 	return d * time.Duration(tokens)
 }
 
+// generate runs prefill and decoding, and writes the response.
 func (m *Model) generate(w http.ResponseWriter, r *http.Request, c *completion, content []byte, f ModelFaults) {
 	input, cached := m.prefill(content)
-	if !pause(r.Context(), time.Duration(input-cached)*m.options.PrefillToken) {
+	if !sleep(r.Context(), time.Duration(input-cached)*m.options.PrefillPerToken) {
 		return
 	}
-	m.count(r, input, cached, 0)
+	m.countTokens(r, input, cached, 0)
 	length := m.length(c)
 	if c.Stream {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -338,18 +343,18 @@
 	var events bytes.Buffer
 	for i := 0; i < length; i += m.options.Burst {
 		n := min(m.options.Burst, length-i)
-		if !pause(r.Context(), m.step(n)) {
+		if !sleep(r.Context(), m.decodeTime(n)) {
 			return
 		}
-		if f.BreakAfter > 0 && i+n > f.BreakAfter {
+		if f.AbortAfter > 0 && i+n > f.AbortAfter {
 			panic(http.ErrAbortHandler)
 		}
-		m.count(r, 0, 0, n)
+		m.countTokens(r, 0, 0, n)
 		for j := range n {
-			word := m.word(r, i+j)
-			text = append(text, word...)
+			token := m.token(r, i+j)
+			text = append(text, token...)
 			if c.Stream {
-				appendEvent(&events, r.URL.Path, c.Model, word, "")
+				appendEvent(&events, r.URL.Path, c.Model, token, "")
 			}
 		}
 		if c.Stream {
@@ -372,29 +377,30 @@
 		fmt.Fprint(w, "data: [DONE]\n\n")
 		return
 	}
-	writeWhole(w, r.URL.Path, c.Model, string(text), u)
+	writeCompletion(w, r.URL.Path, c.Model, string(text), u)
 }
 
-func (m *Model) word(r *http.Request, i int) string {
-	if m.options.Signed {
+func (m *Model) token(r *http.Request, i int) string {
+	if m.options.TagTokens {
 		return fmt.Sprintf("%s.%d ", r.Header.Get(engine.RequestHeader), i)
 	}
 	return fmt.Sprintf("t%d ", i)
 }
 
+// length returns the number of tokens to generate.
 func (m *Model) length(c *completion) int {
-	most := max(c.MaxTokens, c.MaxNew)
+	limit := max(c.MaxTokens, c.MaxNew)
 	switch {
 	case c.Actual > 0:
 		return c.Actual
-	case most > 0:
-		return most
+	case limit > 0:
+		return limit
 	default:
 		return m.options.DefaultTokens
 	}
 }
 
-func appendEvent(w *bytes.Buffer, path, model, word, finish string) {
+func appendEvent(w *bytes.Buffer, path, model, token, finish string) {
 	choice := map[string]any{"index": 0, "finish_reason": nil}
 	if finish != "" {
 		choice["finish_reason"] = finish
@@ -402,15 +408,15 @@
 	object := "text_completion"
 	if path == "/v1/chat/completions" {
 		object = "chat.completion.chunk"
-		choice["delta"] = map[string]any{"content": word}
+		choice["delta"] = map[string]any{"content": token}
 	} else {
-		choice["text"] = word
+		choice["text"] = token
 	}
 	b, _ := json.Marshal(map[string]any{"id": "x", "object": object, "created": 0, "model": model, "choices": []any{choice}})
 	fmt.Fprintf(w, "data: %s\n\n", b)
 }
 
-func writeWhole(w http.ResponseWriter, path, model, text string, u any) {
+func writeCompletion(w http.ResponseWriter, path, model, text string, u any) {
 	choice := map[string]any{"index": 0, "finish_reason": "stop"}
 	object := "text_completion"
 	if path == "/v1/chat/completions" {
@@ -422,8 +428,8 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"id": "x", "object": object, "created": 0, "model": model, "choices": []any{choice}, "usage": u})
 }
 
-// pause waits for d and reports false when ctx ended first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It reports false if ctx is done first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/router/agents.go
+++ b/router/agents.go
@@ -38,7 +38,7 @@
 			}
 		}
 	})
-	connections.Collect(ctx)
+	connections.Wait(ctx)
 }
 
 // updateLinks starts links to newly desired agents, and closes links whose address
