--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -93,31 +93,31 @@
 
 // Size is how large a fleet is.
 type Size struct {
-	Routers    float64 // the letter's nodes before the servers
-	Servers    float64
-	Slots      float64 // places of a server, assumed: eight for each accelerator
-	Requests   float64 // a second at the peak
-	Tokens     float64 // a second at the peak
-	Accounts   float64
-	Backlogged float64
-	Models     float64
-	Halls      float64
-	Changes    float64 // of configuration a day
-	Degree     float64 // agents a router connects to of each model, chosen
-	Summing    float64 // routers of a hall that sum
-	Interval   float64 // seconds between reports
+	Routers     float64 // the letter's nodes before the servers
+	Servers     float64
+	Slots       float64 // places of a server, assumed: eight for each accelerator
+	Requests    float64 // a second at the peak
+	Tokens      float64 // a second at the peak
+	Accounts    float64
+	Backlogged  float64
+	Models      float64
+	Halls       float64
+	Changes     float64 // of configuration a day
+	Degree      float64 // agents a router connects to of each model, chosen
+	Aggregators float64 // routers of a hall that sum
+	Interval    float64 // seconds between reports
 }
 
 // TwoYears is the size that decides the design (source: the users' letter); the
 // last three are ours.
 var TwoYears = Size{
 	Routers: 2400, Servers: 10000, Slots: 64, Requests: 110_000, Tokens: 45_000_000, Accounts: 400, Backlogged: 40,
-	Models: 35, Halls: 15, Changes: 8900, Degree: 24, Summing: 2, Interval: 2,
+	Models: 35, Halls: 15, Changes: 8900, Degree: 24, Aggregators: 2, Interval: 2,
 }
 
 // Limits of the letter for a node's control.
 const (
-	LimitCore   = 4.8 // percent
+	LimitCPU    = 4.8 // percent
 	LimitMemory = 256 // MB
 	LimitBytes  = 10  // KB a second
 	LimitReads  = 2000
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -37,16 +37,16 @@
 	end         = "<!-- end of the generated part -->\n"
 )
 
-func TestFitFindsALine(t *testing.T) {
+func TestFitLine(t *testing.T) {
 	s := capacity.Fit("s", "x", "y", []capacity.Point{{X: 1, Y: 5}, {X: 2, Y: 7}, {X: 3, Y: 9}, {X: 4, Y: 11}})
 	require.InDelta(t, 2, s.Value, 1e-9)
 	require.InDelta(t, 3, s.Base, 1e-9)
 	require.InDelta(t, 0, s.Error, 1e-9)
 }
 
-// TestPageAgreesWithTheFigures fails when the page's tables are not what the
+// TestPageMatchesFigures fails when the page's tables are not what the
 // figures give.
-func TestPageAgreesWithTheFigures(t *testing.T) {
+func TestPageMatchesFigures(t *testing.T) {
 	f, err := capacity.Read(figuresPath)
 	require.NoError(t, err)
 	for _, s := range f.Slopes {
@@ -169,7 +169,7 @@
 	return r.Control
 }
 
-func book(accounts, waiting int) (*fair.Tracker, []fair.Total, []fair.Candidate) {
+func newTracker(accounts, waiting int) (*fair.Tracker, []fair.Total, []fair.Candidate) {
 	b := fair.NewTracker(fair.Options{Slots: 64, DebtCap: 60000})
 	var totals []fair.Total
 	var candidates []fair.Candidate
@@ -185,7 +185,7 @@
 	return b, totals, candidates
 }
 
-func timeOf(f func()) float64 {
+func nsPerOp(f func()) float64 {
 	r := testing.Benchmark(func(b *testing.B) {
 		for b.Loop() {
 			f()
@@ -195,8 +195,8 @@
 }
 
 func pickTime(waiting int) float64 {
-	b, _, candidates := book(400, waiting)
-	return timeOf(func() {
+	b, _, candidates := newTracker(400, waiting)
+	return nsPerOp(func() {
 		at := b.Pick(candidates)
 		b.Reserve(candidates[at].Account, 100)
 		b.Charge(candidates[at].Account, 100, 100)
@@ -204,8 +204,8 @@
 }
 
 func mergeTime(accounts int) float64 {
-	b, totals, _ := book(accounts, 40)
-	return timeOf(func() {
+	b, totals, _ := newTracker(accounts, 40)
+	return nsPerOp(func() {
 		sequence, _ := b.Report(false)
 		b.Merge(sequence, totals)
 		b.CapDebts()
@@ -238,7 +238,7 @@
 	}
 	report := hallReport(40)
 	sequence := uint64(1)
-	return timeOf(func() {
+	return nsPerOp(func() {
 		sequence++
 		h.Report("agent-0", "x", sequence, report)
 		f.Update(ledger.HallSum{Hall: "0", Source: "r", Sequence: sequence, Totals: h.Changed()})
@@ -246,7 +246,7 @@
 	})
 }
 
-func inUse() float64 {
+func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -255,9 +255,9 @@
 }
 
 func hallMemory(agents int) float64 {
-	before := inUse()
+	before := memoryInUse()
 	h := hall(agents)
-	after := inUse()
+	after := memoryInUse()
 	runtime.KeepAlive(h)
 	return after - before
 }
@@ -268,7 +268,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	before := inUse()
+	before := memoryInUse()
 	var kept []*wire.Peer
 	for range connections {
 		accepted := make(chan *wire.Peer, 1)
@@ -286,7 +286,7 @@
 		require.NoError(t, err)
 		kept = append(kept, p, <-accepted)
 	}
-	after := inUse()
+	after := memoryInUse()
 	for _, p := range kept {
 		p.Close(nil)
 	}
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -13,11 +13,11 @@
 	Error     float64
 	Unit      string
 	Limit     float64 // zero: none
-	From      string  // measured, worked out or assumed
+	Source    string  // measured, worked out or assumed
 }
 
-// over reports whether the entry is above its limit.
-func (e Entry) over() bool { return e.Limit > 0 && e.Value > e.Limit }
+// exceedsLimit reports whether the entry is above its limit.
+func (e Entry) exceedsLimit() bool { return e.Limit > 0 && e.Value > e.Limit }
 
 const (
 	kilo = 1000
@@ -25,12 +25,14 @@
 	day  = 24 * 60 * 60
 )
 
-// links is how many agents a router is connected to.
-func (z Size) links() float64 { return z.Degree * z.Models }
+// routerConnections is how many agents a router is connected to.
+func (z Size) routerConnections() float64 { return z.Degree * z.Models }
 
-// linksOfAgent is how many routers an agent is connected to, those that sum its
+// agentConnections is how many routers an agent is connected to, those that sum its
 // hall's counters included.
-func (z Size) linksOfAgent() float64 { return z.Routers*z.links()/z.Servers + z.Summing }
+func (z Size) agentConnections() float64 {
+	return z.Routers*z.routerConnections()/z.Servers + z.Aggregators
+}
 
 // hallAgents is how many agents a summing router hears.
 func (z Size) hallAgents() float64 { return z.Servers / z.Halls }
@@ -39,7 +41,7 @@
 func (f *Figures) Agent(z Size) []Entry {
 	report := f.Slope("report bytes")
 	reports := (report.Value*z.Backlogged + report.Base) / z.Interval
-	each := z.Summing + 1 // reports to each that sums, and one answer
+	each := z.Aggregators + 1 // reports to each that sums, and one answer
 	pick, merge := f.Slope("pick"), f.Slope("merge")
 	picks := z.Requests / z.Servers
 	link := f.Slope("connection memory")
@@ -47,9 +49,9 @@
 	return []Entry{
 		{"reports and totals", "hall's summing routers, cumulative counters", reports * each / kilo, report.Error * z.Backlogged * each / z.Interval / kilo, "KB/s", LimitBytes, "slope × size"},
 		{"wants and grants, both ways", "counts told when far off, one grant a request", want.Value * picks / kilo, want.Error * picks / kilo, "KB/s", LimitBytes, "slope × size"},
-		{"picks", "one scan of the accounts that wait", (pick.Value*z.Backlogged + pick.Base) * picks / 1e9 * 100, pick.Error * z.Backlogged * picks / 1e9 * 100, "% of a core", LimitCore, "slope × size"},
-		{"merging totals", "one pass over the accounts", (merge.Value*z.Accounts + merge.Base) / z.Interval / 1e9 * 100, merge.Error * z.Accounts / z.Interval / 1e9 * 100, "% of a core", LimitCore, "slope × size"},
-		{"connections from routers", "bounded subsets", link.Value * z.linksOfAgent() / mega, link.Error * z.linksOfAgent() / mega, "MB", LimitMemory, "slope × size"},
+		{"picks", "one scan of the accounts that wait", (pick.Value*z.Backlogged + pick.Base) * picks / 1e9 * 100, pick.Error * z.Backlogged * picks / 1e9 * 100, "% of a core", LimitCPU, "slope × size"},
+		{"merging totals", "one pass over the accounts", (merge.Value*z.Accounts + merge.Base) / z.Interval / 1e9 * 100, merge.Error * z.Accounts / z.Interval / 1e9 * 100, "% of a core", LimitCPU, "slope × size"},
+		{"connections from routers", "bounded subsets", link.Value * z.agentConnections() / mega, link.Error * z.agentConnections() / mega, "MB", LimitMemory, "slope × size"},
 	}
 }
 
@@ -61,17 +63,17 @@
 	gossip := f.Slope("gossip bytes")
 	answer, sum := f.Slope("answer"), f.Slope("hall memory")
 	perReport := report.Value*z.Backlogged + report.Base
-	hears := perReport * z.hallAgents() * 2 / z.Interval * (1 + 1/z.Summing) / 2
+	hears := perReport * z.hallAgents() * 2 / z.Interval * (1 + 1/z.Aggregators) / 2
 	exchanged := perReport * 2 * (z.Halls - 1) / z.Interval
 	requests := z.Requests / z.Routers
 	distances := 12.0 // powers of two below 2,400
 	return []Entry{
-		{"connections to agents", "subset of each model's agents", link.Value * z.links() / mega, link.Error * z.links() / mega, "MB", LimitMemory, "slope × size"},
+		{"connections to agents", "subset of each model's agents", link.Value * z.routerConnections() / mega, link.Error * z.routerConnections() / mega, "MB", LimitMemory, "slope × size"},
 		{"wants and grants", "counts told when far off", want.Value * requests / kilo, want.Error * requests / kilo, "KB/s", LimitBytes, "slope × size"},
 		{"gossip of revisions", "routers at distances of powers of two", gossip.Value * distances / kilo, gossip.Error * distances / kilo, "KB/s", LimitBytes, "slope × size"},
 		{"summing router: reports of its hall", "two routers hear the whole hall", hears / kilo, report.Error * z.Backlogged * z.hallAgents() / z.Interval / kilo, "KB/s", LimitBytes, "slope × size"},
 		{"summing router: sums of other halls", "one exchange with each hall an interval", exchanged / kilo, report.Error * z.Backlogged * 2 * z.Halls / z.Interval / kilo, "KB/s", LimitBytes, "slope × size"},
-		{"summing router: counting reports and answering", "running sums; one pass over the accounts a report", (answer.Value*z.Accounts + answer.Base) * z.hallAgents() / z.Interval / 1e9 * 100, answer.Error * z.Accounts * z.hallAgents() / z.Interval / 1e9 * 100, "% of a core", LimitCore, "slope × size"},
+		{"summing router: counting reports and answering", "running sums; one pass over the accounts a report", (answer.Value*z.Accounts + answer.Base) * z.hallAgents() / z.Interval / 1e9 * 100, answer.Error * z.Accounts * z.hallAgents() / z.Interval / 1e9 * 100, "% of a core", LimitCPU, "slope × size"},
 		{"summing router: counters of its hall", "one row for each agent and account", sum.Value * z.hallAgents() / mega, sum.Error * z.hallAgents() / mega, "MB", LimitMemory, "slope × size"},
 	}
 }
@@ -100,11 +102,11 @@
 		limit, verdict := "", ""
 		if e.Limit > 0 {
 			limit, verdict = fmt.Sprintf("%g", e.Limit), "within"
-			if e.over() {
+			if e.exceedsLimit() {
 				verdict = "**over**"
 			}
 		}
-		fmt.Fprintf(&b, "| %s | %s | %.3g ± %.1g | %s | %s | %s | %s |\n", e.Load, e.Mechanism, e.Value, e.Error, e.Unit, limit, verdict, e.From)
+		fmt.Fprintf(&b, "| %s | %s | %.3g ± %.1g | %s | %s | %s | %s |\n", e.Load, e.Mechanism, e.Value, e.Error, e.Unit, limit, verdict, e.Source)
 	}
 	return b.String()
 }
--- a/cmd/opalbridge/account.go
+++ b/cmd/opalbridge/account.go
@@ -28,9 +28,9 @@
 			logs, closeLogs, err := openLogs(c.Args().Slice(), c.Root().Reader)
 			defer closeLogs()
 			if err != nil {
-				return usage(errors.Wrap(err, "account"))
+				return usageError(errors.Wrap(err, "account"))
 			}
-			a, err := explain.Account(logs...)
+			a, err := explain.ReadAccounting(logs...)
 			if err != nil {
 				return err
 			}
--- a/cmd/opalbridge/bench_test.go
+++ b/cmd/opalbridge/bench_test.go
@@ -19,17 +19,17 @@
 	"opalbridge.dev/engine/enginetest"
 )
 
-// quickModel is a stand-in that costs almost no time of its own.
-func quickModel() *enginetest.Model {
+// fastModel is a stand-in that costs almost no time of its own.
+func fastModel() *enginetest.Model {
 	return enginetest.NewModel(enginetest.ModelOptions{
 		Models: []string{devModel}, Slots: 4096, PrefillToken: time.Nanosecond, DecodeStep: time.Microsecond, DecodeExtra: time.Nanosecond,
 	})
 }
 
-// startQuick starts a dev fleet whose model servers are quick.
-func startQuick(b testing.TB, slots int, model func() http.Handler) *devFleet {
+// startFastFleet starts a dev fleet whose model servers are quick.
+func startFastFleet(b testing.TB, slots int, model func() http.Handler) *devFleet {
 	life, end := context.WithCancel(context.Background())
-	f := &devFleet{life: life, model: model, slots: slots}
+	f := &devFleet{ctx: life, model: model, slots: slots}
 	require.NoError(b, f.start("127.0.0.1:0"))
 	require.NoError(b, f.waitReady(context.Background()))
 	b.Cleanup(func() { f.stop(end) })
@@ -40,8 +40,8 @@
 	return fmt.Appendf(nil, `{"model":%q,"stream":%v,"max_tokens":%d,"messages":[{"role":"user","content":"x"}]}`, devModel, stream, tokens)
 }
 
-// first sends a request and returns the time to the answer's first byte.
-func first(b testing.TB, client *http.Client, url, key string, content []byte) time.Duration {
+// timeToFirstByte sends a request and returns the time to the answer's timeToFirstByte byte.
+func timeToFirstByte(b testing.TB, client *http.Client, url, key string, content []byte) time.Duration {
 	r, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(content))
 	require.NoError(b, err)
 	r.Header.Set("Authorization", "Bearer "+key)
@@ -66,15 +66,15 @@
 // BenchmarkFirstByte compares the time to the first byte with the stand-in called
 // directly, both in turn in one run.
 func BenchmarkFirstByte(b *testing.B) {
-	f := startQuick(b, 64, func() http.Handler { return quickModel() })
-	direct := httptest.NewServer(quickModel())
+	f := startFastFleet(b, 64, func() http.Handler { return fastModel() })
+	direct := httptest.NewServer(fastModel())
 	defer direct.Close()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	content := body(4, true)
 	var through, alone []time.Duration
 	for b.Loop() {
-		through = append(through, first(b, client, f.callers[0], f.keys[0], content))
-		alone = append(alone, first(b, client, direct.URL, "", content))
+		through = append(through, timeToFirstByte(b, client, f.callers[0], f.keys[0], content))
+		alone = append(alone, timeToFirstByte(b, client, direct.URL, "", content))
 	}
 	const middle, high = 50, 99
 	b.ReportMetric(percentile(through, middle)-percentile(alone, middle), "added-p50-ms")
@@ -82,7 +82,7 @@
 	b.ReportMetric(percentile(alone, middle), "direct-p50-ms")
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -93,19 +93,19 @@
 func BenchmarkThroughput(b *testing.B) {
 	for _, tokens := range []int{1, 200} {
 		b.Run(fmt.Sprint(tokens, " tokens"), func(b *testing.B) {
-			f := startQuick(b, 256, func() http.Handler { return quickModel() })
+			f := startFastFleet(b, 256, func() http.Handler { return fastModel() })
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 			content := body(tokens, true)
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			processor := processorTime()
+			processor := cpuTime()
 			b.SetParallelism(4)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					first(b, client, f.callers[0], f.keys[0], content)
+					timeToFirstByte(b, client, f.callers[0], f.keys[0], content)
 				}
 			})
-			spent := (processorTime() - processor).Seconds()
+			spent := (cpuTime() - processor).Seconds()
 			runtime.ReadMemStats(&after)
 			b.ReportMetric(float64(b.N)/spent, "requests/cpu-s")
 			b.ReportMetric(float64(b.N*tokens)/spent, "tokens/cpu-s")
@@ -141,10 +141,10 @@
 }
 
 func idleStreams(b testing.TB, streams int) float64 {
-	f := startQuick(b, 4096, idleModel)
+	f := startFastFleet(b, 4096, idleModel)
 	client := &http.Client{Transport: &http.Transport{}}
 	ctx, cancel := context.WithCancel(context.Background())
-	before := inUse()
+	before := memoryInUse()
 	var open sync.WaitGroup
 	for range streams {
 		open.Go(func() {
@@ -157,12 +157,12 @@
 		})
 	}
 	open.Wait()
-	after := inUse()
+	after := memoryInUse()
 	cancel()
 	return after - before
 }
 
-func inUse() float64 {
+func memoryInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/cmd/opalbridge/check.go
+++ b/cmd/opalbridge/check.go
@@ -31,14 +31,14 @@
 func check(_ context.Context, c *cli.Command) error {
 	role := settings.Role(c.String("role"))
 	if !slices.Contains(settings.Roles, role) {
-		return usage(errors.Newf("check: --role %q is none of %v", role, settings.Roles))
+		return usageError(errors.Newf("check: --role %q is none of %v", role, settings.Roles))
 	}
 	if c.Bool("reference") {
 		printReference(c, role)
 		return nil
 	}
 	if c.Args().Len() != 1 {
-		return usage(errors.New("check: name one settings file"))
+		return usageError(errors.New("check: name one settings file"))
 	}
 	if _, err := readSettings(role, c.Args().First()); err != nil {
 		return err
@@ -50,11 +50,11 @@
 func readSettings(role settings.Role, file string) (*settings.Settings, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	s, err := settings.Parse(role, content)
 	if err != nil {
-		return nil, usage(errors.Newf("%s: %v", file, err))
+		return nil, usageError(errors.Newf("%s: %v", file, err))
 	}
 	return s, nil
 }
@@ -78,7 +78,7 @@
 		ArgsUsage: "TOKEN",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
-				return usage(errors.New("hash: name one token"))
+				return usageError(errors.New("hash: name one token"))
 			}
 			fmt.Fprintln(c.Root().Writer, config.HashKey(c.Args().First()))
 			return nil
--- a/cmd/opalbridge/ctl.go
+++ b/cmd/opalbridge/ctl.go
@@ -60,14 +60,14 @@
 				if err != nil {
 					return err
 				}
-				return changed(c, c.api.PutPool, ctx, &operatorpb.PutPoolRequest{Pool: &operatorpb.Pool{Name: name, Kind: c.cmd.String("kind")}, Expect: c.expect()})
+				return applyChange(c, c.api.PutPool, ctx, &operatorpb.PutPoolRequest{Pool: &operatorpb.Pool{Name: name, Kind: c.cmd.String("kind")}, Expect: c.expect()})
 			})},
 		{Name: "delete", ArgsUsage: "NAME", Action: withClient(func(ctx context.Context, c *client) error {
 			name, err := c.name()
 			if err != nil {
 				return err
 			}
-			return changed(c, c.api.DeletePool, ctx, &operatorpb.DeletePoolRequest{Name: name, Expect: c.expect()})
+			return applyChange(c, c.api.DeletePool, ctx, &operatorpb.DeletePoolRequest{Name: name, Expect: c.expect()})
 		})},
 	}}
 }
@@ -85,22 +85,22 @@
 				return err
 			}
 			v := &operatorpb.Server{Name: name, Hall: c.cmd.String("hall"), Pools: c.cmd.StringSlice("pool"), Leaving: c.cmd.Bool("leaving")}
-			return changed(c, c.api.PutServer, ctx, &operatorpb.PutServerRequest{Server: v, Expect: c.expect()})
+			return applyChange(c, c.api.PutServer, ctx, &operatorpb.PutServerRequest{Server: v, Expect: c.expect()})
 		})},
 		{Name: "delete", ArgsUsage: "NAME", Action: withClient(func(ctx context.Context, c *client) error {
 			name, err := c.name()
 			if err != nil {
 				return err
 			}
-			return changed(c, c.api.DeleteServer, ctx, &operatorpb.DeleteServerRequest{Name: name, Expect: c.expect()})
+			return applyChange(c, c.api.DeleteServer, ctx, &operatorpb.DeleteServerRequest{Name: name, Expect: c.expect()})
 		})},
 	}}
 }
 
 // limitFlags are the fleet's limits as flags; what is not named keeps its value.
 var limitFlags = []struct {
-	name string
-	of   func(*operatorpb.Limits) *uint32
+	name  string
+	field func(*operatorpb.Limits) *uint32
 }{
 	{"max-waiting", func(l *operatorpb.Limits) *uint32 { return &l.MaxWaiting }},
 	{"max-body-bytes", func(l *operatorpb.Limits) *uint32 { return &l.MaxBodyBytes }},
@@ -125,19 +125,19 @@
 func ctlLimits(ctx context.Context, c *client) error {
 	now, err := c.api.GetConfiguration(ctx, connect.NewRequest(&operatorpb.GetConfigurationRequest{}))
 	if err != nil {
-		return c.failed(err)
+		return c.withExitCode(err)
 	}
 	limits := now.Msg.Limits
 	for _, f := range limitFlags {
 		if c.cmd.IsSet(f.name) {
-			*f.of(limits) = c.cmd.Uint32(f.name)
+			*f.field(limits) = c.cmd.Uint32(f.name)
 		}
 	}
 	expect := c.expect()
 	if expect == 0 {
 		expect = now.Msg.Revision // the values kept are those of this revision
 	}
-	return changed(c, c.api.PutLimits, ctx, &operatorpb.PutLimitsRequest{Limits: limits, Expect: expect})
+	return applyChange(c, c.api.PutLimits, ctx, &operatorpb.PutLimitsRequest{Limits: limits, Expect: expect})
 }
 
 // client is one call of ctl.
@@ -149,7 +149,7 @@
 func withClient(f func(context.Context, *client) error) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		if o := cmd.String("output"); o != "table" && o != "json" {
-			return usage(errors.Newf("ctl: --output %q is neither table nor json", o))
+			return usageError(errors.Newf("ctl: --output %q is neither table nor json", o))
 		}
 		ctx, cancel := context.WithTimeout(ctx, cmd.Duration("timeout"))
 		defer cancel()
@@ -170,13 +170,13 @@
 
 func (c *client) name() (string, error) {
 	if c.cmd.Args().Len() != 1 {
-		return "", usage(errors.Newf("ctl %s: name one", c.cmd.FullName()))
+		return "", usageError(errors.Newf("ctl %s: name one", c.cmd.FullName()))
 	}
 	return c.cmd.Args().First(), nil
 }
 
-// failed gives an error of the fleet its exit code.
-func (c *client) failed(err error) error {
+// withExitCode gives an error of the fleet its exit code.
+func (c *client) withExitCode(err error) error {
 	code := exitFailure
 	switch connect.CodeOf(err) {
 	case connect.CodeAborted:
@@ -204,11 +204,11 @@
 	return w.Flush()
 }
 
-// changed makes a call that changes the configuration and shows the revision.
-func changed[Q any](c *client, call func(context.Context, *connect.Request[Q]) (*connect.Response[operatorpb.Changed], error), ctx context.Context, q *Q) error {
+// applyChange makes a call that changes the configuration and shows the revision.
+func applyChange[Q any](c *client, call func(context.Context, *connect.Request[Q]) (*connect.Response[operatorpb.Changed], error), ctx context.Context, q *Q) error {
 	r, err := call(ctx, connect.NewRequest(q))
 	if err != nil {
-		return c.failed(err)
+		return c.withExitCode(err)
 	}
 	return c.show(r.Msg, func(w io.Writer) { fmt.Fprintf(w, "accepted as revision %d\n", r.Msg.Revision) })
 }
@@ -222,7 +222,7 @@
 		Account: &operatorpb.Account{Name: name, Share: c.cmd.Uint32("share"), MaxWaiting: c.cmd.Uint32("max-waiting")}, Expect: c.expect(),
 	}))
 	if err != nil {
-		return c.failed(err)
+		return c.withExitCode(err)
 	}
 	return c.showKey(r.Msg)
 }
@@ -240,7 +240,7 @@
 	}
 	r, err := c.api.RotateKey(ctx, connect.NewRequest(&operatorpb.RotateKeyRequest{Name: name, Expect: c.expect()}))
 	if err != nil {
-		return c.failed(err)
+		return c.withExitCode(err)
 	}
 	return c.showKey(r.Msg)
 }
@@ -260,13 +260,13 @@
 	if c.cmd.IsSet("disabled") {
 		m.Disabled = proto.Bool(c.cmd.Bool("disabled"))
 	}
-	return changed(c, c.api.UpdateAccount, ctx, m)
+	return applyChange(c, c.api.UpdateAccount, ctx, m)
 }
 
 func ctlConfiguration(ctx context.Context, c *client) error {
 	r, err := c.api.GetConfiguration(ctx, connect.NewRequest(&operatorpb.GetConfigurationRequest{}))
 	if err != nil {
-		return c.failed(err)
+		return c.withExitCode(err)
 	}
 	m := r.Msg
 	return c.show(m, func(w io.Writer) {
@@ -284,7 +284,7 @@
 		}
 		fmt.Fprintf(w, "\nLIMIT\tVALUE\n")
 		for _, f := range limitFlags {
-			fmt.Fprintf(w, "%s\t%d\n", f.name, *f.of(m.Limits))
+			fmt.Fprintf(w, "%s\t%d\n", f.name, *f.field(m.Limits))
 		}
 	})
 }
@@ -292,7 +292,7 @@
 func ctlStatus(ctx context.Context, c *client) error {
 	r, err := c.api.Status(ctx, connect.NewRequest(&operatorpb.StatusRequest{}))
 	if err != nil {
-		return c.failed(err)
+		return c.withExitCode(err)
 	}
 	m := r.Msg
 	return c.show(m, func(w io.Writer) {
@@ -318,7 +318,7 @@
 	}
 	r, err := c.api.Explain(ctx, connect.NewRequest(q))
 	if err != nil {
-		return c.failed(err)
+		return c.withExitCode(err)
 	}
 	return c.show(r.Msg, func(w io.Writer) {
 		for _, e := range r.Msg.Events {
--- a/cmd/opalbridge/dev.go
+++ b/cmd/opalbridge/dev.go
@@ -43,26 +43,26 @@
 )
 
 const (
-	devModel    = "small"
-	devService  = "booking"
-	devSlots    = 8
-	devRouters  = 2
-	devModels   = 3
-	devStopTime = 10 * time.Second
-	// devReady is how long the fleet may take to be ready.
-	devReady = 20 * time.Second
+	devModel       = "small"
+	devService     = "booking"
+	devSlots       = 8
+	devRouters     = 2
+	devModels      = 3
+	devStopTimeout = 10 * time.Second
+	// devReadyTimeout is how long the fleet may take to be ready.
+	devReadyTimeout = 20 * time.Second
 )
 
 // devFleet is a fleet of stand-ins in one process.
 type devFleet struct {
-	life      context.Context
+	ctx       context.Context
 	log       zerolog.Logger
 	telemetry *telemetry.Telemetry
 	store     platform.KV
 	url       string // of the platform
 	token     string
 	keys      []string
-	routers   []*routerParts
+	routers   []*runningRouter
 	agents    []*agent.Agent
 	done      []<-chan error
 	callers   []string
@@ -74,11 +74,11 @@
 func dev(ctx context.Context, c *cli.Command) error {
 	level, err := zerolog.ParseLevel(c.String("log-level"))
 	if err != nil {
-		return usage(errors.Wrap(err, "dev: --log-level"))
+		return usageError(errors.Wrap(err, "dev: --log-level"))
 	}
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
-	f := &devFleet{life: life, log: zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger()}
+	f := &devFleet{ctx: life, log: zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger()}
 	if err := f.start(c.String("listen")); err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 
 func (f *devFleet) start(listen string) error {
 	var err error
-	f.telemetry, err = telemetry.New(f.life, telemetry.Options{Service: "opalbridge-dev", Node: "dev", MaxSpans: spansKept})
+	f.telemetry, err = telemetry.New(f.ctx, telemetry.Options{Service: "opalbridge-dev", Node: "dev", MaxSpans: maxSpans})
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 func (f *devFleet) configure() error {
 	f.token = operator.NewKey()
 	store := config.Store{KV: f.store}
-	o := store.Propose(f.life, 0, func(d *config.Document) error {
+	o := store.Propose(f.ctx, 0, func(d *config.Document) error {
 		for _, a := range devAccounts {
 			key := operator.NewKey()
 			f.keys = append(f.keys, key)
@@ -177,14 +177,14 @@
 	if err != nil {
 		return errors.Wrap(err, "dev: listen")
 	}
-	s := &settings.Settings{Name: name, Hall: hall, ServerURL: url, Slots: slots, ReportInterval: reportInterval, Records: recordsKept}
-	a, done, err := startAgent(f.life, s, f.telemetry, f.log.With().Str("node", name).Logger(), l)
+	s := &settings.Settings{Name: name, Hall: hall, ServerURL: url, Slots: slots, ReportInterval: reportInterval, Records: maxRecords}
+	a, done, err := startAgent(f.ctx, s, f.telemetry, f.log.With().Str("node", name).Logger(), l)
 	if err != nil {
 		return err
 	}
 	f.agents = append(f.agents, a)
 	f.done = append(f.done, done)
-	if err := f.store.SetHost(f.life, kv.Host{Name: name, Role: kv.Agent, Hall: hall, Address: l.Addr().String()}); err != nil {
+	if err := f.store.SetHost(f.ctx, kv.Host{Name: name, Role: kv.Agent, Hall: hall, Address: l.Addr().String()}); err != nil {
 		return err
 	}
 	return nil
@@ -192,7 +192,7 @@
 
 // Settings of dev's processes that are not the defaults of settings files.
 const (
-	recordsKept    = 4096
+	maxRecords     = 4096
 	reportInterval = 2 * time.Second
 )
 
@@ -201,7 +201,7 @@
 		name := fmt.Sprintf("router-%d", i+1)
 		callers, err := net.Listen("tcp", listen)
 		if err != nil {
-			return usage(errors.Wrap(err, "dev: --listen"))
+			return usageError(errors.Wrap(err, "dev: --listen"))
 		}
 		listen = "127.0.0.1:0"
 		peers, err := net.Listen("tcp", "127.0.0.1:0")
@@ -210,12 +210,12 @@
 		}
 		s := &settings.Settings{
 			Name: name, Hall: devHall(i), PeerAddress: peers.Addr().String(), PlatformURL: f.url,
-			OperatorTokenHash: config.HashKey(f.token), ReportInterval: reportInterval, Records: recordsKept,
+			OperatorTokenHash: config.HashKey(f.token), ReportInterval: reportInterval, Records: maxRecords,
 		}
-		if err := f.store.SetHost(f.life, kv.Host{Name: name, Role: kv.Router, Hall: devHall(i), Address: s.PeerAddress}); err != nil {
+		if err := f.store.SetHost(f.ctx, kv.Host{Name: name, Role: kv.Router, Hall: devHall(i), Address: s.PeerAddress}); err != nil {
 			return err
 		}
-		parts, err := startRouter(f.life, s, f.telemetry, f.log.With().Str("node", name).Logger(), callers, peers)
+		parts, err := startRouter(f.ctx, s, f.telemetry, f.log.With().Str("node", name).Logger(), callers, peers)
 		if err != nil {
 			return err
 		}
@@ -227,7 +227,7 @@
 }
 
 func (f *devFleet) waitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, devReady)
+	ctx, cancel := context.WithTimeout(ctx, devReadyTimeout)
 	defer cancel()
 	for _, p := range f.routers {
 		for {
@@ -236,7 +236,7 @@
 			}
 			if ctx.Err() != nil {
 				_, why := p.router.Ready()
-				return errors.Newf("dev: not ready after %s: %s", devReady, why)
+				return errors.Newf("dev: not ready after %s: %s", devReadyTimeout, why)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -258,15 +258,15 @@
 
 func (f *devFleet) stop(end context.CancelFunc) {
 	for _, p := range f.routers {
-		waitStop(devStopTime, p.router.Drain(), func() {})
+		waitDrained(devStopTimeout, p.router.Drain(), func() {})
 		_ = p.http.Close()
 	}
 	for _, a := range f.agents {
-		waitStop(devStopTime, a.Drain(), func() {})
+		waitDrained(devStopTimeout, a.Drain(), func() {})
 	}
 	end()
 	for _, d := range f.done {
 		<-d
 	}
-	_ = f.telemetry.Shutdown(context.WithoutCancel(f.life))
+	_ = f.telemetry.Shutdown(context.WithoutCancel(f.ctx))
 }
--- a/cmd/opalbridge/explain.go
+++ b/cmd/opalbridge/explain.go
@@ -18,12 +18,12 @@
 			"Reads the files, or standard input. Lines marked with a dot are beliefs of the gateways that had the request.",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() < 1 {
-				return usage(errors.New("explain: name a request"))
+				return usageError(errors.New("explain: name a request"))
 			}
 			logs, closeLogs, err := openLogs(c.Args().Tail(), c.Root().Reader)
 			defer closeLogs()
 			if err != nil {
-				return usage(errors.Wrap(err, "explain"))
+				return usageError(errors.Wrap(err, "explain"))
 			}
 			return explain.Story(c.Root().Writer, c.Args().First(), logs...)
 		},
--- a/cmd/opalbridge/gateway.go
+++ b/cmd/opalbridge/gateway.go
@@ -27,10 +27,10 @@
 
 const (
 	// Lines of one request are milliseconds apart.
-	logTime = "2006-01-02T15:04:05.000Z07:00"
+	logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 	// The collector works harder when the heap nears this share of the memory, which
 	// leaves room for stacks and for bytes in sockets.
-	heapShare = 0.6
+	heapLimitRatio = 0.6
 	// Connections to the store: one call waits at a time, and a list needs a second.
 	storeConnections = 2
 	storeDialTimeout = time.Second
@@ -58,17 +58,17 @@
 	}
 }
 
-// calls counts the ends of requests in the process's metrics.
-type calls struct{ *telemetry.GatewayMetrics }
+// requestMetrics counts the ends of requests in the process's metrics.
+type requestMetrics struct{ *telemetry.GatewayMetrics }
 
 // RequestEnded implements gateway.Metrics.
-func (c calls) RequestEnded(o gateway.Outcome) {
+func (c requestMetrics) RequestEnded(o gateway.Outcome) {
 	c.RecordRequest(o.Service, o.Kind, o.Result, o.Attempts, o.FirstByte, o.Total)
 }
 
 func runGateway(ctx context.Context, s *settings.Settings, file string) error {
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(s.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapLimitRatio * float64(s.MemoryMB) * (1 << 20)))
 	}
 	lines := telemetry.NewLogWriter(os.Stdout)
 	written := make(chan struct{})
@@ -81,18 +81,18 @@
 		stopWriting()
 		<-written
 	}()
-	zerolog.TimeFieldFormat = logTime
+	zerolog.TimeFieldFormat = logTimeFormat
 	log := zerolog.New(lines).Level(s.LogLevel).With().Timestamp().Str("node", s.Name).Str("hall", s.Hall).Logger()
 	t, err := telemetry.New(ctx, telemetry.Options{Service: "gateway", Node: s.Name, OTLP: s.OTLPURL})
 	if err != nil {
 		return err
 	}
-	entries := &unreadable{log: log}
+	entries := &unreadableEntries{log: log}
 	g, err := openGateway(s, t, log, entries)
 	if err != nil {
 		return err
 	}
-	if err := observe(t, g, lines, entries); err != nil {
+	if err := registerGauges(t, g, lines, entries); err != nil {
 		return err
 	}
 	stopReload := watchReload(file, log)
@@ -105,8 +105,8 @@
 	return errors.CombineErrors(g.Run(ctx), t.Shutdown(context.WithoutCancel(ctx)))
 }
 
-// observe registers the gauges of what the gateway believes.
-func observe(t *telemetry.Telemetry, g *gateway.Gateway, lines *telemetry.LogWriter, entries *unreadable) error {
+// registerGauges registers the gauges of what the gateway believes.
+func registerGauges(t *telemetry.Telemetry, g *gateway.Gateway, lines *telemetry.LogWriter, entries *unreadableEntries) error {
 	return telemetry.RegisterGauges(t.Meter("gateway"), []telemetry.Gauge{
 		{Name: "opalbridge.gateway.view_age", Unit: "s", Description: "since the view was last known to be the store's latest", Read: func() float64 { return g.Status().ViewAge.Seconds() }},
 		{Name: "opalbridge.gateway.configuration_version", Description: "version in force; 0: none", Read: func() float64 { return float64(g.Status().ConfigurationVersion) }},
@@ -126,7 +126,7 @@
 }
 
 // openGateway opens the gateway's sockets and puts its parts together.
-func openGateway(s *settings.Settings, t *telemetry.Telemetry, log zerolog.Logger, entries *unreadable) (*gateway.Gateway, error) {
+func openGateway(s *settings.Settings, t *telemetry.Telemetry, log zerolog.Logger, entries *unreadableEntries) (*gateway.Gateway, error) {
 	metrics, err := telemetry.NewGatewayMetrics(t.Meter("gateway"))
 	if err != nil {
 		return nil, err
@@ -152,7 +152,7 @@
 		CallerListener: front, ReadyListener: ready, PeerListener: peers,
 		ReadyPath: platform.ReadyPath,
 		Peer:      peer.Options{Address: s.PeerAddress, Seeds: s.Seeds},
-		Source:    &platform.Feed{Store: store, Halls: s.Regions, Unreadable: entries.hear},
+		Source:    &platform.Feed{Store: store, Halls: s.Regions, Unreadable: entries.record},
 		Caches:    &platform.Caches{},
 		Claims:    &platform.Claims{Store: store, Holder: s.Name + "/" + strconv.FormatInt(time.Now().UnixNano(), 36)},
 		Rollouts:  &platform.Rollouts{Store: store},
@@ -163,24 +163,24 @@
 			ShareWindow: s.ShareWindow, Policy: placement.DefaultPolicy(), Hall: s.Hall,
 			ColdLimits: warmup.Limits{Factor: s.ColdFactor, Extra: s.ColdExtra}, Regions: s.Regions,
 		},
-		MilliCPU: int(s.CPULimit * 1000), MemoryLimit: int64(s.MemoryMB) << 20, FileLimit: descriptors(s), ShutdownGrace: s.StopTimeout, Log: log, Metrics: calls{metrics},
+		MilliCPU: int(s.CPULimit * 1000), MemoryLimit: int64(s.MemoryMB) << 20, FileLimit: openFileLimit(s), ShutdownGrace: s.StopTimeout, Log: log, Metrics: requestMetrics{metrics},
 	})
 }
 
-// descriptors returns how many files and sockets the process may open; 0: no limit.
-func descriptors(s *settings.Settings) int {
+// openFileLimit returns how many files and sockets the process may open; 0: no limit.
+func openFileLimit(s *settings.Settings) int {
 	if s.FileLimit > 0 {
 		return s.FileLimit
 	}
 	var limit syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > mostDescriptors {
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > maxFileLimit {
 		return 0
 	}
 	return int(limit.Cur)
 }
 
 // A limit beyond this one is none.
-const mostDescriptors = 1 << 20
+const maxFileLimit = 1 << 20
 
 // watchReload reads the settings again at each hang-up and says what it finds. What
 // a gateway has in its settings (addresses, bounds) holds for the life of a process;
--- a/cmd/opalbridge/main.go
+++ b/cmd/opalbridge/main.go
@@ -69,7 +69,7 @@
 	return exitFailure
 }
 
-func usage(err error) error {
+func usageError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -85,7 +85,7 @@
 		Suggest:               true,
 		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
 		OnUsageError: func(_ context.Context, _ *cli.Command, err error, _ bool) error {
-			return usage(err)
+			return usageError(err)
 		},
 		Commands: []*cli.Command{
 			devCommand(), routerCommand(), agentCommand(), gatewayCommand(), explainCommand(), accountingCommand(), quarantineCommand(), checkCommand(), ctlCommand(), hashCommand(), standinCommand(), versionCommand(),
--- a/cmd/opalbridge/main_test.go
+++ b/cmd/opalbridge/main_test.go
@@ -26,7 +26,7 @@
 // connections. It ends with the test.
 func startDev(t testing.TB) *devFleet {
 	life, end := context.WithCancel(context.Background())
-	f := &devFleet{life: life, log: zerolog.Nop()}
+	f := &devFleet{ctx: life, log: zerolog.Nop()}
 	require.NoError(t, f.start("127.0.0.1:0"))
 	require.NoError(t, f.waitReady(context.Background()))
 	t.Cleanup(func() { f.stop(end) })
@@ -54,7 +54,7 @@
 	return b.String()
 }
 
-func streamed(t testing.TB, c openai.Client, p openai.ChatCompletionNewParams) string {
+func streamText(t testing.TB, c openai.Client, p openai.ChatCompletionNewParams) string {
 	s := c.Chat.Completions.NewStreaming(context.Background(), p)
 	var text strings.Builder
 	for s.Next() {
@@ -80,19 +80,19 @@
 	require.Equal(t, wantText(5), whole.Choices[0].Message.Content)
 	require.Equal(t, int64(5), whole.Usage.CompletionTokens)
 
-	require.Equal(t, wantText(7), streamed(t, c, chat("hello", 7)))
+	require.Equal(t, wantText(7), streamText(t, c, chat("hello", 7)))
 	const longPrompt = 120_000
-	require.Equal(t, wantText(3), streamed(t, c, chat(strings.Repeat("pressure ", longPrompt/9), 3)))
+	require.Equal(t, wantText(3), streamText(t, c, chat(strings.Repeat("pressure ", longPrompt/9), 3)))
 }
 
-// TestManyCallersAtOnce has 200 callers at both routers; each gets its own answer.
-func TestManyCallersAtOnce(t *testing.T) {
+// TestConcurrentCallers has 200 callers at both routers; each gets its own answer.
+func TestConcurrentCallers(t *testing.T) {
 	f := startDev(t)
 	var callers sync.WaitGroup
 	answers := make([]string, 200)
 	for i := range answers {
 		callers.Go(func() {
-			answers[i] = streamed(t, f.client(i%2, i/2%2), chat(fmt.Sprint("caller ", i), int64(1+i%9)))
+			answers[i] = streamText(t, f.client(i%2, i/2%2), chat(fmt.Sprint("caller ", i), int64(1+i%9)))
 		})
 	}
 	callers.Wait()
@@ -101,8 +101,8 @@
 	}
 }
 
-// ask sends one raw request and returns the answer with its error body.
-func (f *devFleet) ask(t testing.TB, method, path, body string, headers map[string]string) (*http.Response, map[string]any) {
+// send sends one raw request and returns the answer with its error body.
+func (f *devFleet) send(t testing.TB, method, path, body string, headers map[string]string) (*http.Response, map[string]any) {
 	r, err := http.NewRequest(method, f.callers[0]+path, strings.NewReader(body))
 	require.NoError(t, err)
 	r.Header.Set("Authorization", "Bearer "+f.keys[0])
@@ -149,19 +149,19 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			answer, fault := f.ask(t, test.method, test.path, test.body, test.headers)
+			answer, fault := f.send(t, test.method, test.path, test.body, test.headers)
 			require.Equal(t, test.status, answer.StatusCode)
 			require.Equal(t, test.code, fault["code"])
 			require.Equal(t, test.field, fault["param"])
 			require.Equal(t, "not-run", answer.Header.Get("Opalbridge-Outcome"))
 		})
 	}
-	require.Equal(t, wantText(2), streamed(t, f.client(0, 0), chat("still there", 2)))
+	require.Equal(t, wantText(2), streamText(t, f.client(0, 0), chat("still there", 2)))
 }
 
-// TestSmuggledHeadersDoNotPass writes requests by hand that try to hide a second
+// TestRequestSmuggling writes requests by hand that try to hide a second
 // request, or to speak as the router does to a server.
-func TestSmuggledHeadersDoNotPass(t *testing.T) {
+func TestRequestSmuggling(t *testing.T) {
 	f := startDev(t)
 	for _, raw := range []string{
 		"POST /services/booking/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /hidden HTTP/1.1\r\n\r\n",
@@ -179,13 +179,13 @@
 		require.NotContains(t, answer, "hidden")
 		require.True(t, strings.HasPrefix(answer, "HTTP/1.1 400") || strings.HasPrefix(answer, "HTTP/1.1 200"), answer)
 	}
-	answer, _ := f.ask(t, "POST", "/services/booking/x", "", map[string]string{"X-Request-Id": "mine"})
+	answer, _ := f.send(t, "POST", "/services/booking/x", "", map[string]string{"X-Request-Id": "mine"})
 	require.NotEqual(t, "mine", answer.Header.Get("Opalbridge-Request-Id"))
 }
 
-// TestLeavingCallerStopsTheWork has a caller leave in the middle of an answer; the
+// TestCallerDisconnectStopsWork has a caller leave in the middle of an answer; the
 // place is free again soon.
-func TestLeavingCallerStopsTheWork(t *testing.T) {
+func TestCallerDisconnectStopsWork(t *testing.T) {
 	f := startDev(t)
 	ctx, leave := context.WithCancel(context.Background())
 	c := f.client(0, 0)
@@ -211,8 +211,8 @@
 	return err
 }
 
-// TestOperators drives every call of the operators through the command line.
-func TestOperators(t *testing.T) {
+// TestOperatorCommands drives every call of the operators through the command line.
+func TestOperatorCommands(t *testing.T) {
 	f := startDev(t)
 	for _, words := range []string{
 		"configuration", "status", "--output json status",
@@ -244,10 +244,10 @@
 	}
 }
 
-// TestExplainTellsTheWholeStory asks the other router about a request.
-func TestExplainTellsTheWholeStory(t *testing.T) {
+// TestExplainFromOtherRouter asks the other router about a request.
+func TestExplainFromOtherRouter(t *testing.T) {
 	f := startDev(t)
-	answer, _ := f.ask(t, "POST", "/services/booking/bays/4", `{"bay":4}`, map[string]string{"Opalbridge-Not-Repeatable": "true"})
+	answer, _ := f.send(t, "POST", "/services/booking/bays/4", `{"bay":4}`, map[string]string{"Opalbridge-Not-Repeatable": "true"})
 	require.Equal(t, http.StatusOK, answer.StatusCode)
 	id := answer.Header.Get("Opalbridge-Request-Id")
 	// The outcome is recorded when the whole answer has left, so a caller that asks at once may
@@ -272,14 +272,14 @@
 	}
 }
 
-// TestDisabledAccountAndChangedShareAreInForce changes the configuration under a
+// TestDisableAccount changes the configuration under a
 // running fleet.
-func TestDisabledAccountAndChangedShareAreInForce(t *testing.T) {
+func TestDisableAccount(t *testing.T) {
 	f := startDev(t)
 	err := f.ctl(t, "account", "update", "--disabled", "quito")
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		answer, _ := f.ask(t, "GET", "/v1/models", "", nil)
+		answer, _ := f.send(t, "GET", "/v1/models", "", nil)
 		return answer.StatusCode == http.StatusForbidden
 	}, 10*time.Second, 20*time.Millisecond)
 	store := config.Store{KV: f.store}
--- a/cmd/opalbridge/process_test.go
+++ b/cmd/opalbridge/process_test.go
@@ -23,11 +23,11 @@
 	"opalbridge.dev/operator"
 )
 
-// asProgram makes the test's own binary run as opalbridge.
-const asProgram = "OPALBRIDGE_RUN_AS_PROGRAM"
+// runAsProgramEnv makes the test's own binary run as opalbridge.
+const runAsProgramEnv = "OPALBRIDGE_RUN_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 		return
 	}
@@ -41,7 +41,7 @@
 	self, err := os.Executable()
 	require.NoError(t, err)
 	c := exec.Command(self, words...)
-	c.Env = append(os.Environ(), asProgram+"=1")
+	c.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	pipe, err := c.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, c.Start())
@@ -146,12 +146,12 @@
 // stops a router in the middle of an answer.
 func TestSeparateProcesses(t *testing.T) {
 	f := startProcessFleet(t)
-	require.Equal(t, wantText(5), streamed(t, f.client(0), chat("one", 5)))
+	require.Equal(t, wantText(5), streamText(t, f.client(0), chat("one", 5)))
 
 	require.NoError(t, f.agents[0].command.Process.Kill())
 	_ = f.agents[0].command.Wait()
 	for i := range 10 {
-		require.Equal(t, wantText(3), streamed(t, f.client(i%2), chat("after a kill", 3)), "request %d", i)
+		require.Equal(t, wantText(3), streamText(t, f.client(i%2), chat("after a kill", 3)), "request %d", i)
 	}
 
 	c := f.client(0)
@@ -167,5 +167,5 @@
 	require.NoError(t, s.Err())
 	require.Equal(t, wantText(100), text, "a planned stop cut off a request in flight")
 	require.NoError(t, f.routers[0].command.Wait())
-	require.Equal(t, wantText(3), streamed(t, f.client(1), chat("at the other", 3)))
+	require.Equal(t, wantText(3), streamText(t, f.client(1), chat("at the other", 3)))
 }
--- a/cmd/opalbridge/quarantine.go
+++ b/cmd/opalbridge/quarantine.go
@@ -52,13 +52,13 @@
 func openSuspects(c *cli.Command) (*platform.Suspects, error) {
 	address := c.String("store")
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return nil, usage(errors.Wrapf(err, "quarantine: --store %q", address))
+		return nil, usageError(errors.Wrapf(err, "quarantine: --store %q", address))
 	}
 	return &platform.Suspects{Store: &platform.Store{Address: address}}, nil
 }
 
-// quarantined is a row of the list.
-type quarantined struct {
+// quarantineRow is a row of the list.
+type quarantineRow struct {
 	Key    string `json:"key"`
 	Barred bool   `json:"barred"`
 	platform.Kept
@@ -75,11 +75,11 @@
 	if err != nil {
 		return errors.Wrap(err, "quarantine: list")
 	}
-	rows := make([]quarantined, 0, len(kept))
+	rows := make([]quarantineRow, 0, len(kept))
 	for key, k := range maps.All(kept) {
-		rows = append(rows, quarantined{key.String(), len(k.Servers) >= quarantine.CrashThreshold, k})
+		rows = append(rows, quarantineRow{key.String(), len(k.Servers) >= quarantine.CrashThreshold, k})
 	}
-	slices.SortFunc(rows, func(x, y quarantined) int { return cmp.Or(x.Since.Compare(y.Since), cmp.Compare(x.Key, y.Key)) })
+	slices.SortFunc(rows, func(x, y quarantineRow) int { return cmp.Or(x.Since.Compare(y.Since), cmp.Compare(x.Key, y.Key)) })
 	if c.Bool("json") {
 		e := json.NewEncoder(c.Root().Writer)
 		e.SetIndent("", "  ")
@@ -95,11 +95,11 @@
 
 func liftQuarantine(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return usage(errors.New("quarantine: name one key; list shows them"))
+		return usageError(errors.New("quarantine: name one key; list shows them"))
 	}
 	key, err := quarantine.ParseKey(c.Args().First())
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	s, err := openSuspects(c)
 	if err != nil {
@@ -112,7 +112,7 @@
 		return errors.Wrap(err, "quarantine: lift")
 	}
 	if _, known := kept[key]; !known {
-		return usage(errors.Newf("quarantine: nothing is held against %s", key))
+		return usageError(errors.Newf("quarantine: nothing is held against %s", key))
 	}
 	if err := s.Delete(ctx, key); err != nil {
 		return errors.Wrap(err, "quarantine: lift")
--- a/cmd/opalbridge/run.go
+++ b/cmd/opalbridge/run.go
@@ -28,10 +28,10 @@
 )
 
 const (
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	longestHeader = 64 << 10
-	spansKept     = 8192
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
+	maxSpans       = 8192
 )
 
 func settingsFlag() cli.Flag {
@@ -75,36 +75,36 @@
 }
 
 func newServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: longestHeader}
+	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// keeper is a process's TLS; nil when its settings name no certificate.
-type keeper struct {
+// processTLS is a process's TLS; nil when its settings name no certificate.
+type processTLS struct {
 	*secure.Keeper
 	mutual bool
 }
 
-func openKeeper(s *settings.Settings) (*keeper, error) {
+func openTLS(s *settings.Settings) (*processTLS, error) {
 	if s.Certificate == "" {
 		return nil, nil
 	}
 	k, err := secure.Open(s.Certificate, s.CertificateKey, s.PeerCA)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
-	return &keeper{Keeper: k, mutual: s.PeerCA != ""}, nil
+	return &processTLS{Keeper: k, mutual: s.PeerCA != ""}, nil
 }
 
-// peers puts mutual TLS on a listener for processes of the fleet, if it is set up.
-func (k *keeper) peers(l net.Listener) net.Listener {
+// wrapPeerListener puts mutual TLS on a listener for processes of the fleet, if it is set up.
+func (k *processTLS) wrapPeerListener(l net.Listener) net.Listener {
 	if k == nil || !k.mutual {
 		return l
 	}
 	return tls.NewListener(l, k.Peers())
 }
 
-// dial returns the way to other processes of the fleet; nil: plain TCP.
-func (k *keeper) dial() router.Dialer {
+// peerDialer returns the way to other processes of the fleet; nil: plain TCP.
+func (k *processTLS) peerDialer() router.Dialer {
 	if k == nil || !k.mutual {
 		return nil
 	}
@@ -115,20 +115,20 @@
 func openKV(address string) (platform.KV, error) {
 	u, err := url.Parse(address)
 	if err != nil || u.Host == "" {
-		return platform.KV{}, usage(errors.Newf("platform_url %q is no URL", address))
+		return platform.KV{}, usageError(errors.Newf("platform_url %q is no URL", address))
 	}
 	return platform.KV{Store: &platform.Store{Address: u.Host, TLS: u.Scheme == "https"}}, nil
 }
 
-// routerParts are a router with its servers.
-type routerParts struct {
+// runningRouter are a router with its servers.
+type runningRouter struct {
 	router *router.Router
 	done   <-chan error
 	http   *http.Server
 }
 
 // startRouter builds a router from its settings and starts it on the listeners.
-func startRouter(ctx context.Context, s *settings.Settings, t *telemetry.Telemetry, log zerolog.Logger, callers, peers net.Listener) (*routerParts, error) {
+func startRouter(ctx context.Context, s *settings.Settings, t *telemetry.Telemetry, log zerolog.Logger, callers, peers net.Listener) (*runningRouter, error) {
 	metrics, err := telemetry.NewRouterMetrics(t.Meter("router"))
 	if err != nil {
 		return nil, err
@@ -137,16 +137,16 @@
 	if err != nil {
 		return nil, err
 	}
-	k, err := openKeeper(s)
+	k, err := openTLS(s)
 	if err != nil {
 		return nil, err
 	}
 	if k != nil {
 		callers = tls.NewListener(callers, k.Callers())
 	}
-	peers = k.peers(peers)
+	peers = k.wrapPeerListener(peers)
 	r, err := router.New(router.Options{
-		Dial: k.dial(), Name: s.Name, Hall: s.Hall, Address: s.PeerAddress,
+		Dial: k.peerDialer(), Name: s.Name, Hall: s.Hall, Address: s.PeerAddress,
 		KV: client, Directory: client, Listener: peers,
 		Degree: s.Degree, Interval: s.ReportInterval,
 		Log: log, Tracer: t.Tracer("router"), Records: explain.NewLog(s.Name, s.Records), Metrics: metrics,
@@ -167,7 +167,7 @@
 	if err != nil {
 		return nil, err
 	}
-	parts := &routerParts{router: r, done: r.Start(ctx), http: newServer(mux)}
+	parts := &runningRouter{router: r, done: r.Start(ctx), http: newServer(mux)}
 	go func() {
 		if err := parts.http.Serve(callers); !errors.Is(err, http.ErrServerClosed) {
 			log.Error().Err(err).Msg("callers are no longer served")
@@ -177,7 +177,7 @@
 }
 
 func runRouter(ctx context.Context, s *settings.Settings, log zerolog.Logger) error {
-	t, err := telemetry.New(ctx, telemetry.Options{Service: "opalbridge-router", Node: s.Name, OTLP: s.OTLPURL, MaxSpans: spansKept})
+	t, err := telemetry.New(ctx, telemetry.Options{Service: "opalbridge-router", Node: s.Name, OTLP: s.OTLPURL, MaxSpans: maxSpans})
 	if err != nil {
 		return err
 	}
@@ -201,24 +201,24 @@
 	log.Info().Str("callers", callers.Addr().String()).Str("peers", peers.Addr().String()).Msg("router started")
 	<-ctx.Done()
 	log.Info().Int("open", parts.router.OpenRequests()).Msg("stopping: new requests are refused, open ones are answered")
-	waitStop(s.StopTimeout, parts.router.Drain(), func() { log.Info().Int("open", parts.router.OpenRequests()).Msg("waiting for open requests") })
+	waitDrained(s.StopTimeout, parts.router.Drain(), func() { log.Info().Int("open", parts.router.OpenRequests()).Msg("waiting for open requests") })
 	_ = parts.http.Close()
 	end()
 	<-parts.done
 	return t.Shutdown(context.WithoutCancel(ctx))
 }
 
-// waitEvery is how often a stop says what it waits for.
-const waitEvery = 5 * time.Second
+// stopLogInterval is how often a stop says what it waits for.
+const stopLogInterval = 5 * time.Second
 
-// waitStop waits for a planned stop to end, at most for the time limit, or until
+// waitDrained waits for a planned stop to end, at most for the time limit, or until
 // a second signal.
-func waitStop(limit time.Duration, drained <-chan struct{}, say func()) {
+func waitDrained(limit time.Duration, drained <-chan struct{}, say func()) {
 	again, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	timeout := time.NewTimer(limit)
 	defer timeout.Stop()
-	t := time.NewTicker(waitEvery)
+	t := time.NewTicker(stopLogInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -256,11 +256,11 @@
 
 // startAgent builds an agent from its settings and starts it.
 func startAgent(ctx context.Context, s *settings.Settings, t *telemetry.Telemetry, log zerolog.Logger, peers net.Listener) (*agent.Agent, <-chan error, error) {
-	k, err := openKeeper(s)
+	k, err := openTLS(s)
 	if err != nil {
 		return nil, nil, err
 	}
-	peers = k.peers(peers)
+	peers = k.wrapPeerListener(peers)
 	a, err := agent.New(agent.Options{
 		Name: s.Name, Hall: s.Hall, Engine: engine.NewClient(s.ServerURL), Listener: peers, Slots: s.Slots, Interval: s.ReportInterval,
 		Log: log, Tracer: t.Tracer("agent"), Records: explain.NewLog(s.Name, s.Records),
@@ -280,7 +280,7 @@
 }
 
 func runAgent(ctx context.Context, s *settings.Settings, log zerolog.Logger) error {
-	t, err := telemetry.New(ctx, telemetry.Options{Service: "opalbridge-agent", Node: s.Name, OTLP: s.OTLPURL, MaxSpans: spansKept})
+	t, err := telemetry.New(ctx, telemetry.Options{Service: "opalbridge-agent", Node: s.Name, OTLP: s.OTLPURL, MaxSpans: maxSpans})
 	if err != nil {
 		return err
 	}
@@ -300,7 +300,7 @@
 	log.Info().Str("peers", peers.Addr().String()).Str("server", s.ServerURL).Msg("agent started")
 	<-ctx.Done()
 	log.Info().Int("running", a.Running()).Msg("stopping: no new work, what runs goes on")
-	waitStop(s.StopTimeout, a.Drain(), func() { log.Info().Int("running", a.Running()).Msg("waiting for running attempts") })
+	waitDrained(s.StopTimeout, a.Drain(), func() { log.Info().Int("running", a.Running()).Msg("waiting for running attempts") })
 	end()
 	<-done
 	return t.Shutdown(context.WithoutCancel(ctx))
--- a/cmd/opalbridge/standin.go
+++ b/cmd/opalbridge/standin.go
@@ -39,7 +39,7 @@
 func serveStandin(ctx context.Context, c *cli.Command, h http.Handler) error {
 	l, err := net.Listen("tcp", c.String("listen"))
 	if err != nil {
-		return usage(errors.Wrap(err, "standin: listen"))
+		return usageError(errors.Wrap(err, "standin: listen"))
 	}
 	fmt.Fprintf(c.Root().Writer, "ready: http://%s\n", l.Addr())
 	s := newServer(h)
--- a/cmd/opalbridge/unreadable_test.go
+++ b/cmd/opalbridge/unreadable_test.go
@@ -16,14 +16,14 @@
 func TestUnreadable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var lines bytes.Buffer
-		u := &unreadable{log: zerolog.New(&lines)}
+		u := &unreadableEntries{log: zerolog.New(&lines)}
 		for range 5000 {
-			u.hear(errors.New("x"))
+			u.record(errors.New("x"))
 		}
-		require.Equal(t, unreadableLines, bytes.Count(lines.Bytes(), []byte("\n")))
-		time.Sleep(unreadableEvery)
-		u.hear(errors.New("x"))
-		require.Equal(t, unreadableLines+1, bytes.Count(lines.Bytes(), []byte("\n")))
+		require.Equal(t, maxUnreadableLines, bytes.Count(lines.Bytes(), []byte("\n")))
+		time.Sleep(unreadableLogWindow)
+		u.record(errors.New("x"))
+		require.Equal(t, maxUnreadableLines+1, bytes.Count(lines.Bytes(), []byte("\n")))
 		require.Contains(t, lines.String(), `"count":5001`)
 		require.EqualValues(t, 5001, u.total())
 	})
--- a/explain/account.go
+++ b/explain/account.go
@@ -15,22 +15,22 @@
 
 // Tally counts what callers got. A caller is counted where it tried first.
 type Tally struct {
-	Callers     int            `json:"callers"`                  // first tries
-	InTime      int            `json:"in_time"`                  // of these, served in time on the first try
-	Late        int            `json:"late"`                     // served late on the first try
-	Returned    int            `json:"returned"`                 // served only after coming back
-	Refused     map[string]int `json:"refused"`                  // tries, by reason
-	Idle        int            `json:"refused_while_idle"`       // of these, with a prediction within four fifths of the objective
-	Failed      int            `json:"failed"`                   // tries that ended without an answer or with a failure
-	Left        int            `json:"left"`                     // tries whose caller left
-	Repeats     int            `json:"failed_repeats"`           // failed tries that had been at more than one server
-	HeldSeconds float64        `json:"seconds_held_in_vain"`     // of tries that were refused
-	Reading     float64        `json:"seconds_of_reading"`       // that servers were given, as predicted
-	Tokens      float64        `json:"tokens"`                   // sent to servers, a made one counted twice
-	Misses      []float64      `json:"-"`                        // of predictions of first events, ms; above 0: later
-	MissMedian  float64        `json:"miss_ms_median"`           // of Misses
-	MissNinth   float64        `json:"miss_ms_ninth_in_ten"`     // nine in ten are smaller
-	Gap         float64        `json:"gap_of_refused,omitempty"` // see [Accounting]
+	Callers            int            `json:"callers"`                  // first tries
+	InTime             int            `json:"in_time"`                  // of these, served in time on the first try
+	Late               int            `json:"late"`                     // served late on the first try
+	ServedOnRetry      int            `json:"returned"`                 // served only after coming back
+	Refused            map[string]int `json:"refused"`                  // tries, by reason
+	RefusedWhileIdle   int            `json:"refused_while_idle"`       // of these, with a prediction within four fifths of the objective
+	Failed             int            `json:"failed"`                   // tries that ended without an answer or with a failure
+	Canceled           int            `json:"left"`                     // tries whose caller left
+	FailedAfterRetry   int            `json:"failed_repeats"`           // failed tries that had been at more than one server
+	RefusedHoldSeconds float64        `json:"seconds_held_in_vain"`     // of tries that were refused
+	PrefillSeconds     float64        `json:"seconds_of_reading"`       // that servers were given, as predicted
+	Tokens             float64        `json:"tokens"`                   // sent to servers, a made one counted twice
+	PredictionErrors   []float64      `json:"-"`                        // of predictions of first events, ms; above 0: later
+	ErrorMedian        float64        `json:"miss_ms_median"`           // of Misses
+	ErrorP90           float64        `json:"miss_ms_ninth_in_ten"`     // nine in ten are smaller
+	Gap                float64        `json:"gap_of_refused,omitempty"` // see [Accounting]
 }
 
 // InTimeShare is the share of callers that were served in time on their first try.
@@ -54,19 +54,19 @@
 // overShareReason is the reason of refusals beyond an account's share.
 const overShareReason = "account over its share"
 
-// journey is what the log says of one try.
-type journey struct {
+// requestLines is what the log says of one try.
+type requestLines struct {
 	sent    *Line
 	refused *Line
 	ended   *Line
 }
 
-// Account reads log lines of any number of gateways and counts what callers got.
-func Account(logs ...io.Reader) (*Accounting, error) {
-	tries := map[string]*journey{}
+// ReadAccounting reads log lines of any number of gateways and counts what callers got.
+func ReadAccounting(logs ...io.Reader) (*Accounting, error) {
+	tries := map[string]*requestLines{}
 	var began time.Time
 	for _, r := range logs {
-		err := read(r, func(l Line) {
+		err := readLines(r, func(l Line) {
 			if l.Request == "" {
 				return
 			}
@@ -75,10 +75,10 @@
 			}
 			j := tries[l.Request]
 			if j == nil {
-				j = &journey{}
+				j = &requestLines{}
 				tries[l.Request] = j
 			}
-			j.take(&l)
+			j.record(&l)
 		})
 		if err != nil {
 			return nil, err
@@ -96,7 +96,7 @@
 	return a, nil
 }
 
-func (j *journey) take(l *Line) {
+func (j *requestLines) record(l *Line) {
 	switch l.Event {
 	case "attempt.sent":
 		if j.sent == nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-func at(group map[string]*Tally, key string) *Tally {
+func tallyFor(group map[string]*Tally, key string) *Tally {
 	t := group[key]
 	if t == nil {
 		t = &Tally{}
@@ -121,38 +121,38 @@
 func second(began, now time.Time) string { return strconv.Itoa(int(now.Sub(began) / time.Second)) }
 
 // add counts a try in all views.
-func (a *Accounting) add(j *journey, began time.Time, shares map[string]map[string]float64) {
+func (a *Accounting) add(j *requestLines, began time.Time, shares map[string]map[string]float64) {
 	if j.ended == nil {
 		return // it is still under way, or its last line was dropped
 	}
-	arrived := second(began, j.ended.Time.Add(-milliseconds(j.ended.Whole)))
+	arrived := second(began, j.ended.Time.Add(-milliseconds(j.ended.Total)))
 	views := []*Tally{
-		&a.Total, at(a.Routes, j.ended.Route), at(a.Accounts, j.ended.Account), at(a.Halls, j.ended.Hall), at(a.Seconds, arrived),
+		&a.Total, tallyFor(a.Routes, j.ended.Route), tallyFor(a.Accounts, j.ended.Account), tallyFor(a.Halls, j.ended.Hall), tallyFor(a.Seconds, arrived),
 	}
 	for _, t := range views {
 		t.add(j)
 	}
 	if j.sent != nil {
-		at(a.Servers, j.sent.Server).addSent(j)
-		sum(shares, arrived, j.ended.Account, j.sent.Tokens)
+		tallyFor(a.Servers, j.sent.Server).addSent(j)
+		addTokens(shares, arrived, j.ended.Account, j.sent.Tokens)
 	}
 	if j.refused != nil && j.refused.Reason == overShareReason {
-		sum(shares, arrived, j.ended.Account, 0)
+		addTokens(shares, arrived, j.ended.Account, 0)
 	}
 }
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// sum adds tokens; an account that was refused is there with what it got.
-func sum(shares map[string]map[string]float64, second, account string, tokens float64) {
+// addTokens adds tokens; an account that was refused is there with what it got.
+func addTokens(shares map[string]map[string]float64, second, account string, tokens float64) {
 	if shares[second] == nil {
 		shares[second] = map[string]float64{}
 	}
 	shares[second][account] += tokens
 }
 
-func (t *Tally) add(j *journey) {
-	first := j.ended.Spent == 0
+func (t *Tally) add(j *requestLines) {
+	first := j.ended.Elapsed == 0
 	if first {
 		t.Callers++
 	}
@@ -160,7 +160,7 @@
 	case "served", "late":
 		switch {
 		case !first:
-			t.Returned++
+			t.ServedOnRetry++
 		case j.ended.Result == "served":
 			t.InTime++
 		default:
@@ -169,36 +169,36 @@
 	case "refused":
 		t.refuse(j)
 	case "left":
-		t.Left++
+		t.Canceled++
 	default:
 		t.Failed++
 		if j.ended.Attempts > 1 {
-			t.Repeats++
+			t.FailedAfterRetry++
 		}
 	}
 	t.addSent(j)
 }
 
-func (t *Tally) refuse(j *journey) {
+func (t *Tally) refuse(j *requestLines) {
 	if t.Refused == nil {
 		t.Refused = map[string]int{}
 	}
 	t.Refused[j.ended.Reason]++
-	t.HeldSeconds += j.ended.Whole / 1e3
-	if r := j.refused; r != nil && r.Objective > 0 && r.Predicted+r.Spent <= idleLimit*r.Objective {
-		t.Idle++
+	t.RefusedHoldSeconds += j.ended.Total / 1e3
+	if r := j.refused; r != nil && r.Objective > 0 && r.Predicted+r.Elapsed <= idleLimit*r.Objective {
+		t.RefusedWhileIdle++
 	}
 }
 
-func (t *Tally) addSent(j *journey) {
+func (t *Tally) addSent(j *requestLines) {
 	if j.sent == nil {
 		return
 	}
-	t.Reading += j.sent.Reading / 1e3
+	t.PrefillSeconds += j.sent.PrefillTime / 1e3
 	t.Tokens += j.sent.Tokens
-	held := j.sent.Time.Sub(j.ended.Time.Add(-milliseconds(j.ended.Whole)))
-	if j.ended.Attempts == 1 && j.ended.First > 0 && j.sent.Predicted > 0 {
-		t.Misses = append(t.Misses, j.ended.First-float64(held)/float64(time.Millisecond)-j.sent.Predicted)
+	held := j.sent.Time.Sub(j.ended.Time.Add(-milliseconds(j.ended.Total)))
+	if j.ended.Attempts == 1 && j.ended.FirstByte > 0 && j.sent.Predicted > 0 {
+		t.PredictionErrors = append(t.PredictionErrors, j.ended.FirstByte-float64(held)/float64(time.Millisecond)-j.sent.Predicted)
 	}
 }
 
@@ -207,8 +207,8 @@
 	groups := []map[string]*Tally{{"": &a.Total}, a.Routes, a.Accounts, a.Halls, a.Servers, a.Seconds}
 	for _, g := range groups {
 		for _, t := range g {
-			slices.Sort(t.Misses)
-			t.MissMedian, t.MissNinth = quantile(t.Misses, 0.5), quantile(t.Misses, 0.9)
+			slices.Sort(t.PredictionErrors)
+			t.ErrorMedian, t.ErrorP90 = quantile(t.PredictionErrors, 0.5), quantile(t.PredictionErrors, 0.9)
 		}
 	}
 	for s, t := range a.Seconds {
@@ -269,6 +269,6 @@
 			others += n
 		}
 	}
-	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.0f\t%.0f\t%.2f\t\n", name, t.Callers, t.InTime, t.Late, t.Returned,
-		t.Refused[overShareReason], others, t.Idle, t.Failed, t.Left, t.HeldSeconds, t.Reading, t.MissMedian, t.MissNinth, t.Gap)
+	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.0f\t%.0f\t%.2f\t\n", name, t.Callers, t.InTime, t.Late, t.ServedOnRetry,
+		t.Refused[overShareReason], others, t.RefusedWhileIdle, t.Failed, t.Canceled, t.RefusedHoldSeconds, t.PrefillSeconds, t.ErrorMedian, t.ErrorP90, t.Gap)
 }
--- a/explain/account_test.go
+++ b/explain/account_test.go
@@ -12,9 +12,9 @@
 	"opalbridge.dev/explain"
 )
 
-// dayLog is what two gateways wrote in one second: a request in time, one late, one that
+// sampleLog is what two gateways wrote in one second: a request in time, one late, one that
 // was refused while a server was nearly idle and came back, one cut, one whose caller left.
-const dayLog = `
+const sampleLog = `
 {"node":"g1","hall":"h1","event":"attempt.sent","request":"a","attempt":1,"server":"s1","predicted":100,"reading":40,"tokens":900,"time":"2026-01-01T00:00:00.010Z"}
 {"node":"g1","hall":"h1","event":"request.ended","request":"a","route":"r","account":"x","result":"served","attempts":1,"first":130,"whole":400,"spent":0,"time":"2026-01-01T00:00:00.410Z"}
 {"node":"g1","hall":"h1","event":"attempt.sent","request":"b","attempt":1,"server":"s1","predicted":200,"reading":60,"tokens":1100,"time":"2026-01-01T00:00:00.100Z"}
@@ -28,30 +28,30 @@
 a line of another program
 `
 
-func TestAccount(t *testing.T) {
-	a, err := explain.Account(strings.NewReader(dayLog))
+func TestReadAccounting(t *testing.T) {
+	a, err := explain.ReadAccounting(strings.NewReader(sampleLog))
 	require.NoError(t, err)
 	require.Equal(t, 5, a.Total.Callers, "who comes back is not counted again")
 	require.Equal(t, 1, a.Total.InTime)
 	require.Equal(t, 1, a.Total.Late)
-	require.Equal(t, 1, a.Total.Returned)
+	require.Equal(t, 1, a.Total.ServedOnRetry)
 	require.Equal(t, map[string]int{"account over its share": 1}, a.Total.Refused)
-	require.Equal(t, 1, a.Total.Idle)
+	require.Equal(t, 1, a.Total.RefusedWhileIdle)
 	require.Equal(t, 1, a.Total.Failed)
-	require.Equal(t, 1, a.Total.Repeats)
-	require.Equal(t, 1, a.Total.Left)
-	require.InDelta(t, 0.05, a.Total.HeldSeconds, 1e-9)
+	require.Equal(t, 1, a.Total.FailedAfterRetry)
+	require.Equal(t, 1, a.Total.Canceled)
+	require.InDelta(t, 0.05, a.Total.RefusedHoldSeconds, 1e-9)
 	require.InDelta(t, 0.2, a.Total.InTimeShare(), 1e-9)
 	require.Equal(t, 2, a.Accounts["x"].Callers)
 	require.Equal(t, 3, a.Halls["h2"].Callers)
-	require.InDelta(t, 0.1, a.Servers["s1"].Reading, 1e-9)
+	require.InDelta(t, 0.1, a.Servers["s1"].PrefillSeconds, 1e-9)
 	// x got 2,000 tokens and y, which was refused, 1,000.
 	require.InDelta(t, 1000.0/1500, a.Seconds["0"].Gap, 1e-9)
-	require.InDelta(t, 450, a.Routes["r"].MissNinth, 1, "the time that a request was held is no miss")
+	require.InDelta(t, 450, a.Routes["r"].ErrorP90, 1, "the time that a request was held is no miss")
 }
 
-func TestAccountTables(t *testing.T) {
-	a, err := explain.Account(strings.NewReader(dayLog))
+func TestAccountingOutput(t *testing.T) {
+	a, err := explain.ReadAccounting(strings.NewReader(sampleLog))
 	require.NoError(t, err)
 	for _, view := range []string{"route", "account", "hall", "server", "second"} {
 		var b bytes.Buffer
@@ -66,8 +66,8 @@
 	require.True(t, bytes.HasPrefix(picture, []byte("\x89PNG")))
 }
 
-func TestAccountOfNothing(t *testing.T) {
-	a, err := explain.Account(strings.NewReader(""))
+func TestAccountingEmptyLog(t *testing.T) {
+	a, err := explain.ReadAccounting(strings.NewReader(""))
 	require.NoError(t, err)
 	require.NoError(t, a.Table(&bytes.Buffer{}, "second"))
 	require.NoError(t, a.Plot(filepath.Join(t.TempDir(), "plot.png")))
--- a/explain/plot.go
+++ b/explain/plot.go
@@ -27,7 +27,7 @@
 		"callers", a.series(func(t *Tally) float64 { return float64(t.Callers) }),
 		"in time on the first try", a.series(func(t *Tally) float64 { return float64(t.InTime) }),
 		"refused beyond the share", a.series(func(t *Tally) float64 { return float64(t.Refused[overShareReason]) }),
-		"refused while predicted in time", a.series(func(t *Tally) float64 { return float64(t.Idle) }),
+		"refused while predicted in time", a.series(func(t *Tally) float64 { return float64(t.RefusedWhileIdle) }),
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
 		return errors.Wrap(err, "explain: plot")
--- a/explain/story.go
+++ b/explain/story.go
@@ -17,49 +17,49 @@
 // Line is one line of a process's log, as far as stories need it. Fields that a line
 // lacks are zero.
 type Line struct {
-	Time       time.Time `json:"time"`
-	Node       string    `json:"node"`
-	Event      string    `json:"event"`
-	Request    string    `json:"request"`
-	Requests   []string  `json:"requests"` // of a line that speaks of several
-	Server     string    `json:"server"`
-	Account    string    `json:"account"`
-	Reason     string    `json:"reason"`
-	Error      string    `json:"error"`
-	Result     string    `json:"result"`
-	Attempt    int       `json:"attempt"`
-	Attempts   int       `json:"attempts"`
-	Status     int       `json:"status"`
-	Version    uint64    `json:"version"`
-	Revision   uint64    `json:"revision"`
-	Predicted  float64   `json:"predicted"` // milliseconds, as all times below
-	Work       float64   `json:"work"`
-	Left       float64   `json:"left"`
-	First      float64   `json:"first"`
-	Whole      float64   `json:"whole"`
-	RetryAfter float64   `json:"retry_after"`
-	Reading    float64   `json:"reading"`
-	Objective  float64   `json:"objective"`
-	Spent      float64   `json:"spent"` // since the caller's first try
-	Tokens     float64   `json:"tokens"`
-	Hall       string    `json:"hall"`
-	Route      string    `json:"route"`
-	Kind       string    `json:"kind"`
-	Ahead      float64   `json:"ahead"`
-	OverShare  bool      `json:"over_share"`
-	Again      bool      `json:"again"`
-	Leaving    bool      `json:"leaving"`
-	MayHaveRun bool      `json:"may_have_run"`
+	Time        time.Time `json:"time"`
+	Node        string    `json:"node"`
+	Event       string    `json:"event"`
+	Request     string    `json:"request"`
+	Requests    []string  `json:"requests"` // of a line that speaks of several
+	Server      string    `json:"server"`
+	Account     string    `json:"account"`
+	Reason      string    `json:"reason"`
+	Error       string    `json:"error"`
+	Result      string    `json:"result"`
+	Attempt     int       `json:"attempt"`
+	Attempts    int       `json:"attempts"`
+	Status      int       `json:"status"`
+	Version     uint64    `json:"version"`
+	Revision    uint64    `json:"revision"`
+	Predicted   float64   `json:"predicted"` // milliseconds, as all times below
+	Work        float64   `json:"work"`
+	TimeLeft    float64   `json:"left"`
+	FirstByte   float64   `json:"first"`
+	Total       float64   `json:"whole"`
+	RetryAfter  float64   `json:"retry_after"`
+	PrefillTime float64   `json:"reading"`
+	Objective   float64   `json:"objective"`
+	Elapsed     float64   `json:"spent"` // since the caller's first try
+	Tokens      float64   `json:"tokens"`
+	Hall        string    `json:"hall"`
+	Route       string    `json:"route"`
+	Kind        string    `json:"kind"`
+	ShareRatio  float64   `json:"ahead"`
+	OverShare   bool      `json:"over_share"`
+	Retried     bool      `json:"again"`
+	Leaving     bool      `json:"leaving"`
+	MayHaveRun  bool      `json:"may_have_run"`
 
 	order int // of reading
 }
 
 // Limits of reading logs.
 const (
-	longestLogLine = 1 << 20
+	maxLineSize = 1 << 20
 	// Beliefs of a node are told if they changed at most this long before the request's
 	// last line.
-	recentBelief = 30 * time.Second
+	stateChangeWindow = 30 * time.Second
 )
 
 // Story reads log lines and writes what happened to a request, in order over all
@@ -68,7 +68,7 @@
 func Story(w io.Writer, request string, logs ...io.Reader) error {
 	var own, beliefs []Line
 	for _, r := range logs {
-		err := read(r, func(l Line) {
+		err := readLines(r, func(l Line) {
 			if slices.Contains(l.Requests, request) {
 				l.Request = request
 			}
@@ -85,7 +85,7 @@
 	if len(own) == 0 {
 		return errors.Newf("explain: no line names request %s", request)
 	}
-	lines := append(own, relevant(own, beliefs)...)
+	lines := append(own, relatedChanges(own, beliefs)...)
 	slices.SortStableFunc(lines, func(a, b Line) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.order, b.order))
 	})
@@ -94,16 +94,16 @@
 		if l.Request == "" {
 			mark = "." // a belief, not a step of the request
 		}
-		if _, err := fmt.Fprintf(w, "%s %s %-20s %s\n", l.Time.Format("15:04:05.000"), mark, l.Node, tell(l)); err != nil {
+		if _, err := fmt.Fprintf(w, "%s %s %-20s %s\n", l.Time.Format("15:04:05.000"), mark, l.Node, describe(l)); err != nil {
 			return errors.Wrap(err, "explain: write")
 		}
 	}
 	return nil
 }
 
-func read(r io.Reader, take func(Line)) error {
+func readLines(r io.Reader, take func(Line)) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 64<<10), longestLogLine)
+	s.Buffer(make([]byte, 64<<10), maxLineSize)
 	order := 0
 	for s.Scan() {
 		at := bytes.IndexByte(s.Bytes(), '{')
@@ -121,9 +121,9 @@
 	return errors.Wrap(s.Err(), "explain: read log")
 }
 
-// relevant returns the beliefs that bear on a request: of the nodes that had it, about
+// relatedChanges returns the beliefs that bear on a request: of the nodes that had it, about
 // the store, the configuration and the servers it went to.
-func relevant(own, beliefs []Line) []Line {
+func relatedChanges(own, beliefs []Line) []Line {
 	nodes, servers := map[string]bool{}, map[string]bool{}
 	last := own[0].Time
 	for _, l := range own {
@@ -139,34 +139,34 @@
 	for _, l := range beliefs {
 		age := last.Sub(l.Time)
 		about := l.Server == "" || servers[l.Server]
-		if nodes[l.Node] && about && age >= 0 && age < recentBelief && !strings.HasPrefix(l.Event, "request.") {
+		if nodes[l.Node] && about && age >= 0 && age < stateChangeWindow && !strings.HasPrefix(l.Event, "request.") {
 			kept = append(kept, l)
 		}
 	}
 	return kept
 }
 
-// tell says in words what a line says.
-func tell(l Line) string {
+// describe says in words what a line says.
+func describe(l Line) string {
 	switch l.Event {
 	case "attempt.sent":
 		share := "within its share"
 		if l.OverShare {
-			share = fmt.Sprintf("over its share (%.2f of an even part)", l.Ahead)
+			share = fmt.Sprintf("over its share (%.2f of an even part)", l.ShareRatio)
 		}
 		return fmt.Sprintf("attempt %d sent to server %s: first event predicted in %.0f ms, %.0f ms of it reading; %.0f ms left; account %s %s",
-			l.Attempt, l.Server, l.Predicted, l.Work, l.Left, l.Account, share)
+			l.Attempt, l.Server, l.Predicted, l.Work, l.TimeLeft, l.Account, share)
 	case "attempt.failed":
 		return fmt.Sprintf("attempt %d failed (may have run: %t): %s", l.Attempt, l.MayHaveRun, l.Error)
 	case "request.refused":
 		return fmt.Sprintf("refused as not run: %s; the best server would have taken %.0f ms; told to come back after %.0f ms (over share: %t, had come back: %t)",
-			l.Reason, l.Predicted, l.RetryAfter, l.OverShare, l.Again)
+			l.Reason, l.Predicted, l.RetryAfter, l.OverShare, l.Retried)
 	case "request.denied":
 		return fmt.Sprintf("denied with %d: %s", l.Status, l.Reason)
 	case "request.cut":
 		return "answer broken off: " + l.Error
 	case "request.ended":
-		text := fmt.Sprintf("%s after %d attempts, first byte after %.0f ms, end after %.0f ms", l.Result, l.Attempts, l.First, l.Whole)
+		text := fmt.Sprintf("%s after %d attempts, first byte after %.0f ms, end after %.0f ms", l.Result, l.Attempts, l.FirstByte, l.Total)
 		if l.Reason != "" {
 			text += ": " + l.Reason
 		}
--- a/explain/story_test.go
+++ b/explain/story_test.go
@@ -11,7 +11,7 @@
 
 // recorded lines of two gateways; the second one's log has a prefix, as a collector
 // may put before a line.
-const first = `{"level":"info","node":"g1","event":"configuration.in_force","version":7,"revision":12,"time":"2026-12-02T14:00:00Z"}
+const gateway1Log = `{"level":"info","node":"g1","event":"configuration.in_force","version":7,"revision":12,"time":"2026-12-02T14:00:00Z"}
 not a line of ours
 {"level":"warn","node":"g1","event":"server.silent","server":"i-1","time":"2026-12-02T14:00:05Z"}
 {"level":"warn","node":"g1","event":"server.silent","server":"i-9","time":"2026-12-02T14:00:05Z"}
@@ -21,7 +21,7 @@
 {"level":"info","node":"g1","event":"request.ended","request":"r1","result":"failed","reason":"reset","attempts":1,"whole":31,"time":"2026-12-02T14:00:07Z"}
 `
 
-const second = `  12.31 g2 {"level":"info","node":"g2","event":"request.refused","request":"r3","reason":"no server in time","predicted":900,"retry_after":200,"time":"2026-12-02T14:00:08Z"}
+const gateway2Log = `  12.31 g2 {"level":"info","node":"g2","event":"request.refused","request":"r3","reason":"no server in time","predicted":900,"retry_after":200,"time":"2026-12-02T14:00:08Z"}
 {"level":"info","node":"g2","event":"request.denied","requests":["r4","r5"],"status":503,"reason":"short of processor","retry_after":150,"time":"2026-12-02T14:00:09Z"}
 `
 
@@ -42,7 +42,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var out strings.Builder
-			require.NoError(t, explain.Story(&out, test.request, strings.NewReader(second), strings.NewReader(first)))
+			require.NoError(t, explain.Story(&out, test.request, strings.NewReader(gateway2Log), strings.NewReader(gateway1Log)))
 			at := 0
 			for _, want := range test.want {
 				next := strings.Index(out.String()[at:], want)
@@ -56,12 +56,12 @@
 	}
 }
 
-func TestStoryOfNobody(t *testing.T) {
-	require.ErrorContains(t, explain.Story(&strings.Builder{}, "r9", strings.NewReader(first)), "no line names request r9")
+func TestStoryUnknownRequest(t *testing.T) {
+	require.ErrorContains(t, explain.Story(&strings.Builder{}, "r9", strings.NewReader(gateway1Log)), "no line names request r9")
 }
 
 func FuzzStory(f *testing.F) {
-	f.Add("r1", first)
+	f.Add("r1", gateway1Log)
 	f.Fuzz(func(_ *testing.T, request, log string) {
 		_ = explain.Story(&strings.Builder{}, request, strings.NewReader(log)) // must not panic
 	})
