--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -26,8 +26,8 @@
 )
 
 var (
-	measure = flag.Bool("measure", false, "measure the slopes anew and write figures.json")
-	update  = flag.Bool("update", false, "write the generated part of docs/CAPACITY.md anew")
+	measure = flag.Bool("measure", false, "measure the slopes and write figures.json")
+	update  = flag.Bool("update", false, "rewrite the generated part of docs/CAPACITY.md")
 )
 
 const (
@@ -44,31 +44,32 @@
 	require.InDelta(t, 0, s.Error, 1e-9)
 }
 
-// TestPageMatchesFigures fails when the page's tables are not what the
-// figures give.
+// TestPageMatchesFigures checks that the tables of docs/CAPACITY.md are those that
+// figures.json gives.
 func TestPageMatchesFigures(t *testing.T) {
 	f, err := capacity.Read(figuresPath)
 	require.NoError(t, err)
 	for _, s := range f.Slopes {
 		require.GreaterOrEqual(t, len(s.Points), 4, s.Name)
-		again := capacity.Fit(s.Name, s.Per, s.Unit, s.Points)
-		require.InEpsilon(t, again.Value, s.Value, 1e-6, s.Name)
+		fitted := capacity.Fit(s.Name, s.Per, s.Unit, s.Points)
+		require.InEpsilon(t, fitted.Value, s.Value, 1e-6, s.Name)
 	}
 	page, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
 	before, rest, found := strings.Cut(string(page), begin)
-	require.True(t, found, "the page lacks its mark")
+	require.True(t, found, "docs/CAPACITY.md lacks the begin marker")
 	old, after, found := strings.Cut(rest, end)
-	require.True(t, found, "the page lacks its end mark")
-	made := capacity.Page(f, capacity.TwoYears) + "\n"
+	require.True(t, found, "docs/CAPACITY.md lacks the end marker")
+	generated := capacity.Page(f, capacity.TwoYears) + "\n"
 	if *update {
-		require.NoError(t, os.WriteFile(pagePath, []byte(before+begin+made+end+after), 0o644))
+		require.NoError(t, os.WriteFile(pagePath, []byte(before+begin+generated+end+after), 0o644))
 		return
 	}
-	require.Equal(t, made, old, "docs/CAPACITY.md does not agree with figures.json; run with -update")
+	require.Equal(t, generated, old, "docs/CAPACITY.md does not match figures.json; run with -update")
 }
 
-// TestMeasure measures the slopes. It takes minutes and needs a quiet machine.
+// TestMeasure measures the slopes if -measure is set. It takes minutes and needs an idle
+// machine.
 func TestMeasure(t *testing.T) {
 	if !*measure {
 		t.Log("slopes are measured with -measure only")
@@ -109,8 +110,8 @@
 	return capacity.Fit(name, per, unit, points)
 }
 
-// reportBytes is the size of a report that names so many accounts, after a day's
-// service at a server's speed.
+// reportBytes returns the size of a report with the given number of accounts, whose counters
+// are those of a server after a day of full load.
 func reportBytes(accounts int) float64 {
 	var totals []fair.Total
 	for a := range accounts {
@@ -120,15 +121,15 @@
 	return float64(proto.Size(m))
 }
 
-// wantPoints are the control bytes of a backlogged fleet against the requests it
-// served, on servers with more and more places.
+// wantPoints returns the control bytes of a backlogged fleet against the requests it
+// served, for servers with rising numbers of slots.
 func wantPoints(t *testing.T) []capacity.Point {
 	var points []capacity.Point
-	for _, places := range []int{2, 4, 8, 16} {
+	for _, slots := range []int{2, 4, 8, 16} {
 		var r *experiment.Result
 		bubbletest.Run(t, func(t *testing.T) {
 			s := experiment.Even(experiment.Design, experiment.Size{Routers: 3, Models: 9, Length: time.Minute})
-			s.Slots = places
+			s.Slots = slots
 			r = experiment.Run(t, s)
 		})
 		const nodes = 12
@@ -137,7 +138,7 @@
 	return points
 }
 
-// control is what a node of a backlogged fleet sends and receives.
+// control returns the bytes a second that a node of a backlogged fleet sends and receives.
 func control(t *testing.T, accounts, routers, servers int) float64 {
 	var r *experiment.Result
 	bubbletest.Run(t, func(t *testing.T) {
@@ -157,7 +158,7 @@
 	return r.Control
 }
 
-// gossipBytes is what an idle fleet of so many routers exchanges, a router.
+// gossipBytes returns the bytes a second that a router of an idle fleet sends and receives.
 func gossipBytes(t *testing.T, routers int) float64 {
 	var r *experiment.Result
 	bubbletest.Run(t, func(t *testing.T) {
@@ -169,6 +170,8 @@
 	return r.Control
 }
 
+// newTracker returns a tracker of accounts of which the first waiting ones have requests
+// queued, with the totals and the candidates of these.
 func newTracker(accounts, waiting int) (*fair.Tracker, []fair.Total, []fair.Candidate) {
 	b := fair.NewTracker(fair.Options{Slots: 64, DebtCap: 60000})
 	var totals []fair.Total
@@ -228,8 +231,8 @@
 	return totals
 }
 
-// answerTime is the time a summing router takes to count a report of 40 accounts
-// and to work out its answer, with so many accounts known in 15 halls.
+// answerTime returns the time a summing router takes to count a report of 40 accounts and
+// to compute the answer, with the given number of accounts in each of 15 halls.
 func answerTime(accounts int) float64 {
 	f := ledger.NewFleet()
 	h := ledger.NewHall()
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// Entry is a line of a table: a load, what carries it, and what it comes to.
+// Entry is a row of a table: a load, the mechanism that carries it, and its cost.
 type Entry struct {
 	Load      string
 	Mechanism string
 	Value     float64
 	Error     float64
 	Unit      string
-	Limit     float64 // zero: none
+	Limit     float64 // zero: no limit
 	Source    string  // measured, worked out or assumed
 }
 
-// exceedsLimit reports whether the entry is above its limit.
+// exceedsLimit reports whether the value is above the limit.
 func (e Entry) exceedsLimit() bool { return e.Limit > 0 && e.Value > e.Limit }
 
 const (
@@ -25,23 +25,23 @@
 	day  = 24 * 60 * 60
 )
 
-// routerConnections is how many agents a router is connected to.
+// routerConnections returns the number of agents that a router is connected to.
 func (z Size) routerConnections() float64 { return z.Degree * z.Models }
 
-// agentConnections is how many routers an agent is connected to, those that sum its
-// hall's counters included.
+// agentConnections returns the number of routers that an agent is connected to, including
+// those that sum its hall's counters.
 func (z Size) agentConnections() float64 {
 	return z.Routers*z.routerConnections()/z.Servers + z.Aggregators
 }
 
-// hallAgents is how many agents a summing router hears.
+// hallAgents returns the number of agents that report to a summing router.
 func (z Size) hallAgents() float64 { return z.Servers / z.Halls }
 
-// Agent returns what control costs an agent.
+// Agent returns the control costs of an agent.
 func (f *Figures) Agent(z Size) []Entry {
 	report := f.Slope("report bytes")
 	reports := (report.Value*z.Backlogged + report.Base) / z.Interval
-	each := z.Aggregators + 1 // reports to each that sums, and one answer
+	each := z.Aggregators + 1 // a report to each summing router, and one answer
 	pick, merge := f.Slope("pick"), f.Slope("merge")
 	picks := z.Requests / z.Servers
 	link := f.Slope("connection memory")
@@ -55,7 +55,7 @@
 	}
 }
 
-// Router returns what control costs a router, and one that sums as well.
+// Router returns the control costs of a router and the further costs of a summing router.
 func (f *Figures) Router(z Size) []Entry {
 	report := f.Slope("report bytes")
 	link := f.Slope("connection memory")
@@ -63,23 +63,23 @@
 	gossip := f.Slope("gossip bytes")
 	answer, sum := f.Slope("answer"), f.Slope("hall memory")
 	perReport := report.Value*z.Backlogged + report.Base
-	hears := perReport * z.hallAgents() * 2 / z.Interval * (1 + 1/z.Aggregators) / 2
+	received := perReport * z.hallAgents() * 2 / z.Interval * (1 + 1/z.Aggregators) / 2
 	exchanged := perReport * 2 * (z.Halls - 1) / z.Interval
 	requests := z.Requests / z.Routers
-	distances := 12.0 // powers of two below 2,400
+	distances := 12.0 // powers of two below 2,400, the number of routers
 	return []Entry{
 		{"connections to agents", "subset of each model's agents", link.Value * z.routerConnections() / mega, link.Error * z.routerConnections() / mega, "MB", LimitMemory, "slope × size"},
 		{"wants and grants", "counts told when far off", want.Value * requests / kilo, want.Error * requests / kilo, "KB/s", LimitBytes, "slope × size"},
 		{"gossip of revisions", "routers at distances of powers of two", gossip.Value * distances / kilo, gossip.Error * distances / kilo, "KB/s", LimitBytes, "slope × size"},
-		{"summing router: reports of its hall", "two routers hear the whole hall", hears / kilo, report.Error * z.Backlogged * z.hallAgents() / z.Interval / kilo, "KB/s", LimitBytes, "slope × size"},
+		{"summing router: reports of its hall", "two routers hear the whole hall", received / kilo, report.Error * z.Backlogged * z.hallAgents() / z.Interval / kilo, "KB/s", LimitBytes, "slope × size"},
 		{"summing router: sums of other halls", "one exchange with each hall an interval", exchanged / kilo, report.Error * z.Backlogged * 2 * z.Halls / z.Interval / kilo, "KB/s", LimitBytes, "slope × size"},
 		{"summing router: counting reports and answering", "running sums; one pass over the accounts a report", (answer.Value*z.Accounts + answer.Base) * z.hallAgents() / z.Interval / 1e9 * 100, answer.Error * z.Accounts * z.hallAgents() / z.Interval / 1e9 * 100, "% of a core", LimitCPU, "slope × size"},
 		{"summing router: counters of its hall", "one row for each agent and account", sum.Value * z.hallAgents() / mega, sum.Error * z.hallAgents() / mega, "MB", LimitMemory, "slope × size"},
 	}
 }
 
-// Fleet returns what the fleet costs the platform's service, and the
-// configuration.
+// Fleet returns the load of the fleet on the platform's store and the cost of distributing
+// the configuration.
 func (f *Figures) Fleet(z Size) []Entry {
 	document := f.Slope("document bytes")
 	bytes := document.Value*(z.Accounts+z.Servers) + document.Base
@@ -94,7 +94,7 @@
 	}
 }
 
-// Table writes entries as Markdown.
+// Table returns the entries as a Markdown table.
 func Table(entries []Entry) string {
 	var b strings.Builder
 	b.WriteString("| load | mechanism | at that size | unit | limit | verdict | from |\n| --- | --- | --- | --- | --- | --- | --- |\n")
@@ -111,7 +111,7 @@
 	return b.String()
 }
 
-// SlopeTable writes the measured slopes as Markdown.
+// SlopeTable returns the measured slopes as a Markdown table.
 func SlopeTable(f *Figures) string {
 	var b strings.Builder
 	b.WriteString("| slope | of one more | unit | value | ± | at none | points (x: y) |\n| --- | --- | --- | --- | --- | --- | --- |\n")
--- a/capacity/plot.go
+++ b/capacity/plot.go
@@ -10,21 +10,21 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot's picture.
+// Size of the image.
 const (
 	plotWidth  = 12 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
 )
 
-// Plot writes a picture of a slope's points and line into a folder.
+// Plot draws a slope's points and line into a PNG file in a folder.
 func Plot(folder string, s Slope) error {
 	p := plot.New()
 	p.Title.Text = s.Name
 	p.X.Label.Text = s.Per
 	p.Y.Label.Text = s.Unit
 	points := make(plotter.XYs, len(s.Points))
-	for i, o := range s.Points {
-		points[i] = plotter.XY{X: o.X, Y: o.Y}
+	for i, p := range s.Points {
+		points[i] = plotter.XY{X: p.X, Y: p.Y}
 	}
 	scatter, err := plotter.NewScatter(points)
 	if err != nil {
--- a/explain/account.go
+++ b/explain/account.go
@@ -13,72 +13,75 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Tally counts what callers got. A caller is counted where it tried first.
+// Tally counts the outcomes of requests. A caller that retries is counted once, at its
+// first request.
 type Tally struct {
-	Callers            int            `json:"callers"`                  // first tries
-	InTime             int            `json:"in_time"`                  // of these, served in time on the first try
-	Late               int            `json:"late"`                     // served late on the first try
-	ServedOnRetry      int            `json:"returned"`                 // served only after coming back
-	Refused            map[string]int `json:"refused"`                  // tries, by reason
-	RefusedWhileIdle   int            `json:"refused_while_idle"`       // of these, with a prediction within four fifths of the objective
-	Failed             int            `json:"failed"`                   // tries that ended without an answer or with a failure
-	Canceled           int            `json:"left"`                     // tries whose caller left
-	FailedAfterRetry   int            `json:"failed_repeats"`           // failed tries that had been at more than one server
-	RefusedHoldSeconds float64        `json:"seconds_held_in_vain"`     // of tries that were refused
-	PrefillSeconds     float64        `json:"seconds_of_reading"`       // that servers were given, as predicted
-	Tokens             float64        `json:"tokens"`                   // sent to servers, a made one counted twice
-	PredictionErrors   []float64      `json:"-"`                        // of predictions of first events, ms; above 0: later
-	ErrorMedian        float64        `json:"miss_ms_median"`           // of Misses
-	ErrorP90           float64        `json:"miss_ms_ninth_in_ten"`     // nine in ten are smaller
+	Callers            int            `json:"callers"`                  // first requests
+	InTime             int            `json:"in_time"`                  // of these, served in time
+	Late               int            `json:"late"`                     // of these, served late
+	ServedOnRetry      int            `json:"returned"`                 // retries by callers that were served
+	Refused            map[string]int `json:"refused"`                  // refused requests by reason
+	RefusedWhileIdle   int            `json:"refused_while_idle"`       // refused requests predicted within idleLimit of the objective
+	Failed             int            `json:"failed"`                   // requests that got no answer or a failure
+	Canceled           int            `json:"left"`                     // requests whose caller disconnected
+	FailedAfterRetry   int            `json:"failed_repeats"`           // failed requests that were sent to more than one server
+	RefusedHoldSeconds float64        `json:"seconds_held_in_vain"`     // time that refused requests were held
+	PrefillSeconds     float64        `json:"seconds_of_reading"`       // predicted prefill time sent to servers
+	Tokens             float64        `json:"tokens"`                   // sent to servers; output tokens count twice
+	PredictionErrors   []float64      `json:"-"`                        // first event minus its prediction, ms
+	ErrorMedian        float64        `json:"miss_ms_median"`           // median of PredictionErrors, ms
+	ErrorP90           float64        `json:"miss_ms_ninth_in_ten"`     // 90th percentile of PredictionErrors, ms
 	Gap                float64        `json:"gap_of_refused,omitempty"` // see [Accounting]
 }
 
-// InTimeShare is the share of callers that were served in time on their first try.
+// InTimeShare returns the share of callers that were served in time on their first request.
 func (t *Tally) InTimeShare() float64 { return float64(t.InTime) / float64(max(t.Callers, 1)) }
 
-// Accounting is what callers of a fleet got, by several views. The gap of a second is the
-// difference between the most and the least tokens sent for accounts that were refused
-// beyond their share in it, in parts of their mean.
+// Accounting holds the tallies of a fleet in total and by several views. The gap of a
+// second is the difference between the most and the least tokens sent for any account in
+// that second, divided by their mean. Accounts that were only refused for being over their
+// share count with zero tokens.
 type Accounting struct {
 	Total    Tally             `json:"total"`
 	Routes   map[string]*Tally `json:"routes"`
 	Accounts map[string]*Tally `json:"accounts"`
 	Halls    map[string]*Tally `json:"halls"`
 	Servers  map[string]*Tally `json:"servers"` // only what was sent
-	Seconds  map[string]*Tally `json:"seconds"` // since the first line, in order when sorted as numbers
+	Seconds  map[string]*Tally `json:"seconds"` // by number of seconds since the first line
 }
 
-// idleLimit is the share of its objective within which a refused request was predicted.
+// idleLimit is the share of the objective within which the prediction for a refused request
+// means that a server was nearly idle.
 const idleLimit = 0.8
 
-// overShareReason is the reason of refusals beyond an account's share.
+// overShareReason is the reason logged when an account is refused for being over its share.
 const overShareReason = "account over its share"
 
-// requestLines is what the log says of one try.
+// requestLines holds the log lines of one request.
 type requestLines struct {
 	sent    *Line
 	refused *Line
 	ended   *Line
 }
 
-// ReadAccounting reads log lines of any number of gateways and counts what callers got.
+// ReadAccounting reads the log lines of any number of gateways and tallies their requests.
 func ReadAccounting(logs ...io.Reader) (*Accounting, error) {
-	tries := map[string]*requestLines{}
-	var began time.Time
+	requests := map[string]*requestLines{}
+	var start time.Time
 	for _, r := range logs {
 		err := readLines(r, func(l Line) {
 			if l.Request == "" {
 				return
 			}
-			if began.IsZero() || l.Time.Before(began) {
-				began = l.Time
+			if start.IsZero() || l.Time.Before(start) {
+				start = l.Time
 			}
-			j := tries[l.Request]
-			if j == nil {
-				j = &requestLines{}
-				tries[l.Request] = j
+			rl := requests[l.Request]
+			if rl == nil {
+				rl = &requestLines{}
+				requests[l.Request] = rl
 			}
-			j.record(&l)
+			rl.record(&l)
 		})
 		if err != nil {
 			return nil, err
@@ -89,23 +92,23 @@
 		Servers: map[string]*Tally{}, Seconds: map[string]*Tally{},
 	}
 	shares := map[string]map[string]float64{} // tokens by second and account
-	for _, id := range slices.Sorted(maps.Keys(tries)) {
-		a.add(tries[id], began, shares)
+	for _, id := range slices.Sorted(maps.Keys(requests)) {
+		a.add(requests[id], start, shares)
 	}
 	a.finish(shares)
 	return a, nil
 }
 
-func (j *requestLines) record(l *Line) {
+func (rl *requestLines) record(l *Line) {
 	switch l.Event {
 	case "attempt.sent":
-		if j.sent == nil {
-			j.sent = l
+		if rl.sent == nil {
+			rl.sent = l
 		}
 	case "request.refused":
-		j.refused = l
+		rl.refused = l
 	case "request.ended":
-		j.ended = l
+		rl.ended = l
 	}
 }
 
@@ -118,32 +121,34 @@
 	return t
 }
 
-func second(began, now time.Time) string { return strconv.Itoa(int(now.Sub(began) / time.Second)) }
+// secondKey returns the number of seconds since start, as the key of a view.
+func secondKey(start, now time.Time) string { return strconv.Itoa(int(now.Sub(start) / time.Second)) }
 
-// add counts a try in all views.
-func (a *Accounting) add(j *requestLines, began time.Time, shares map[string]map[string]float64) {
-	if j.ended == nil {
-		return // it is still under way, or its last line was dropped
+// add counts a request in all views.
+func (a *Accounting) add(rl *requestLines, start time.Time, shares map[string]map[string]float64) {
+	if rl.ended == nil {
+		return // still active, or its last line was dropped
 	}
-	arrived := second(began, j.ended.Time.Add(-milliseconds(j.ended.Total)))
+	arrived := secondKey(start, rl.ended.Time.Add(-milliseconds(rl.ended.Total)))
 	views := []*Tally{
-		&a.Total, tallyFor(a.Routes, j.ended.Route), tallyFor(a.Accounts, j.ended.Account), tallyFor(a.Halls, j.ended.Hall), tallyFor(a.Seconds, arrived),
+		&a.Total, tallyFor(a.Routes, rl.ended.Route), tallyFor(a.Accounts, rl.ended.Account), tallyFor(a.Halls, rl.ended.Hall), tallyFor(a.Seconds, arrived),
 	}
 	for _, t := range views {
-		t.add(j)
+		t.add(rl)
 	}
-	if j.sent != nil {
-		tallyFor(a.Servers, j.sent.Server).addSent(j)
-		addTokens(shares, arrived, j.ended.Account, j.sent.Tokens)
+	if rl.sent != nil {
+		tallyFor(a.Servers, rl.sent.Server).addSent(rl)
+		addTokens(shares, arrived, rl.ended.Account, rl.sent.Tokens)
 	}
-	if j.refused != nil && j.refused.Reason == overShareReason {
-		addTokens(shares, arrived, j.ended.Account, 0)
+	if rl.refused != nil && rl.refused.Reason == overShareReason {
+		addTokens(shares, arrived, rl.ended.Account, 0)
 	}
 }
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// addTokens adds tokens; an account that was refused is there with what it got.
+// addTokens adds tokens to an account's total. With zero tokens it only makes the account
+// part of the second.
 func addTokens(shares map[string]map[string]float64, second, account string, tokens float64) {
 	if shares[second] == nil {
 		shares[second] = map[string]float64{}
@@ -151,58 +156,58 @@
 	shares[second][account] += tokens
 }
 
-func (t *Tally) add(j *requestLines) {
-	first := j.ended.Elapsed == 0
+func (t *Tally) add(rl *requestLines) {
+	first := rl.ended.Elapsed == 0
 	if first {
 		t.Callers++
 	}
-	switch j.ended.Result {
+	switch rl.ended.Result {
 	case "served", "late":
 		switch {
 		case !first:
 			t.ServedOnRetry++
-		case j.ended.Result == "served":
+		case rl.ended.Result == "served":
 			t.InTime++
 		default:
 			t.Late++
 		}
 	case "refused":
-		t.refuse(j)
+		t.refuse(rl)
 	case "left":
 		t.Canceled++
 	default:
 		t.Failed++
-		if j.ended.Attempts > 1 {
+		if rl.ended.Attempts > 1 {
 			t.FailedAfterRetry++
 		}
 	}
-	t.addSent(j)
+	t.addSent(rl)
 }
 
-func (t *Tally) refuse(j *requestLines) {
+func (t *Tally) refuse(rl *requestLines) {
 	if t.Refused == nil {
 		t.Refused = map[string]int{}
 	}
-	t.Refused[j.ended.Reason]++
-	t.RefusedHoldSeconds += j.ended.Total / 1e3
-	if r := j.refused; r != nil && r.Objective > 0 && r.Predicted+r.Elapsed <= idleLimit*r.Objective {
+	t.Refused[rl.ended.Reason]++
+	t.RefusedHoldSeconds += rl.ended.Total / 1e3
+	if r := rl.refused; r != nil && r.Objective > 0 && r.Predicted+r.Elapsed <= idleLimit*r.Objective {
 		t.RefusedWhileIdle++
 	}
 }
 
-func (t *Tally) addSent(j *requestLines) {
-	if j.sent == nil {
+func (t *Tally) addSent(rl *requestLines) {
+	if rl.sent == nil {
 		return
 	}
-	t.PrefillSeconds += j.sent.PrefillTime / 1e3
-	t.Tokens += j.sent.Tokens
-	held := j.sent.Time.Sub(j.ended.Time.Add(-milliseconds(j.ended.Total)))
-	if j.ended.Attempts == 1 && j.ended.FirstByte > 0 && j.sent.Predicted > 0 {
-		t.PredictionErrors = append(t.PredictionErrors, j.ended.FirstByte-float64(held)/float64(time.Millisecond)-j.sent.Predicted)
+	t.PrefillSeconds += rl.sent.PrefillTime / 1e3
+	t.Tokens += rl.sent.Tokens
+	held := rl.sent.Time.Sub(rl.ended.Time.Add(-milliseconds(rl.ended.Total)))
+	if rl.ended.Attempts == 1 && rl.ended.FirstByte > 0 && rl.sent.Predicted > 0 {
+		t.PredictionErrors = append(t.PredictionErrors, rl.ended.FirstByte-float64(held)/float64(time.Millisecond)-rl.sent.Predicted)
 	}
 }
 
-// finish computes what needs all tries.
+// finish computes the quantiles and gaps, which need all requests.
 func (a *Accounting) finish(shares map[string]map[string]float64) {
 	groups := []map[string]*Tally{{"": &a.Total}, a.Routes, a.Accounts, a.Halls, a.Servers, a.Seconds}
 	for _, g := range groups {
@@ -223,7 +228,7 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// gap is the difference between the largest and the least, in parts of the mean.
+// gap returns the difference between the largest and the smallest value, divided by the mean.
 func gap(tokens []float64) float64 {
 	if len(tokens) < 2 {
 		return 0
@@ -238,7 +243,8 @@
 	return (slices.Max(tokens) - slices.Min(tokens)) * float64(len(tokens)) / total
 }
 
-// Table writes one view as a table, those with most callers first, seconds in order.
+// Table writes one view as a table, sorted by falling number of callers; seconds are in
+// order of time.
 func (a *Accounting) Table(w io.Writer, view string) error {
 	group, ok := map[string]map[string]*Tally{
 		"route": a.Routes, "account": a.Accounts, "hall": a.Halls, "server": a.Servers, "second": a.Seconds,
@@ -261,7 +267,7 @@
 	return errors.Wrap(t.Flush(), "explain: write")
 }
 
-// row writes a tally; errors of a tabwriter show at its Flush.
+// row writes a tally. Write errors of a tabwriter are reported by its Flush.
 func (t *Tally) row(w io.Writer, name string) {
 	others := 0
 	for reason, n := range t.Refused {
--- a/explain/account_test.go
+++ b/explain/account_test.go
@@ -12,8 +12,9 @@
 	"opalbridge.dev/explain"
 )
 
-// sampleLog is what two gateways wrote in one second: a request in time, one late, one that
-// was refused while a server was nearly idle and came back, one cut, one whose caller left.
+// sampleLog holds one second of log lines of two gateways: a request served in time, one
+// served late, one refused while a server was nearly idle and then retried by its caller,
+// one cut, and one whose caller disconnected.
 const sampleLog = `
 {"node":"g1","hall":"h1","event":"attempt.sent","request":"a","attempt":1,"server":"s1","predicted":100,"reading":40,"tokens":900,"time":"2026-01-01T00:00:00.010Z"}
 {"node":"g1","hall":"h1","event":"request.ended","request":"a","route":"r","account":"x","result":"served","attempts":1,"first":130,"whole":400,"spent":0,"time":"2026-01-01T00:00:00.410Z"}
@@ -31,7 +32,7 @@
 func TestReadAccounting(t *testing.T) {
 	a, err := explain.ReadAccounting(strings.NewReader(sampleLog))
 	require.NoError(t, err)
-	require.Equal(t, 5, a.Total.Callers, "who comes back is not counted again")
+	require.Equal(t, 5, a.Total.Callers, "a caller that retries is counted once")
 	require.Equal(t, 1, a.Total.InTime)
 	require.Equal(t, 1, a.Total.Late)
 	require.Equal(t, 1, a.Total.ServedOnRetry)
@@ -45,9 +46,9 @@
 	require.Equal(t, 2, a.Accounts["x"].Callers)
 	require.Equal(t, 3, a.Halls["h2"].Callers)
 	require.InDelta(t, 0.1, a.Servers["s1"].PrefillSeconds, 1e-9)
-	// x got 2,000 tokens and y, which was refused, 1,000.
+	// x got 2,000 tokens and y, which was also refused, 1,000.
 	require.InDelta(t, 1000.0/1500, a.Seconds["0"].Gap, 1e-9)
-	require.InDelta(t, 450, a.Routes["r"].ErrorP90, 1, "the time that a request was held is no miss")
+	require.InDelta(t, 450, a.Routes["r"].ErrorP90, 1, "the time a request was held is not part of the prediction error")
 }
 
 func TestAccountingOutput(t *testing.T) {
@@ -61,9 +62,9 @@
 	require.ErrorContains(t, a.Table(&bytes.Buffer{}, "moon"), "no view")
 	file := filepath.Join(t.TempDir(), "plot.png")
 	require.NoError(t, a.Plot(file))
-	picture, err := os.ReadFile(file)
+	plot, err := os.ReadFile(file)
 	require.NoError(t, err)
-	require.True(t, bytes.HasPrefix(picture, []byte("\x89PNG")))
+	require.True(t, bytes.HasPrefix(plot, []byte("\x89PNG")))
 }
 
 func TestAccountingEmptyLog(t *testing.T) {
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain keeps a bounded record of a node's decisions in memory, so that
-// the fleet can say afterwards why a request went where it went.
+// Package explain keeps a bounded in-memory log of a node's decisions, so that operators
+// can find out why a request was placed, refused or retried. It also reconstructs the
+// history of requests from the log lines of gateways.
 //
 // # Usage
 //
@@ -7,8 +8,8 @@
 //	l.Add(explain.Event{Kind: explain.Grant, Request: id, Text: "…"})
 //	events := l.Request(id)
 //
-// The oldest events are overwritten. The package stores text that operators read;
-// it decides nothing.
+// The oldest events are overwritten. The events are for operators only; no decision
+// depends on them.
 package explain
 
 import (
@@ -16,10 +17,10 @@
 	"time"
 )
 
-// Kind tells what an event is about.
+// Kind classifies an event.
 type Kind string
 
-// The kinds of events.
+// Kinds of events.
 const (
 	Arrive  Kind = "arrive"
 	Wait    Kind = "wait"
@@ -47,8 +48,8 @@
 	Text     string
 }
 
-// Log is a ring of events. It is safe for use by several goroutines; a nil Log
-// records nothing.
+// Log is a ring buffer of events. It is safe for concurrent use. A nil Log records
+// nothing.
 type Log struct {
 	node   string
 	mutex  sync.Mutex
@@ -56,12 +57,12 @@
 	next   int
 }
 
-// NewLog returns a log of at most so many events.
-func NewLog(node string, most int) *Log {
-	return &Log{node: node, events: make([]Event, 0, most)}
+// NewLog returns a log that keeps the latest size events.
+func NewLog(node string, size int) *Log {
+	return &Log{node: node, events: make([]Event, 0, size)}
 }
 
-// Add records an event, at the present time unless it has one.
+// Add records an event, with the current time if its time is zero.
 func (l *Log) Add(e Event) {
 	if l == nil {
 		return
@@ -83,17 +84,17 @@
 	l.next = (l.next + 1) % len(l.events)
 }
 
-// Request returns what is recorded of a request, oldest first.
+// Request returns the events of a request, oldest first.
 func (l *Log) Request(id string) []Event {
 	return l.find(func(e *Event) bool { return e.Request == id })
 }
 
-// Account returns what is recorded of an account, oldest first.
+// Account returns the events of an account, oldest first.
 func (l *Log) Account(name string) []Event {
 	return l.find(func(e *Event) bool { return e.Account == name })
 }
 
-// Repairs returns what degraded and what repaired itself, oldest first.
+// Repairs returns the events of kinds Degrade and Repair, oldest first.
 func (l *Log) Repairs() []Event {
 	return l.find(func(e *Event) bool { return e.Kind == Repair || e.Kind == Degrade })
 }
--- a/explain/plot.go
+++ b/explain/plot.go
@@ -10,13 +10,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot's picture.
+// Size of the image.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// Plot draws, for each second, the callers and what became of them, into a PNG file.
+// Plot draws the number of callers and their outcomes by second into a PNG file.
 func (a *Accounting) Plot(file string) error {
 	p := plot.New()
 	p.Title.Text = "What callers got"
@@ -35,13 +35,13 @@
 	return errors.Wrapf(p.Save(plotWidth, plotHeight, file), "explain: save %s", file)
 }
 
-// series is a figure by second; seconds in which nothing arrived are 0.
-func (a *Accounting) series(figure func(*Tally) float64) plotter.XYs {
+// series returns a value of each second's tally, 0 for seconds in which nothing arrived.
+func (a *Accounting) series(value func(*Tally) float64) plotter.XYs {
 	last := 0
 	for s := range a.Seconds {
 		n, err := strconv.Atoi(s)
 		if err != nil {
-			panic(errors.NewAssertionErrorWithWrappedErrf(err, "explain: second %q", s)) // written by this package
+			panic(errors.NewAssertionErrorWithWrappedErrf(err, "explain: second %q", s)) // keys are made by secondKey
 		}
 		last = max(last, n)
 	}
@@ -49,7 +49,7 @@
 	for n := range points {
 		points[n].X = float64(n)
 		if t := a.Seconds[strconv.Itoa(n)]; t != nil {
-			points[n].Y = figure(t)
+			points[n].Y = value(t)
 		}
 	}
 	return points
--- a/explain/story.go
+++ b/explain/story.go
@@ -14,14 +14,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Line is one line of a process's log, as far as stories need it. Fields that a line
-// lacks are zero.
+// Line holds the fields of a process's log line that this package uses. Fields that a
+// line lacks are zero.
 type Line struct {
 	Time        time.Time `json:"time"`
 	Node        string    `json:"node"`
 	Event       string    `json:"event"`
 	Request     string    `json:"request"`
-	Requests    []string  `json:"requests"` // of a line that speaks of several
+	Requests    []string  `json:"requests"` // set instead of Request if the line is about several
 	Server      string    `json:"server"`
 	Account     string    `json:"account"`
 	Reason      string    `json:"reason"`
@@ -32,7 +32,7 @@
 	Status      int       `json:"status"`
 	Version     uint64    `json:"version"`
 	Revision    uint64    `json:"revision"`
-	Predicted   float64   `json:"predicted"` // milliseconds, as all times below
+	Predicted   float64   `json:"predicted"` // milliseconds, as all durations below
 	Work        float64   `json:"work"`
 	TimeLeft    float64   `json:"left"`
 	FirstByte   float64   `json:"first"`
@@ -40,7 +40,7 @@
 	RetryAfter  float64   `json:"retry_after"`
 	PrefillTime float64   `json:"reading"`
 	Objective   float64   `json:"objective"`
-	Elapsed     float64   `json:"spent"` // since the caller's first try
+	Elapsed     float64   `json:"spent"` // since the caller's first request
 	Tokens      float64   `json:"tokens"`
 	Hall        string    `json:"hall"`
 	Route       string    `json:"route"`
@@ -51,22 +51,22 @@
 	Leaving     bool      `json:"leaving"`
 	MayHaveRun  bool      `json:"may_have_run"`
 
-	order int // of reading
+	order int // position among the lines of its log
 }
 
 // Limits of reading logs.
 const (
 	maxLineSize = 1 << 20
-	// Beliefs of a node are told if they changed at most this long before the request's
-	// last line.
+	// A node's state changes are shown if they are at most this much older than the
+	// request's last line.
 	stateChangeWindow = 30 * time.Second
 )
 
-// Story reads log lines and writes what happened to a request, in order over all
-// processes, with what the processes involved came to believe shortly before. Lines
-// that are no JSON objects are passed over; what stands before an object is ignored.
+// Story reads log lines and writes what happened to a request, in order of time over all
+// processes, along with the state changes of the processes involved from shortly before.
+// Lines that are not JSON objects are skipped; text before an object is ignored.
 func Story(w io.Writer, request string, logs ...io.Reader) error {
-	var own, beliefs []Line
+	var own, changes []Line
 	for _, r := range logs {
 		err := readLines(r, func(l Line) {
 			if slices.Contains(l.Requests, request) {
@@ -75,7 +75,7 @@
 			if l.Request == request {
 				own = append(own, l)
 			} else if l.Request == "" {
-				beliefs = append(beliefs, l)
+				changes = append(changes, l)
 			}
 		})
 		if err != nil {
@@ -85,14 +85,14 @@
 	if len(own) == 0 {
 		return errors.Newf("explain: no line names request %s", request)
 	}
-	lines := append(own, relatedChanges(own, beliefs)...)
+	lines := append(own, relatedChanges(own, changes)...)
 	slices.SortStableFunc(lines, func(a, b Line) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.order, b.order))
 	})
 	for _, l := range lines {
 		mark := " "
 		if l.Request == "" {
-			mark = "." // a belief, not a step of the request
+			mark = "." // a state change, not a step of the request
 		}
 		if _, err := fmt.Fprintf(w, "%s %s %-20s %s\n", l.Time.Format("15:04:05.000"), mark, l.Node, describe(l)); err != nil {
 			return errors.Wrap(err, "explain: write")
@@ -101,7 +101,8 @@
 	return nil
 }
 
-func readLines(r io.Reader, take func(Line)) error {
+// readLines calls f for each line that holds a JSON object.
+func readLines(r io.Reader, f func(Line)) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 64<<10), maxLineSize)
 	order := 0
@@ -116,14 +117,14 @@
 		}
 		order++
 		l.order = order
-		take(l)
+		f(l)
 	}
 	return errors.Wrap(s.Err(), "explain: read log")
 }
 
-// relatedChanges returns the beliefs that bear on a request: of the nodes that had it, about
-// the store, the configuration and the servers it went to.
-func relatedChanges(own, beliefs []Line) []Line {
+// relatedChanges returns the state changes that concern a request: those that its nodes
+// logged about the store, the configuration and the servers that it was sent to.
+func relatedChanges(own, changes []Line) []Line {
 	nodes, servers := map[string]bool{}, map[string]bool{}
 	last := own[0].Time
 	for _, l := range own {
@@ -136,7 +137,7 @@
 		}
 	}
 	var kept []Line
-	for _, l := range beliefs {
+	for _, l := range changes {
 		age := last.Sub(l.Time)
 		about := l.Server == "" || servers[l.Server]
 		if nodes[l.Node] && about && age >= 0 && age < stateChangeWindow && !strings.HasPrefix(l.Event, "request.") {
@@ -146,7 +147,7 @@
 	return kept
 }
 
-// describe says in words what a line says.
+// describe returns a line's event in words.
 func describe(l Line) string {
 	switch l.Event {
 	case "attempt.sent":
--- a/explain/story_test.go
+++ b/explain/story_test.go
@@ -9,8 +9,8 @@
 	"opalbridge.dev/explain"
 )
 
-// recorded lines of two gateways; the second one's log has a prefix, as a collector
-// may put before a line.
+// Log lines of two gateways. The second log has a prefix, as a log collector may put before
+// a line.
 const gateway1Log = `{"level":"info","node":"g1","event":"configuration.in_force","version":7,"revision":12,"time":"2026-12-02T14:00:00Z"}
 not a line of ours
 {"level":"warn","node":"g1","event":"server.silent","server":"i-1","time":"2026-12-02T14:00:05Z"}
@@ -30,27 +30,27 @@
 		name    string
 		request string
 		want    []string
-		lacks   []string
+		absent  []string
 	}{
 		{"failed", "r1", []string{
 			"configuration 7 in force", "server i-1: silent", "attempt 1 sent to server i-1: first event predicted in 210 ms",
 			"attempt 1 failed (may have run: true): reset", "failed after 1 attempts",
 		}, []string{"i-9", "i-2"}},
 		{"refused", "r3", []string{"refused as not run: no server in time", "come back after 200 ms"}, []string{"configuration 7"}},
-		{"turned away with others", "r5", []string{"503", "short of processor"}, []string{"r4"}},
+		{"denied with others", "r5", []string{"503", "short of processor"}, []string{"r4"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var out strings.Builder
 			require.NoError(t, explain.Story(&out, test.request, strings.NewReader(gateway2Log), strings.NewReader(gateway1Log)))
-			at := 0
+			offset := 0
 			for _, want := range test.want {
-				next := strings.Index(out.String()[at:], want)
+				next := strings.Index(out.String()[offset:], want)
 				require.GreaterOrEqual(t, next, 0, "%q, in order, in:\n%s", want, out.String())
-				at += next
+				offset += next
 			}
-			for _, lacks := range test.lacks {
-				require.NotContains(t, out.String(), lacks)
+			for _, text := range test.absent {
+				require.NotContains(t, out.String(), text)
 			}
 		})
 	}
