--- a/cmd/opalbridge/account.go
+++ b/cmd/opalbridge/account.go
@@ -49,13 +49,13 @@
 	}
 }
 
-// openLogs opens files of log lines, or takes otherwise when none is named. closeLogs is
+// openLogs opens the named log files, or returns stdin if no file is named. closeLogs is
 // never nil.
-func openLogs(names []string, otherwise io.Reader) (logs []io.Reader, closeLogs func(), err error) {
+func openLogs(names []string, stdin io.Reader) (logs []io.Reader, closeLogs func(), err error) {
 	var files []*os.File
 	closeLogs = func() {
 		for _, f := range files {
-			f.Close() // it was only read
+			f.Close() // read only, so an error loses nothing
 		}
 	}
 	for _, name := range names {
@@ -67,7 +67,7 @@
 		logs = append(logs, f)
 	}
 	if len(logs) == 0 {
-		logs = append(logs, otherwise)
+		logs = append(logs, stdin)
 	}
 	return logs, closeLogs, nil
 }
--- a/cmd/opalbridge/bench_test.go
+++ b/cmd/opalbridge/bench_test.go
@@ -19,20 +19,20 @@
 	"opalbridge.dev/engine/enginetest"
 )
 
-// fastModel is a stand-in that costs almost no time of its own.
+// fastModel returns a simulated model server that answers almost without delay.
 func fastModel() *enginetest.Model {
 	return enginetest.NewModel(enginetest.ModelOptions{
 		Models: []string{devModel}, Slots: 4096, PrefillToken: time.Nanosecond, DecodeStep: time.Microsecond, DecodeExtra: time.Nanosecond,
 	})
 }
 
-// startFastFleet starts a dev fleet whose model servers are quick.
+// startFastFleet starts a dev fleet with the given model servers.
 func startFastFleet(b testing.TB, slots int, model func() http.Handler) *devFleet {
-	life, end := context.WithCancel(context.Background())
-	f := &devFleet{ctx: life, model: model, slots: slots}
+	ctx, cancel := context.WithCancel(context.Background())
+	f := &devFleet{ctx: ctx, model: model, slots: slots}
 	require.NoError(b, f.start("127.0.0.1:0"))
 	require.NoError(b, f.waitReady(context.Background()))
-	b.Cleanup(func() { f.stop(end) })
+	b.Cleanup(func() { f.stop(cancel) })
 	return f
 }
 
@@ -40,17 +40,18 @@
 	return fmt.Appendf(nil, `{"model":%q,"stream":%v,"max_tokens":%d,"messages":[{"role":"user","content":"x"}]}`, devModel, stream, tokens)
 }
 
-// timeToFirstByte sends a request and returns the time to the answer's timeToFirstByte byte.
+// timeToFirstByte sends a request and returns the time to the first byte of the response
+// body.
 func timeToFirstByte(b testing.TB, client *http.Client, url, key string, content []byte) time.Duration {
 	r, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(content))
 	require.NoError(b, err)
 	r.Header.Set("Authorization", "Bearer "+key)
-	begun := time.Now()
+	start := time.Now()
 	answer, err := client.Do(r)
 	require.NoError(b, err)
 	one := make([]byte, 1)
 	_, err = io.ReadFull(answer.Body, one)
-	took := time.Since(begun)
+	took := time.Since(start)
 	require.NoError(b, err)
 	_, err = io.Copy(io.Discard, answer.Body)
 	require.NoError(b, err)
@@ -63,23 +64,23 @@
 	return float64(d[len(d)*p/100]) / float64(time.Millisecond)
 }
 
-// BenchmarkFirstByte compares the time to the first byte with the stand-in called
-// directly, both in turn in one run.
+// BenchmarkFirstByte measures the latency that the fleet adds to the first byte. It
+// alternates requests through the fleet with requests sent directly to the model server.
 func BenchmarkFirstByte(b *testing.B) {
 	f := startFastFleet(b, 64, func() http.Handler { return fastModel() })
-	direct := httptest.NewServer(fastModel())
-	defer direct.Close()
+	model := httptest.NewServer(fastModel())
+	defer model.Close()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	content := body(4, true)
-	var through, alone []time.Duration
+	var proxied, direct []time.Duration
 	for b.Loop() {
-		through = append(through, timeToFirstByte(b, client, f.callers[0], f.keys[0], content))
-		alone = append(alone, timeToFirstByte(b, client, direct.URL, "", content))
+		proxied = append(proxied, timeToFirstByte(b, client, f.callers[0], f.keys[0], content))
+		direct = append(direct, timeToFirstByte(b, client, model.URL, "", content))
 	}
-	const middle, high = 50, 99
-	b.ReportMetric(percentile(through, middle)-percentile(alone, middle), "added-p50-ms")
-	b.ReportMetric(percentile(through, high)-percentile(alone, high), "added-p99-ms")
-	b.ReportMetric(percentile(alone, middle), "direct-p50-ms")
+	const p50, p99 = 50, 99
+	b.ReportMetric(percentile(proxied, p50)-percentile(direct, p50), "added-p50-ms")
+	b.ReportMetric(percentile(proxied, p99)-percentile(direct, p99), "added-p99-ms")
+	b.ReportMetric(percentile(direct, p50), "direct-p50-ms")
 }
 
 func cpuTime() time.Duration {
@@ -88,8 +89,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkThroughput counts requests and tokens for each second of processor time
-// through router, agent, the stand-in and the client together.
+// BenchmarkThroughput counts requests and tokens for each second of CPU time, which router,
+// agent, model server and client share.
 func BenchmarkThroughput(b *testing.B) {
 	for _, tokens := range []int{1, 200} {
 		b.Run(fmt.Sprint(tokens, " tokens"), func(b *testing.B) {
@@ -98,14 +99,14 @@
 			content := body(tokens, true)
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			processor := cpuTime()
+			startCPU := cpuTime()
 			b.SetParallelism(4)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					timeToFirstByte(b, client, f.callers[0], f.keys[0], content)
 				}
 			})
-			spent := (cpuTime() - processor).Seconds()
+			spent := (cpuTime() - startCPU).Seconds()
 			runtime.ReadMemStats(&after)
 			b.ReportMetric(float64(b.N)/spent, "requests/cpu-s")
 			b.ReportMetric(float64(b.N*tokens)/spent, "tokens/cpu-s")
@@ -114,7 +115,7 @@
 	}
 }
 
-// idleModel answers with one event and then holds its stream open.
+// idleModel returns a model server that sends one event and then keeps the stream open.
 func idleModel() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/load" {
@@ -128,8 +129,8 @@
 	})
 }
 
-// BenchmarkIdleStreams measures the memory of open streams that carry nothing,
-// client and stand-in included.
+// BenchmarkIdleStreams measures the memory of idle open streams, including that of client
+// and model server.
 func BenchmarkIdleStreams(b *testing.B) {
 	for _, streams := range []int{1000, 4000} {
 		b.Run(fmt.Sprint(streams), func(b *testing.B) {
--- a/cmd/opalbridge/ctl.go
+++ b/cmd/opalbridge/ctl.go
@@ -97,7 +97,8 @@
 	}}
 }
 
-// limitFlags are the fleet's limits as flags; what is not named keeps its value.
+// limitFlags lists the fleet's limits as flags. Limits whose flag is not given keep their
+// value.
 var limitFlags = []struct {
 	name  string
 	field func(*operatorpb.Limits) *uint32
@@ -123,11 +124,11 @@
 }
 
 func ctlLimits(ctx context.Context, c *client) error {
-	now, err := c.api.GetConfiguration(ctx, connect.NewRequest(&operatorpb.GetConfigurationRequest{}))
+	current, err := c.api.GetConfiguration(ctx, connect.NewRequest(&operatorpb.GetConfigurationRequest{}))
 	if err != nil {
 		return c.withExitCode(err)
 	}
-	limits := now.Msg.Limits
+	limits := current.Msg.Limits
 	for _, f := range limitFlags {
 		if c.cmd.IsSet(f.name) {
 			*f.field(limits) = c.cmd.Uint32(f.name)
@@ -135,12 +136,12 @@
 	}
 	expect := c.expect()
 	if expect == 0 {
-		expect = now.Msg.Revision // the values kept are those of this revision
+		expect = current.Msg.Revision // limits that are not set are taken from this revision
 	}
 	return applyChange(c, c.api.PutLimits, ctx, &operatorpb.PutLimitsRequest{Limits: limits, Expect: expect})
 }
 
-// client is one call of ctl.
+// client runs one ctl command.
 type client struct {
 	cmd *cli.Command
 	api operatorpbconnect.OperatorClient
@@ -175,7 +176,7 @@
 	return c.cmd.Args().First(), nil
 }
 
-// withExitCode gives an error of the fleet its exit code.
+// withExitCode adds the exit code to an error returned by a router.
 func (c *client) withExitCode(err error) error {
 	code := exitFailure
 	switch connect.CodeOf(err) {
@@ -189,7 +190,7 @@
 	return &failure{code: code, err: err}
 }
 
-// show prints a message as JSON, or by the table function.
+// show prints a message as JSON or, for table output, with the table function.
 func (c *client) show(m proto.Message, table func(w io.Writer)) error {
 	if c.cmd.String("output") == "json" {
 		b, err := protojson.MarshalOptions{Multiline: true, EmitUnpopulated: true}.Marshal(m)
@@ -204,7 +205,7 @@
 	return w.Flush()
 }
 
-// applyChange makes a call that changes the configuration and shows the revision.
+// applyChange makes a call that changes the configuration and prints the new revision.
 func applyChange[Q any](c *client, call func(context.Context, *connect.Request[Q]) (*connect.Response[operatorpb.Changed], error), ctx context.Context, q *Q) error {
 	r, err := call(ctx, connect.NewRequest(q))
 	if err != nil {
--- a/cmd/opalbridge/dev.go
+++ b/cmd/opalbridge/dev.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Halls, pools and account shares of the fleet that dev runs.
+// Halls and accounts of the dev fleet.
 var (
 	devHalls    = []string{"hall-1", "hall-2"}
 	devAccounts = []config.Account{{Name: "quito", Share: 2}, {Name: "cuenca", Share: 1}}
@@ -49,17 +49,17 @@
 	devRouters     = 2
 	devModels      = 3
 	devStopTimeout = 10 * time.Second
-	// devReadyTimeout is how long the fleet may take to be ready.
+	// devReadyTimeout limits the time until all routers are connected to all agents.
 	devReadyTimeout = 20 * time.Second
 )
 
-// devFleet is a fleet of stand-ins in one process.
+// devFleet is a fleet in one process, with simulated model servers and platform.
 type devFleet struct {
 	ctx       context.Context
 	log       zerolog.Logger
 	telemetry *telemetry.Telemetry
 	store     platform.KV
-	url       string // of the platform
+	url       string // of the platform's store
 	token     string
 	keys      []string
 	routers   []*runningRouter
@@ -67,8 +67,8 @@
 	done      []<-chan error
 	callers   []string
 	admin     string
-	slots     int                 // of each server; 0: devSlots
-	model     func() http.Handler // makes a model server; nil: the usual stand-in
+	slots     int                 // of each server; 0 means devSlots
+	model     func() http.Handler // makes a model server; nil means enginetest.Model
 }
 
 func dev(ctx context.Context, c *cli.Command) error {
@@ -76,9 +76,9 @@
 	if err != nil {
 		return usageError(errors.Wrap(err, "dev: --log-level"))
 	}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	f := &devFleet{ctx: life, log: zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger()}
+	fleetCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	f := &devFleet{ctx: fleetCtx, log: zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger()}
 	if err := f.start(c.String("listen")); err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	}
 	f.print(c)
 	<-ctx.Done()
-	f.stop(end)
+	f.stop(cancel)
 	fmt.Fprintln(c.Root().Writer, "stopped")
 	return nil
 }
@@ -126,7 +126,7 @@
 	return "http://" + l.Addr().String(), nil
 }
 
-// configure puts the first configuration into the platform's service.
+// configure stores the initial configuration in the platform's store.
 func (f *devFleet) configure() error {
 	f.token = operator.NewKey()
 	store := config.Store{KV: f.store}
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// Settings of dev's processes that are not the defaults of settings files.
+// Settings of the dev fleet's nodes. Defaults of settings files do not apply to them.
 const (
 	maxRecords     = 4096
 	reportInterval = 2 * time.Second
@@ -235,8 +235,8 @@
 				break
 			}
 			if ctx.Err() != nil {
-				_, why := p.router.Ready()
-				return errors.Newf("dev: not ready after %s: %s", devReadyTimeout, why)
+				_, reason := p.router.Ready()
+				return errors.Newf("dev: not ready after %s: %s", devReadyTimeout, reason)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -256,7 +256,7 @@
 		f.callers[0], f.keys[0], devModel)
 }
 
-func (f *devFleet) stop(end context.CancelFunc) {
+func (f *devFleet) stop(cancel context.CancelFunc) {
 	for _, p := range f.routers {
 		waitDrained(devStopTimeout, p.router.Drain(), func() {})
 		_ = p.http.Close()
@@ -264,7 +264,7 @@
 	for _, a := range f.agents {
 		waitDrained(devStopTimeout, a.Drain(), func() {})
 	}
-	end()
+	cancel()
 	for _, d := range f.done {
 		<-d
 	}
--- a/cmd/opalbridge/docs_test.go
+++ b/cmd/opalbridge/docs_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSettingsPage fails when the operators' page of settings is not what the code
-// says.
+// TestSettingsPage checks that docs/operators/settings.md contains the settings reference
+// of each role.
 func TestSettingsPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/settings.md")
 	require.NoError(t, err)
@@ -23,13 +23,13 @@
 	}
 }
 
-// TestCheckCommand tries the exit codes of check.
+// TestCheckCommand checks the exit codes of the check command.
 func TestCheckCommand(t *testing.T) {
 	file := t.TempDir() + "/agent.yaml"
 	require.NoError(t, os.WriteFile(file, []byte("name: a\nhall: h\npeer_address: 127.0.0.1:1\nserver_url: http://127.0.0.1:2\n"), 0o600))
 	tests := []struct {
-		words []string
-		code  int
+		args []string
+		code int
 	}{
 		{[]string{"--role", "agent", file}, 0},
 		{[]string{"--role", "router", file}, exitUsage},
@@ -40,12 +40,12 @@
 	for _, test := range tests {
 		c := command()
 		c.Writer = &bytes.Buffer{}
-		err := c.Run(context.Background(), append([]string{"opalbridge", "check"}, test.words...))
+		err := c.Run(context.Background(), append([]string{"opalbridge", "check"}, test.args...))
 		if test.code == 0 {
 			require.NoError(t, err)
 			continue
 		}
 		require.Error(t, err)
-		require.Equal(t, test.code, exitCode(err), test.words)
+		require.Equal(t, test.code, exitCode(err), test.args)
 	}
 }
--- a/cmd/opalbridge/gateway.go
+++ b/cmd/opalbridge/gateway.go
@@ -26,12 +26,13 @@
 )
 
 const (
-	// Lines of one request are milliseconds apart.
+	// Log times need milliseconds: the lines of one request are milliseconds apart.
 	logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
-	// The collector works harder when the heap nears this share of the memory, which
-	// leaves room for stacks and for bytes in sockets.
+	// The garbage collector's memory limit, as a share of the process's memory. The rest is
+	// left for stacks and socket buffers.
 	heapLimitRatio = 0.6
-	// Connections to the store: one call waits at a time, and a list needs a second.
+	// At most one call to the store waits for changes at a time; a list needs a second
+	// connection.
 	storeConnections = 2
 	storeDialTimeout = time.Second
 )
@@ -58,7 +59,7 @@
 	}
 }
 
-// requestMetrics counts the ends of requests in the process's metrics.
+// requestMetrics implements gateway.Metrics with the process's metrics.
 type requestMetrics struct{ *telemetry.GatewayMetrics }
 
 // RequestEnded implements gateway.Metrics.
@@ -70,19 +71,19 @@
 	if s.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(heapLimitRatio * float64(s.MemoryMB) * (1 << 20)))
 	}
-	lines := telemetry.NewLogWriter(os.Stdout)
-	written := make(chan struct{})
-	writing, stopWriting := context.WithCancel(context.Background())
+	logWriter := telemetry.NewLogWriter(os.Stdout)
+	logWritten := make(chan struct{})
+	writeCtx, stopWriting := context.WithCancel(context.Background())
 	go func() {
-		lines.Run(writing)
-		close(written)
+		logWriter.Run(writeCtx)
+		close(logWritten)
 	}()
 	defer func() {
 		stopWriting()
-		<-written
+		<-logWritten
 	}()
 	zerolog.TimeFieldFormat = logTimeFormat
-	log := zerolog.New(lines).Level(s.LogLevel).With().Timestamp().Str("node", s.Name).Str("hall", s.Hall).Logger()
+	log := zerolog.New(logWriter).Level(s.LogLevel).With().Timestamp().Str("node", s.Name).Str("hall", s.Hall).Logger()
 	t, err := telemetry.New(ctx, telemetry.Options{Service: "gateway", Node: s.Name, OTLP: s.OTLPURL})
 	if err != nil {
 		return err
@@ -92,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	if err := registerGauges(t, g, lines, entries); err != nil {
+	if err := registerGauges(t, g, logWriter, entries); err != nil {
 		return err
 	}
 	stopReload := watchReload(file, log)
@@ -105,8 +106,8 @@
 	return errors.CombineErrors(g.Run(ctx), t.Shutdown(context.WithoutCancel(ctx)))
 }
 
-// registerGauges registers the gauges of what the gateway believes.
-func registerGauges(t *telemetry.Telemetry, g *gateway.Gateway, lines *telemetry.LogWriter, entries *unreadableEntries) error {
+// registerGauges registers the gauges of the gateway's state.
+func registerGauges(t *telemetry.Telemetry, g *gateway.Gateway, logWriter *telemetry.LogWriter, entries *unreadableEntries) error {
 	return telemetry.RegisterGauges(t.Meter("gateway"), []telemetry.Gauge{
 		{Name: "opalbridge.gateway.view_age", Unit: "s", Description: "since the view was last known to be the store's latest", Read: func() float64 { return g.Status().ViewAge.Seconds() }},
 		{Name: "opalbridge.gateway.configuration_version", Description: "version in force; 0: none", Read: func() float64 { return float64(g.Status().ConfigurationVersion) }},
@@ -120,18 +121,18 @@
 		{Name: "opalbridge.gateway.said_leaving", Description: "servers that have said in answers that they leave", Read: func() float64 { return float64(g.Status().AnnouncedLeaving) }},
 		{Name: "opalbridge.gateway.resting", Description: "servers that have asked this gateway for rest", Read: func() float64 { return float64(g.Status().BackingOff) }},
 		{Name: "opalbridge.gateway.barred", Description: "requests that reach no server any more, since servers ended under them", Read: func() float64 { return float64(g.Status().Quarantined) }},
-		{Name: "opalbridge.gateway.log_lines_dropped", Description: "log lines that were not written", Read: func() float64 { return float64(lines.Dropped()) }},
+		{Name: "opalbridge.gateway.log_lines_dropped", Description: "log lines that were not written", Read: func() float64 { return float64(logWriter.Dropped()) }},
 		{Name: "opalbridge.gateway.unreadable_entries", Description: "entries in the platform's store that could not be read, each time that they were met", Read: func() float64 { return float64(entries.total()) }},
 	})
 }
 
-// openGateway opens the gateway's sockets and puts its parts together.
+// openGateway opens the gateway's sockets and builds the gateway from its settings.
 func openGateway(s *settings.Settings, t *telemetry.Telemetry, log zerolog.Logger, entries *unreadableEntries) (*gateway.Gateway, error) {
 	metrics, err := telemetry.NewGatewayMetrics(t.Meter("gateway"))
 	if err != nil {
 		return nil, err
 	}
-	front, err := gateway.ListenCallers(s.FrontAddress)
+	callers, err := gateway.ListenCallers(s.FrontAddress)
 	if err != nil {
 		return nil, errors.Wrap(err, "gateway: listen for callers")
 	}
@@ -149,7 +150,7 @@
 		DisableCompression: true,
 	}}}
 	return gateway.New(gateway.Options{
-		CallerListener: front, ReadyListener: ready, PeerListener: peers,
+		CallerListener: callers, ReadyListener: ready, PeerListener: peers,
 		ReadyPath: platform.ReadyPath,
 		Peer:      peer.Options{Address: s.PeerAddress, Seeds: s.Seeds},
 		Source:    &platform.Feed{Store: store, Halls: s.Regions, Unreadable: entries.record},
@@ -167,7 +168,7 @@
 	})
 }
 
-// openFileLimit returns how many files and sockets the process may open; 0: no limit.
+// openFileLimit returns how many files and sockets the process may open. 0 means no limit.
 func openFileLimit(s *settings.Settings) int {
 	if s.FileLimit > 0 {
 		return s.FileLimit
@@ -179,30 +180,30 @@
 	return int(limit.Cur)
 }
 
-// A limit beyond this one is none.
+// maxFileLimit is the largest limit that counts as one. Larger values mean no limit.
 const maxFileLimit = 1 << 20
 
-// watchReload reads the settings again at each hang-up and says what it finds. What
-// a gateway has in its settings (addresses, bounds) holds for the life of a process;
-// what may change while it runs is in the operators' configuration.
+// watchReload checks the settings file at each SIGHUP and logs whether it is valid. Settings
+// of a gateway (addresses, limits) are fixed for the life of the process; what may change
+// while it runs is part of the operators' configuration.
 func watchReload(file string, log zerolog.Logger) (stop func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		for range signals {
 			if _, err := readSettings(settings.Gateway, file); err != nil {
-				log.Error().Str("event", "reload").Err(err).Msg("settings are wrong; the process goes on with the old ones")
+				log.Error().Str("event", "reload").Err(err).Msg("settings file is invalid; keeping the current settings")
 				continue
 			}
-			log.Info().Str("event", "reload").Msg("settings are right; they hold from the next start")
+			log.Info().Str("event", "reload").Msg("settings file is valid; it takes effect at the next start")
 		}
 	}()
 	return func() {
 		signal.Stop(signals)
 		close(signals)
-		<-ended
+		<-done
 	}
 }
 
@@ -216,7 +217,7 @@
 	mux.Handle("/metrics", t.Metrics())
 	go func() {
 		err := newServer(mux).Serve(l)
-		log.Error().Str("event", "metrics.ended").Err(err).Msg("no metrics any more")
+		log.Error().Str("event", "metrics.ended").Err(err).Msg("metrics server stopped")
 	}()
 	return nil
 }
--- a/cmd/opalbridge/main.go
+++ b/cmd/opalbridge/main.go
@@ -1,6 +1,7 @@
-// Command opalbridge is the whole product in one binary: the router on entry
-// hosts, the agent beside each backend server, the gateway that needs no agents, the operators' client, a check of
-// settings, and a whole fleet in one process to try it.
+// Command opalbridge contains all programs of the project: the router for entry hosts, the
+// agent that runs beside each backend server, the gateway, which needs no agents, the
+// operators' client, a checker for settings files, and a complete fleet in one process for
+// trying it out.
 //
 // # Usage
 //
@@ -12,7 +13,7 @@
 //	opalbridge quarantine list --store 10.200.1.7:8781
 //	opalbridge ctl status
 //
-// See docs/operators for what each is for.
+// See docs/operators for a description of each command.
 package main
 
 import (
@@ -33,10 +34,10 @@
 
 // Exit codes.
 const (
-	exitFailure  = 1 // something failed while it ran
-	exitUsage    = 2 // unusable arguments or settings
-	exitConflict = 3 // another operator's change came first
-	exitUnknown  = 4 // it is not known whether a change was accepted
+	exitFailure  = 1 // runtime failure
+	exitUsage    = 2 // invalid arguments or settings
+	exitConflict = 3 // another operator changed the configuration first
+	exitUnknown  = 4 // unknown whether a change was accepted
 )
 
 func main() {
@@ -58,7 +59,7 @@
 // Error implements error.
 func (f *failure) Error() string { return f.err.Error() }
 
-// Unwrap returns the error inside.
+// Unwrap returns the wrapped error.
 func (f *failure) Unwrap() error { return f.err }
 
 func exitCode(err error) int {
--- a/cmd/opalbridge/main_test.go
+++ b/cmd/opalbridge/main_test.go
@@ -22,19 +22,19 @@
 	"opalbridge.dev/config"
 )
 
-// startDev starts the fleet that the dev command runs, over real loopback
-// connections. It ends with the test.
+// startDev starts the fleet of the dev command on real loopback connections and stops it at
+// the end of the test.
 func startDev(t testing.TB) *devFleet {
-	life, end := context.WithCancel(context.Background())
-	f := &devFleet{ctx: life, log: zerolog.Nop()}
+	ctx, cancel := context.WithCancel(context.Background())
+	f := &devFleet{ctx: ctx, log: zerolog.Nop()}
 	require.NoError(t, f.start("127.0.0.1:0"))
 	require.NoError(t, f.waitReady(context.Background()))
-	t.Cleanup(func() { f.stop(end) })
+	t.Cleanup(func() { f.stop(cancel) })
 	return f
 }
 
-func (f *devFleet) client(at, account int) openai.Client {
-	return openai.NewClient(option.WithBaseURL(f.callers[at]+"/v1"), option.WithAPIKey(f.keys[account]), option.WithMaxRetries(0))
+func (f *devFleet) client(router, account int) openai.Client {
+	return openai.NewClient(option.WithBaseURL(f.callers[router]+"/v1"), option.WithAPIKey(f.keys[account]), option.WithMaxRetries(0))
 }
 
 func chat(prompt string, tokens int64) openai.ChatCompletionNewParams {
@@ -45,7 +45,7 @@
 	}
 }
 
-// wantText is what the stand-in answers.
+// wantText returns the simulated model's answer of the given length.
 func wantText(tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
@@ -66,7 +66,7 @@
 	return text.String()
 }
 
-// TestPublishedClient drives the path with a published client library.
+// TestPublishedClient sends requests with a published client library.
 func TestPublishedClient(t *testing.T) {
 	f := startDev(t)
 	c := f.client(0, 0)
@@ -75,17 +75,18 @@
 	require.NoError(t, err)
 	require.Equal(t, devModel, models.Data[0].ID)
 
-	whole, err := c.Chat.Completions.New(context.Background(), chat("hello", 5))
+	completion, err := c.Chat.Completions.New(context.Background(), chat("hello", 5))
 	require.NoError(t, err)
-	require.Equal(t, wantText(5), whole.Choices[0].Message.Content)
-	require.Equal(t, int64(5), whole.Usage.CompletionTokens)
+	require.Equal(t, wantText(5), completion.Choices[0].Message.Content)
+	require.Equal(t, int64(5), completion.Usage.CompletionTokens)
 
 	require.Equal(t, wantText(7), streamText(t, c, chat("hello", 7)))
 	const longPrompt = 120_000
 	require.Equal(t, wantText(3), streamText(t, c, chat(strings.Repeat("pressure ", longPrompt/9), 3)))
 }
 
-// TestConcurrentCallers has 200 callers at both routers; each gets its own answer.
+// TestConcurrentCallers checks that each of 200 concurrent callers at two routers gets its
+// own answer.
 func TestConcurrentCallers(t *testing.T) {
 	f := startDev(t)
 	var callers sync.WaitGroup
@@ -101,7 +102,8 @@
 	}
 }
 
-// send sends one raw request and returns the answer with its error body.
+// send sends a raw request to the first router and returns the response and the error object
+// of its body.
 func (f *devFleet) send(t testing.TB, method, path, body string, headers map[string]string) (*http.Response, map[string]any) {
 	r, err := http.NewRequest(method, f.callers[0]+path, strings.NewReader(body))
 	require.NoError(t, err)
@@ -117,8 +119,8 @@
 	return answer, m.Error
 }
 
-// TestBadInput holds that each fault is told by its field, as not run, and that
-// the fleet serves on.
+// TestBadInput checks that each invalid request is refused with an error that names its
+// field and is marked as not run, and that the fleet keeps serving.
 func TestBadInput(t *testing.T) {
 	f := startDev(t)
 	const path = "/v1/chat/completions"
@@ -149,18 +151,18 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			answer, fault := f.send(t, test.method, test.path, test.body, test.headers)
+			answer, apiError := f.send(t, test.method, test.path, test.body, test.headers)
 			require.Equal(t, test.status, answer.StatusCode)
-			require.Equal(t, test.code, fault["code"])
-			require.Equal(t, test.field, fault["param"])
+			require.Equal(t, test.code, apiError["code"])
+			require.Equal(t, test.field, apiError["param"])
 			require.Equal(t, "not-run", answer.Header.Get("Opalbridge-Outcome"))
 		})
 	}
 	require.Equal(t, wantText(2), streamText(t, f.client(0, 0), chat("still there", 2)))
 }
 
-// TestRequestSmuggling writes requests by hand that try to hide a second
-// request, or to speak as the router does to a server.
+// TestRequestSmuggling sends malformed requests that try to hide a second request, and a
+// request that sets a header that only the router may set.
 func TestRequestSmuggling(t *testing.T) {
 	f := startDev(t)
 	for _, raw := range []string{
@@ -183,15 +185,15 @@
 	require.NotEqual(t, "mine", answer.Header.Get("Opalbridge-Request-Id"))
 }
 
-// TestCallerDisconnectStopsWork has a caller leave in the middle of an answer; the
-// place is free again soon.
+// TestCallerDisconnectStopsWork checks that the slot of a request is released when its
+// caller disconnects in the middle of the answer.
 func TestCallerDisconnectStopsWork(t *testing.T) {
 	f := startDev(t)
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	c := f.client(0, 0)
 	s := c.Chat.Completions.NewStreaming(ctx, chat("a long story", 100_000))
 	require.True(t, s.Next())
-	leave()
+	disconnect()
 	require.Eventually(t, func() bool {
 		running := 0
 		for _, a := range f.agents {
@@ -201,31 +203,31 @@
 	}, 10*time.Second, 10*time.Millisecond)
 }
 
-// ctl runs an operators' command.
-func (f *devFleet) ctl(t testing.TB, words ...string) error {
+// ctl runs an operators' command against the second router.
+func (f *devFleet) ctl(t testing.TB, args ...string) error {
 	c := command()
 	var out bytes.Buffer
 	c.Writer = &out
-	err := c.Run(context.Background(), append([]string{"opalbridge", "ctl", "--router", f.callers[1], "--token", f.token}, words...))
-	t.Logf("ctl %v: %s", words, out.String())
+	err := c.Run(context.Background(), append([]string{"opalbridge", "ctl", "--router", f.callers[1], "--token", f.token}, args...))
+	t.Logf("ctl %v: %s", args, out.String())
 	return err
 }
 
-// TestOperatorCommands drives every call of the operators through the command line.
+// TestOperatorCommands runs every operators' call through the command line.
 func TestOperatorCommands(t *testing.T) {
 	f := startDev(t)
-	for _, words := range []string{
+	for _, line := range []string{
 		"configuration", "status", "--output json status",
 		"account create --share 3 loja", "account update --share 4 --max-waiting 9 loja", "account rotate-key loja", "account update --disabled loja",
 		"pool put --kind service stock", "server put --hall hall-1 --pool stock stock-1", "server put --hall hall-1 --pool stock --leaving stock-1",
 		"server delete stock-1", "pool delete stock", "limits put --urgent-credit 5000", "explain --account quito",
 	} {
-		err := f.ctl(t, strings.Fields(words)...)
-		require.NoError(t, err, words)
+		err := f.ctl(t, strings.Fields(line)...)
+		require.NoError(t, err, line)
 	}
-	faults := []struct {
-		words string
-		code  int
+	failures := []struct {
+		line string
+		code int
 	}{
 		{"--expect 1 account update --share 4 loja", exitConflict},
 		{"account update --share 4 nobody", exitUsage},
@@ -237,21 +239,22 @@
 		{"explain", exitUsage},
 		{"--token wrong status", exitFailure},
 	}
-	for _, test := range faults {
-		err := f.ctl(t, strings.Fields(test.words)...)
-		require.Error(t, err, test.words)
-		require.Equal(t, test.code, exitCode(err), test.words)
+	for _, test := range failures {
+		err := f.ctl(t, strings.Fields(test.line)...)
+		require.Error(t, err, test.line)
+		require.Equal(t, test.code, exitCode(err), test.line)
 	}
 }
 
-// TestExplainFromOtherRouter asks the other router about a request.
+// TestExplainFromOtherRouter checks that a router explains a request that another router
+// served, with the events and spans of all nodes involved.
 func TestExplainFromOtherRouter(t *testing.T) {
 	f := startDev(t)
 	answer, _ := f.send(t, "POST", "/services/booking/bays/4", `{"bay":4}`, map[string]string{"Opalbridge-Not-Repeatable": "true"})
 	require.Equal(t, http.StatusOK, answer.StatusCode)
 	id := answer.Header.Get("Opalbridge-Request-Id")
-	// The outcome is recorded when the whole answer has left, so a caller that asks at once may
-	// be early.
+	// The outcome is recorded after the whole answer has been sent, so events may still be
+	// missing at first.
 	want := []string{"router-1 arrive", "router-1 choose", "booking-1 admit", "booking-1 outcome", "router-1 outcome"}
 	require.EventuallyWithT(t, func(c *assert.CollectT) {
 		events, unreached := f.routers[1].router.Explain(context.Background(), id, "")
@@ -272,8 +275,7 @@
 	}
 }
 
-// TestDisableAccount changes the configuration under a
-// running fleet.
+// TestDisableAccount checks that disabling an account takes effect in a running fleet.
 func TestDisableAccount(t *testing.T) {
 	f := startDev(t)
 	err := f.ctl(t, "account", "update", "--disabled", "quito")
--- a/cmd/opalbridge/process_test.go
+++ b/cmd/opalbridge/process_test.go
@@ -23,7 +23,7 @@
 	"opalbridge.dev/operator"
 )
 
-// runAsProgramEnv makes the test's own binary run as opalbridge.
+// runAsProgramEnv is the environment variable that makes the test binary run as opalbridge.
 const runAsProgramEnv = "OPALBRIDGE_RUN_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -34,13 +34,13 @@
 	os.Exit(m.Run())
 }
 
-// process is one started process of the fleet.
+// process is a process of the fleet.
 type process struct{ command *exec.Cmd }
 
-func startProcess(t *testing.T, words ...string) (p *process, out *bufio.Reader) {
+func startProcess(t *testing.T, args ...string) (p *process, out *bufio.Reader) {
 	self, err := os.Executable()
 	require.NoError(t, err)
-	c := exec.Command(self, words...)
+	c := exec.Command(self, args...)
 	c.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	pipe, err := c.StdoutPipe()
 	require.NoError(t, err)
@@ -53,8 +53,8 @@
 	return p, bufio.NewReader(pipe)
 }
 
-func startStandin(t *testing.T, words ...string) (url string) {
-	_, out := startProcess(t, append([]string{"standin"}, words...)...)
+func startStandin(t *testing.T, args ...string) (url string) {
+	_, out := startProcess(t, append([]string{"standin"}, args...)...)
 	line, err := out.ReadString('\n')
 	require.NoError(t, err)
 	return strings.TrimSpace(strings.TrimPrefix(line, "ready: "))
@@ -127,9 +127,9 @@
 	f.routers, f.callers = append(f.routers, p), append(f.callers, "http://"+callers)
 }
 
-func (f *processFleet) waitReady(t *testing.T, at int) {
+func (f *processFleet) waitReady(t *testing.T, router int) {
 	require.Eventually(t, func() bool {
-		answer, err := http.Get(f.callers[at] + "/ready")
+		answer, err := http.Get(f.callers[router] + "/ready")
 		if err != nil {
 			return false
 		}
@@ -138,12 +138,13 @@
 	}, time.Minute, 20*time.Millisecond)
 }
 
-func (f *processFleet) client(at int) openai.Client {
-	return openai.NewClient(option.WithBaseURL(f.callers[at]+"/v1"), option.WithAPIKey(f.key), option.WithMaxRetries(0))
+func (f *processFleet) client(router int) openai.Client {
+	return openai.NewClient(option.WithBaseURL(f.callers[router]+"/v1"), option.WithAPIKey(f.key), option.WithMaxRetries(0))
 }
 
-// TestSeparateProcesses runs the fleet as separate processes, kills an agent, and
-// stops a router in the middle of an answer.
+// TestSeparateProcesses runs the fleet as separate processes and checks that requests are
+// served after an agent is killed, and that a router that is stopped in the middle of an
+// answer completes it.
 func TestSeparateProcesses(t *testing.T) {
 	f := startProcessFleet(t)
 	require.Equal(t, wantText(5), streamText(t, f.client(0), chat("one", 5)))
--- a/cmd/opalbridge/quarantine.go
+++ b/cmd/opalbridge/quarantine.go
@@ -19,7 +19,8 @@
 	"opalbridge.dev/platform"
 )
 
-// The platform's store answers within milliseconds; a page of its list within a second.
+// quarantineTimeout limits all store calls of a command. The platform's store answers within
+// milliseconds, a page of a list within a second.
 const quarantineTimeout = 5 * time.Second
 
 func quarantineCommand() *cli.Command {
@@ -48,7 +49,7 @@
 	}
 }
 
-// openSuspects opens what the store keeps.
+// openSuspects returns the suspects in the platform's store.
 func openSuspects(c *cli.Command) (*platform.Suspects, error) {
 	address := c.String("store")
 	if _, _, err := net.SplitHostPort(address); err != nil {
@@ -95,7 +96,7 @@
 
 func liftQuarantine(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return usageError(errors.New("quarantine: name one key; list shows them"))
+		return usageError(errors.New("quarantine: expected one key, as shown by list"))
 	}
 	key, err := quarantine.ParseKey(c.Args().First())
 	if err != nil {
@@ -112,7 +113,7 @@
 		return errors.Wrap(err, "quarantine: lift")
 	}
 	if _, known := kept[key]; !known {
-		return usageError(errors.Newf("quarantine: nothing is held against %s", key))
+		return usageError(errors.Newf("quarantine: no entry for key %s", key))
 	}
 	if err := s.Delete(ctx, key); err != nil {
 		return errors.Wrap(err, "quarantine: lift")
--- a/cmd/opalbridge/quarantine_test.go
+++ b/cmd/opalbridge/quarantine_test.go
@@ -14,16 +14,17 @@
 	"opalbridge.dev/platform/platformtest"
 )
 
-// TestQuarantineCommand lists what is held against requests, and lifts it.
+// TestQuarantineCommand checks that list shows suspects and quarantined requests, and that
+// lift removes an entry.
 func TestQuarantineCommand(t *testing.T) {
 	h := httptest.NewServer(&platformtest.Store{})
 	defer h.Close()
 	address := strings.TrimPrefix(h.URL, "http://")
-	run := func(words ...string) (string, error) {
+	run := func(args ...string) (string, error) {
 		c := command()
 		var out bytes.Buffer
 		c.Writer = &out
-		err := c.Run(t.Context(), append([]string{"opalbridge", "quarantine"}, words...))
+		err := c.Run(t.Context(), append([]string{"opalbridge", "quarantine"}, args...))
 		return out.String(), err
 	}
 	barred, suspected := quarantine.Key{1}, quarantine.Key{2}
@@ -47,12 +48,12 @@
 	require.NoError(t, err)
 	require.Len(t, kept, 1)
 
-	for _, words := range [][]string{
+	for _, args := range [][]string{
 		{"lift", "--store", address, barred.String()}, {"lift", "--store", address, "x"},
 		{"lift", "--store", address}, {"list", "--store", "nowhere"}, {"list"},
 	} {
-		_, err = run(words...)
-		require.Error(t, err, "%v", words)
-		require.Equal(t, exitUsage, exitCode(err), "%v: %v", words, err)
+		_, err = run(args...)
+		require.Error(t, err, "%v", args)
+		require.Equal(t, exitUsage, exitCode(err), "%v: %v", args, err)
 	}
 }
--- a/cmd/opalbridge/run.go
+++ b/cmd/opalbridge/run.go
@@ -78,7 +78,7 @@
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// processTLS is a process's TLS; nil when its settings name no certificate.
+// processTLS holds a process's TLS settings. It is nil if the settings name no certificate.
 type processTLS struct {
 	*secure.Keeper
 	mutual bool
@@ -95,7 +95,8 @@
 	return &processTLS{Keeper: k, mutual: s.PeerCA != ""}, nil
 }
 
-// wrapPeerListener puts mutual TLS on a listener for processes of the fleet, if it is set up.
+// wrapPeerListener adds mutual TLS to a listener for processes of the fleet, if a peer CA is
+// set.
 func (k *processTLS) wrapPeerListener(l net.Listener) net.Listener {
 	if k == nil || !k.mutual {
 		return l
@@ -103,7 +104,7 @@
 	return tls.NewListener(l, k.Peers())
 }
 
-// peerDialer returns the way to other processes of the fleet; nil: plain TCP.
+// peerDialer returns the dialer for other processes of the fleet. nil means plain TCP.
 func (k *processTLS) peerDialer() router.Dialer {
 	if k == nil || !k.mutual {
 		return nil
@@ -111,16 +112,16 @@
 	return k.Dial
 }
 
-// openKV returns a client of the platform's service at a URL.
+// openKV returns a client of the platform's key-value store at a URL.
 func openKV(address string) (platform.KV, error) {
 	u, err := url.Parse(address)
 	if err != nil || u.Host == "" {
-		return platform.KV{}, usageError(errors.Newf("platform_url %q is no URL", address))
+		return platform.KV{}, usageError(errors.Newf("platform_url %q is not a valid URL", address))
 	}
 	return platform.KV{Store: &platform.Store{Address: u.Host, TLS: u.Scheme == "https"}}, nil
 }
 
-// runningRouter are a router with its servers.
+// runningRouter is a started router with its HTTP server.
 type runningRouter struct {
 	router *router.Router
 	done   <-chan error
@@ -170,7 +171,7 @@
 	parts := &runningRouter{router: r, done: r.Start(ctx), http: newServer(mux)}
 	go func() {
 		if err := parts.http.Serve(callers); !errors.Is(err, http.ErrServerClosed) {
-			log.Error().Err(err).Msg("callers are no longer served")
+			log.Error().Err(err).Msg("caller server stopped")
 		}
 	}()
 	return parts, nil
@@ -189,9 +190,9 @@
 	if err != nil {
 		return errors.Wrap(err, "router: listen for peers")
 	}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	parts, err := startRouter(life, s, t, log, callers, peers)
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	parts, err := startRouter(runCtx, s, t, log, callers, peers)
 	if err != nil {
 		return err
 	}
@@ -200,21 +201,21 @@
 	}
 	log.Info().Str("callers", callers.Addr().String()).Str("peers", peers.Addr().String()).Msg("router started")
 	<-ctx.Done()
-	log.Info().Int("open", parts.router.OpenRequests()).Msg("stopping: new requests are refused, open ones are answered")
+	log.Info().Int("open", parts.router.OpenRequests()).Msg("stopping: refusing new requests, completing open ones")
 	waitDrained(s.StopTimeout, parts.router.Drain(), func() { log.Info().Int("open", parts.router.OpenRequests()).Msg("waiting for open requests") })
 	_ = parts.http.Close()
-	end()
+	cancel()
 	<-parts.done
 	return t.Shutdown(context.WithoutCancel(ctx))
 }
 
-// stopLogInterval is how often a stop says what it waits for.
+// stopLogInterval is the interval of progress messages during a shutdown.
 const stopLogInterval = 5 * time.Second
 
-// waitDrained waits for a planned stop to end, at most for the time limit, or until
-// a second signal.
-func waitDrained(limit time.Duration, drained <-chan struct{}, say func()) {
-	again, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+// waitDrained waits until drained is closed, the limit has passed or a second signal
+// arrives. It calls logProgress at intervals.
+func waitDrained(limit time.Duration, drained <-chan struct{}, logProgress func()) {
+	secondSignal, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	timeout := time.NewTimer(limit)
 	defer timeout.Stop()
@@ -224,12 +225,12 @@
 		select {
 		case <-drained:
 			return
-		case <-again.Done():
+		case <-secondSignal.Done():
 			return
 		case <-timeout.C:
 			return
 		case <-t.C:
-			say()
+			logProgress()
 		}
 	}
 }
@@ -288,9 +289,9 @@
 	if err != nil {
 		return errors.Wrap(err, "agent: listen for peers")
 	}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	a, done, err := startAgent(life, s, t, log, peers)
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	a, done, err := startAgent(runCtx, s, t, log, peers)
 	if err != nil {
 		return err
 	}
@@ -299,9 +300,9 @@
 	}
 	log.Info().Str("peers", peers.Addr().String()).Str("server", s.ServerURL).Msg("agent started")
 	<-ctx.Done()
-	log.Info().Int("running", a.Running()).Msg("stopping: no new work, what runs goes on")
+	log.Info().Int("running", a.Running()).Msg("stopping: refusing new work, completing running attempts")
 	waitDrained(s.StopTimeout, a.Drain(), func() { log.Info().Int("running", a.Running()).Msg("waiting for running attempts") })
-	end()
+	cancel()
 	<-done
 	return t.Shutdown(context.WithoutCancel(ctx))
 }
--- a/cmd/opalbridge/unreadable.go
+++ b/cmd/opalbridge/unreadable.go
@@ -7,24 +7,24 @@
 	"github.com/rs/zerolog"
 )
 
-// Entries that can't be read are told in the log up to this often, so that thousands of them
-// cost little; all are counted.
+// At most maxUnreadableLines unreadable entries are logged in each unreadableLogWindow, so
+// that thousands of them cost little. All are counted.
 const (
 	unreadableLogWindow = time.Minute
 	maxUnreadableLines  = 10
 )
 
-// unreadableEntries hears of entries in the platform's store that can't be read. It is safe for use
-// by several goroutines.
+// unreadableEntries counts and logs entries in the platform's store that cannot be read. It
+// is safe for concurrent use.
 type unreadableEntries struct {
 	log   zerolog.Logger
 	mutex sync.Mutex
-	since time.Time // when the lines were counted from
+	since time.Time // start of the current window
 	lines int
 	count int64
 }
 
-// record counts an entry, and tells of it if that was not done often lately.
+// record counts an entry and logs it unless the current window has reached its limit.
 func (u *unreadableEntries) record(err error) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -36,10 +36,10 @@
 	if u.lines++; u.lines > maxUnreadableLines {
 		return
 	}
-	u.log.Error().Str("event", "store.unreadable").Err(err).Int64("count", u.count).Msg("names no server to use")
+	u.log.Error().Str("event", "store.unreadable").Err(err).Int64("count", u.count).Msg("store entry is unreadable and ignored")
 }
 
-// total returns how many were heard of since the start.
+// total returns the number of entries recorded since the start.
 func (u *unreadableEntries) total() int64 {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
--- a/cmd/opalbridge/unreadable_test.go
+++ b/cmd/opalbridge/unreadable_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUnreadable: thousands of entries that can't be read cost ten lines a minute, and all
-// are counted.
+// TestUnreadable checks that thousands of unreadable entries cause ten log lines a minute
+// and are all counted.
 func TestUnreadable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var lines bytes.Buffer
