--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -82,9 +82,9 @@
 			slope("report bytes", "backlogged account", "B a report", []int{5, 10, 20, 40}, reportBytes),
 			capacity.Fit("want and grant bytes", "request", "B, counted at both ends", wantPoints(t)),
 			slope("gossip bytes", "neighbour", "B/s", []int{3, 5, 9, 17}, func(n int) float64 { return gossipBytes(t, n) }),
-			slope("control by accounts", "backlogged account", "B/s a node", []int{4, 8, 16, 32}, func(n int) float64 { return control(t, n, 3, 9) }),
-			slope("control by routers", "router", "B/s a node", []int{3, 6, 12, 24}, func(n int) float64 { return control(t, 16, n, 9) }),
-			slope("control by servers", "server", "B/s a node", []int{6, 12, 24, 48}, func(n int) float64 { return control(t, 16, 3, n) }),
+			slope("control by accounts", "backlogged account", "B/s a node", []int{4, 8, 16, 32}, func(n int) float64 { return controlBytes(t, n, 3, 9) }),
+			slope("control by routers", "router", "B/s a node", []int{3, 6, 12, 24}, func(n int) float64 { return controlBytes(t, 16, n, 9) }),
+			slope("control by servers", "server", "B/s a node", []int{6, 12, 24, 48}, func(n int) float64 { return controlBytes(t, 16, 3, n) }),
 			slope("pick", "account that waits", "ns", []int{10, 20, 40, 80}, pickTime),
 			slope("merge", "account", "ns", []int{50, 100, 200, 400}, mergeTime),
 			slope("answer", "account", "ns a report", []int{50, 100, 200, 400}, answerTime),
@@ -138,8 +138,8 @@
 	return points
 }
 
-// control returns the bytes a second that a node of a backlogged fleet sends and receives.
-func control(t *testing.T, accounts, routers, servers int) float64 {
+// controlBytes returns the bytes a second that a node of a backlogged fleet sends and receives.
+func controlBytes(t *testing.T, accounts, routers, servers int) float64 {
 	var r *experiment.Result
 	bubbletest.Run(t, func(t *testing.T) {
 		z := experiment.Size{Routers: routers, Models: servers, Length: time.Minute}
@@ -215,7 +215,7 @@
 	})
 }
 
-func hall(agents int) *ledger.Hall {
+func newHall(agents int) *ledger.Hall {
 	h := ledger.NewHall()
 	for a := range agents {
 		h.Report(fmt.Sprintf("agent-%d", a), "x", 1, hallReport(400))
@@ -259,7 +259,7 @@
 
 func hallMemory(agents int) float64 {
 	before := memoryInUse()
-	h := hall(agents)
+	h := newHall(agents)
 	after := memoryInUse()
 	runtime.KeepAlive(h)
 	return after - before
--- a/cmd/opalbridge/docs_test.go
+++ b/cmd/opalbridge/docs_test.go
@@ -15,7 +15,7 @@
 	page, err := os.ReadFile("../../docs/operators/settings.md")
 	require.NoError(t, err)
 	for _, role := range []string{"router", "agent", "gateway"} {
-		c := command()
+		c := rootCommand()
 		var out bytes.Buffer
 		c.Writer = &out
 		require.NoError(t, c.Run(context.Background(), []string{"opalbridge", "check", "--role", role, "--reference"}))
@@ -38,7 +38,7 @@
 		{[]string{"--role", "agent"}, exitUsage},
 	}
 	for _, test := range tests {
-		c := command()
+		c := rootCommand()
 		c.Writer = &bytes.Buffer{}
 		err := c.Run(context.Background(), append([]string{"opalbridge", "check"}, test.args...))
 		if test.code == 0 {
--- a/cmd/opalbridge/main.go
+++ b/cmd/opalbridge/main.go
@@ -42,7 +42,7 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	err := command().Run(ctx, os.Args)
+	err := rootCommand().Run(ctx, os.Args)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "opalbridge:", err)
@@ -77,7 +77,7 @@
 	return &failure{code: exitUsage, err: err}
 }
 
-func command() *cli.Command {
+func rootCommand() *cli.Command {
 	return &cli.Command{
 		Name:                  "opalbridge",
 		Usage:                 "share language-model capacity fairly among client accounts",
--- a/cmd/opalbridge/main_test.go
+++ b/cmd/opalbridge/main_test.go
@@ -205,7 +205,7 @@
 
 // ctl runs an operators' command against the second router.
 func (f *devFleet) ctl(t testing.TB, args ...string) error {
-	c := command()
+	c := rootCommand()
 	var out bytes.Buffer
 	c.Writer = &out
 	err := c.Run(context.Background(), append([]string{"opalbridge", "ctl", "--router", f.callers[1], "--token", f.token}, args...))
--- a/cmd/opalbridge/quarantine_test.go
+++ b/cmd/opalbridge/quarantine_test.go
@@ -21,7 +21,7 @@
 	defer h.Close()
 	address := strings.TrimPrefix(h.URL, "http://")
 	run := func(args ...string) (string, error) {
-		c := command()
+		c := rootCommand()
 		var out bytes.Buffer
 		c.Writer = &out
 		err := c.Run(t.Context(), append([]string{"opalbridge", "quarantine"}, args...))
--- a/cmd/opalbridge/unreadable.go
+++ b/cmd/opalbridge/unreadable.go
@@ -17,11 +17,11 @@
 // unreadableEntries counts and logs entries in the platform's store that cannot be read. It
 // is safe for concurrent use.
 type unreadableEntries struct {
-	log   zerolog.Logger
-	mutex sync.Mutex
-	since time.Time // start of the current window
-	lines int
-	count int64
+	log         zerolog.Logger
+	mutex       sync.Mutex
+	windowStart time.Time
+	lines       int
+	count       int64
 }
 
 // record counts an entry and logs it unless the current window has reached its limit.
@@ -30,8 +30,8 @@
 	defer u.mutex.Unlock()
 	u.count++
 	now := time.Now()
-	if u.since.IsZero() || now.Sub(u.since) >= unreadableLogWindow {
-		u.since, u.lines = now, 0
+	if u.windowStart.IsZero() || now.Sub(u.windowStart) >= unreadableLogWindow {
+		u.windowStart, u.lines = now, 0
 	}
 	if u.lines++; u.lines > maxUnreadableLines {
 		return
