--- a/cmd/opalbridge/quarantine.go
+++ b/cmd/opalbridge/quarantine.go
@@ -19,7 +19,8 @@
 	"opalbridge.dev/platform"
 )
 
-// The platform's store answers within milliseconds; a page of its list within a second.
+// quarantineTimeout limits all store calls of a command. The platform's store answers within
+// milliseconds, a page of a list within a second.
 const quarantineTimeout = 5 * time.Second
 
 func quarantineCommand() *cli.Command {
@@ -48,17 +49,17 @@
 	}
 }
 
-// openSuspects opens what the store keeps.
+// openSuspects returns the suspects in the platform's store.
 func openSuspects(c *cli.Command) (*platform.SuspectStore, error) {
 	address := c.String("store")
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return nil, usage(errors.Wrapf(err, "quarantine: --store %q", address))
+		return nil, usageError(errors.Wrapf(err, "quarantine: --store %q", address))
 	}
 	return &platform.SuspectStore{Store: &platform.Store{Address: address}}, nil
 }
 
-// quarantined is a row of the list.
-type quarantined struct {
+// quarantineRow is a row of the list.
+type quarantineRow struct {
 	Key    string `json:"key"`
 	Barred bool   `json:"barred"`
 	platform.SuspectRecord
@@ -75,11 +76,11 @@
 	if err != nil {
 		return errors.Wrap(err, "quarantine: list")
 	}
-	rows := make([]quarantined, 0, len(kept))
+	rows := make([]quarantineRow, 0, len(kept))
 	for key, k := range maps.All(kept) {
-		rows = append(rows, quarantined{key.String(), len(k.Servers) >= quarantine.CrashThreshold, k})
+		rows = append(rows, quarantineRow{key.String(), len(k.Servers) >= quarantine.CrashThreshold, k})
 	}
-	slices.SortFunc(rows, func(x, y quarantined) int { return cmp.Or(x.Since.Compare(y.Since), cmp.Compare(x.Key, y.Key)) })
+	slices.SortFunc(rows, func(x, y quarantineRow) int { return cmp.Or(x.Since.Compare(y.Since), cmp.Compare(x.Key, y.Key)) })
 	if c.Bool("json") {
 		e := json.NewEncoder(c.Root().Writer)
 		e.SetIndent("", "  ")
@@ -95,11 +96,11 @@
 
 func liftQuarantine(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return usage(errors.New("quarantine: name one key; list shows them"))
+		return usageError(errors.New("quarantine: expected one key, as shown by list"))
 	}
 	key, err := quarantine.ParseKey(c.Args().First())
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	s, err := openSuspects(c)
 	if err != nil {
@@ -112,7 +113,7 @@
 		return errors.Wrap(err, "quarantine: lift")
 	}
 	if _, known := kept[key]; !known {
-		return usage(errors.Newf("quarantine: nothing is held against %s", key))
+		return usageError(errors.Newf("quarantine: no entry for key %s", key))
 	}
 	if err := s.Delete(ctx, key); err != nil {
 		return errors.Wrap(err, "quarantine: lift")
