--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -291,8 +291,8 @@
 	return n, err
 }
 
-// Left implements handoff.Leaver.
-func (c *callerConn) Left() bool { return c.gone() }
+// CallerClosed implements handoff.Leaver.
+func (c *callerConn) CallerClosed() bool { return c.gone() }
 
 // connKey is the context key of a request's connection.
 type connKey struct{}
--- a/gateway/handoff/handoff.go
+++ b/gateway/handoff/handoff.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// Carry forwards a caller's connection to the gateway at an address until it has ended, and
+// Forward forwards a caller's connection to the gateway at an address until it has ended, and
 // closes it. If it returns ErrNotForwarded, the connection is still open and untouched.
-func (f *Forwarder) Carry(ctx context.Context, address string, conn net.Conn) error {
+func (f *Forwarder) Forward(ctx context.Context, address string, conn net.Conn) error {
 	stream, err := f.openStream(ctx, address)
 	if err != nil {
 		return errors.CombineErrors(ErrNotForwarded, err)
@@ -212,7 +212,7 @@
 // CloseChecker is a connection that can tell, without reading, whether its caller has closed it.
 // It is checked before each chunk of a request is forwarded, so that a request whose caller
 // disconnected while it was queued here is never forwarded in full.
-type CloseChecker interface{ Left() bool }
+type CloseChecker interface{ CallerClosed() bool }
 
 // tunnel copies bytes between a caller and a stream.
 type tunnel struct {
@@ -265,7 +265,7 @@
 	defer requestBuffers.Put(chunk)
 	for {
 		n, err := t.caller.Read(chunk[:])
-		if l, ok := t.caller.(CloseChecker); ok && n > 0 && l.Left() {
+		if l, ok := t.caller.(CloseChecker); ok && n > 0 && l.CallerClosed() {
 			t.stream.Close()
 			return
 		}
--- a/gateway/handoff/handoff_test.go
+++ b/gateway/handoff/handoff_test.go
@@ -43,7 +43,7 @@
 		if _, err := io.WriteString(conn, "HTTP/1.1 101 Switching Protocols\r\n\r\n"); err != nil {
 			return
 		}
-		_ = accepted.Link(ctx, conn) // ends with the test
+		_ = accepted.ServeLink(ctx, conn) // ends with the test
 	})}
 	server := &http.Server{Handler: serve}
 	errs := make(chan error, 2)
@@ -69,7 +69,7 @@
 		if err != nil {
 			return
 		}
-		go func() { f.results <- f.forwarder.Carry(context.Background(), f.peer, c) }()
+		go func() { f.results <- f.forwarder.Forward(context.Background(), f.peer, c) }()
 	}
 }
 
@@ -218,7 +218,7 @@
 	caller, conn := net.Pipe()
 	defer caller.Close()
 	for range 3 {
-		require.ErrorIs(t, forwarder.Carry(t.Context(), address, conn), handoff.ErrNotForwarded)
+		require.ErrorIs(t, forwarder.Forward(t.Context(), address, conn), handoff.ErrNotForwarded)
 	}
 	go func() { _, _ = conn.Write([]byte("still open")) }()
 	got := make([]byte, 10)
--- a/gateway/handoff/listener.go
+++ b/gateway/handoff/listener.go
@@ -119,9 +119,9 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.address }
 
-// Link accepts connections from another gateway until the link or ctx ends, and then closes
+// ServeLink accepts connections from another gateway until the link or ctx ends, and then closes
 // the link.
-func (l *Listener) Link(ctx context.Context, conn net.Conn) error {
+func (l *Listener) ServeLink(ctx context.Context, conn net.Conn) error {
 	session, err := yamux.Server(&coalescingConn{Conn: conn}, linkConfig())
 	if err != nil {
 		conn.Close()
--- a/gateway/offload.go
+++ b/gateway/offload.go
@@ -137,7 +137,7 @@
 // forward relays a connection to another gateway until it ends.
 func (o *offloader) forward(ctx context.Context, to string, c offloadableConn) {
 	for range maxOffloadAttempts {
-		if o.forwarder.Carry(ctx, net.JoinHostPort(to, o.port), c) == nil {
+		if o.forwarder.Forward(ctx, net.JoinHostPort(to, o.port), c) == nil {
 			return
 		}
 		if to = o.targets.pick(); to == "" {
@@ -203,7 +203,7 @@
 			return
 		}
 		g.log.Info().Str("event", "link.opened").Str("peer", r.RemoteAddr).Msg("accepting offloaded connections")
-		err = l.Link(ctx, conn)
+		err = l.ServeLink(ctx, conn)
 		g.log.Info().Str("event", "link.ended").Str("peer", r.RemoteAddr).Err(err).Msg("link closed")
 	}
 }
