--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -43,9 +43,9 @@
 	Rollouts  map[string]rolloutDocument    `json:"rollouts,omitempty"` // by service
 	// Suspects holds the servers that crashed under a request, by the text of its key.
 	Suspects map[string][]string `json:"suspects,omitempty"`
-	// Probes holds the number of probes sent of requests whose servers crashed at the same
+	// Trials holds the number of probes sent of requests whose servers crashed at the same
 	// time. It is a separate field for compatibility with gateways of a version that lacks it.
-	Probes map[string]int `json:"doubts,omitempty"`
+	Trials map[string]int `json:"doubts,omitempty"`
 	// HasSuspects is true in a full view, unless the sender is of a version without Suspects.
 	HasSuspects bool `json:"suspects_told,omitempty"`
 	// Partial reports that Servers, RemovedServers, Cold, Suspects and RemovedSuspects hold
@@ -117,11 +117,11 @@
 			continue
 		}
 		if d.Suspects == nil {
-			d.Suspects, d.Probes = map[string][]string{}, map[string]int{}
+			d.Suspects, d.Trials = map[string][]string{}, map[string]int{}
 		}
 		d.Suspects[text] = record.Servers
 		if record.Simultaneous {
-			d.Probes[text] = record.Probes
+			d.Trials[text] = record.Trials
 		}
 	}
 }
@@ -132,8 +132,8 @@
 	suspects = map[quarantine.Key]quarantine.StoredRecord{}
 	for text, servers := range d.Suspects {
 		if key, err := quarantine.ParseKey(text); err == nil {
-			probes, simultaneous := d.Probes[text]
-			suspects[key] = quarantine.StoredRecord{Servers: servers, Simultaneous: simultaneous, Probes: probes}
+			probes, simultaneous := d.Trials[text]
+			suspects[key] = quarantine.StoredRecord{Servers: servers, Simultaneous: simultaneous, Trials: probes}
 		}
 	}
 	for _, text := range d.RemovedSuspects {
--- a/gateway/quarantine/quarantine.go
+++ b/gateway/quarantine/quarantine.go
@@ -95,12 +95,12 @@
 type StoredRecord struct {
 	Servers      []string `json:"servers"`           // that crashed
 	Simultaneous bool     `json:"at_once,omitempty"` // all crashes but at most one came at the same time
-	Probes       int      `json:"tries,omitempty"`   // number of times it was sent although quarantined
+	Trials       int      `json:"tries,omitempty"`   // number of times it was sent although quarantined
 }
 
 // Equal reports whether both records hold the same values.
 func (r StoredRecord) Equal(o StoredRecord) bool {
-	return r.Simultaneous == o.Simultaneous && r.Probes == o.Probes && slices.Equal(r.Servers, o.Servers)
+	return r.Simultaneous == o.Simultaneous && r.Trials == o.Trials && slices.Equal(r.Servers, o.Servers)
 }
 
 // Merge returns the union of both records. The crashes count as simultaneous only if both
@@ -109,7 +109,7 @@
 	if len(o.Servers) == 0 {
 		return r
 	}
-	merged := StoredRecord{Servers: slices.Clone(r.Servers), Simultaneous: r.Simultaneous && o.Simultaneous, Probes: max(r.Probes, o.Probes)}
+	merged := StoredRecord{Servers: slices.Clone(r.Servers), Simultaneous: r.Simultaneous && o.Simultaneous, Trials: max(r.Trials, o.Trials)}
 	for _, server := range o.Servers {
 		if !slices.Contains(merged.Servers, server) {
 			merged.Servers = append(merged.Servers, server)
--- a/gateway/suspects_restore_test.go
+++ b/gateway/suspects_restore_test.go
@@ -16,7 +16,7 @@
 func TestSuspectsAfterRestore(t *testing.T) {
 	barred, lifted, tried := quarantine.Key{1}, quarantine.Key{2}, quarantine.Key{3}
 	record := func(trials int) quarantine.StoredRecord {
-		return quarantine.StoredRecord{Servers: []string{"a", "b", "c"}, Simultaneous: true, Probes: trials}
+		return quarantine.StoredRecord{Servers: []string{"a", "b", "c"}, Simultaneous: true, Trials: trials}
 	}
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	for _, watches := range []bool{true, false} {
--- a/gateway/suspects_store.go
+++ b/gateway/suspects_store.go
@@ -18,8 +18,8 @@
 	defer s.mutex.Unlock()
 	for k, record := range stored {
 		changed := s.registry.Merge(now, k, record)
-		if known := s.trials[k]; record.Probes != known.count {
-			known.count, known.lastAt = record.Probes, now // fewer: it was deleted and stored again
+		if known := s.trials[k]; record.Trials != known.count {
+			known.count, known.lastAt = record.Trials, now // fewer: it was deleted and stored again
 			s.trials[k] = known
 		}
 		if s.recentAnswers.Contains(now, k) {
@@ -88,8 +88,8 @@
 		return
 	}
 	r, _ := s.registry.Record(key)
-	known := quarantine.StoredRecord{Servers: r.Servers, Simultaneous: r.Simultaneous, Probes: s.trials[key].count}
-	if len(stored.Merge(known).Servers) == len(stored.Servers) && known.Probes <= stored.Probes {
+	known := quarantine.StoredRecord{Servers: r.Servers, Simultaneous: r.Simultaneous, Trials: s.trials[key].count}
+	if len(stored.Merge(known).Servers) == len(stored.Servers) && known.Trials <= stored.Trials {
 		delete(s.rewriteAt, key)
 	}
 }
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -42,7 +42,7 @@
 	transferView(t, now, from, to, unchanged)
 	require.True(t, to.suspects.isBarred(quarantine.Key{1}), "whole view")
 	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
-		SuspectChanged{Key: quarantine.Key{2}, Record: quarantine.StoredRecord{Servers: []string{"a", "b", "d"}, Simultaneous: true, Probes: 1}}, SuspectRemoved{Key: quarantine.Key{1}},
+		SuspectChanged{Key: quarantine.Key{2}, Record: quarantine.StoredRecord{Servers: []string{"a", "b", "d"}, Simultaneous: true, Trials: 1}}, SuspectRemoved{Key: quarantine.Key{1}},
 	}})
 	transferView(t, now, from, to, func(d *viewDocument) { require.True(t, d.Partial) })
 	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
@@ -171,7 +171,7 @@
 		store := &faultyStore{trials: map[quarantine.Key]int{}}
 		addresses := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 		kept := func() quarantine.StoredRecord {
-			return quarantine.StoredRecord{Servers: []string{"i-1", "i-2", "i-3"}, Simultaneous: true, Probes: store.trials[key]}
+			return quarantine.StoredRecord{Servers: []string{"i-1", "i-2", "i-3"}, Simultaneous: true, Trials: store.trials[key]}
 		}
 		start := func(own string) *suspectTracker {
 			s := newSuspectTracker(zerolog.Nop(), own, func() int { return len(addresses) })
@@ -219,7 +219,7 @@
 		s := newSuspectTracker(zerolog.Nop(), "10.0.0.1", func() int { return 1 })
 		s.store, s.peers = store, node
 		kept := func(trials int, servers ...string) map[quarantine.Key]quarantine.StoredRecord {
-			return map[quarantine.Key]quarantine.StoredRecord{key: {Servers: servers, Simultaneous: true, Probes: trials}}
+			return map[quarantine.Key]quarantine.StoredRecord{key: {Servers: servers, Simultaneous: true, Trials: trials}}
 		}
 		before, after := kept(2, "i-1", "i-2", "i-3"), kept(0, "i-4", "i-5", "i-6")
 		s.applyStored(time.Now(), nil, before, false)
