--- a/gateway/call.go
+++ b/gateway/call.go
@@ -137,17 +137,17 @@
 func (c *call) send(ctx context.Context, d placement.Assign) step {
 	// An overloaded process notices late that a caller has disconnected.
 	if c.gateway.overload.overloaded(time.Now()) && callerGone(ctx) {
-		c.gateway.dispatcher.send(attemptEnded{ticket: d.ID, server: d.Server.ID, end: placement.Abandoned})
+		c.gateway.dispatcher.send(attemptEnded{attemptID: d.ID, server: d.Server.ID, end: placement.Abandoned})
 		c.callerLeft = true
 		return failStep{err: errCallerLeft}
 	}
 	if c.quarantined(true) { // other gateways may have reported crashes while it waited
-		c.gateway.dispatcher.send(attemptEnded{ticket: d.ID, server: d.Server.ID, end: placement.Abandoned})
+		c.gateway.dispatcher.send(attemptEnded{attemptID: d.ID, server: d.Server.ID, end: placement.Abandoned})
 		return failStep{err: errQuarantined}
 	}
 	sent := time.Now()
 	if err := c.gateway.signals.checkAvailable(sent, d.Server.ID); err != nil {
-		c.gateway.dispatcher.send(attemptEnded{ticket: d.ID, server: d.Server.ID, end: placement.NotSent})
+		c.gateway.dispatcher.send(attemptEnded{attemptID: d.ID, server: d.Server.ID, end: placement.NotSent})
 		return retryStep{err}
 	}
 	c.attempts++
@@ -163,7 +163,7 @@
 	c.status, c.eventCount = 0, 0
 	result := c.gateway.pool.Send(ctx, d.Server, c.upstreamRequest(d, sent))
 	end, next := c.handleResult(ctx, d, sent, result)
-	c.gateway.dispatcher.send(attemptEnded{ticket: d.ID, server: d.Server.ID, end: end, route: c.route.Name, status: c.status, pause: c.meanEventGap()})
+	c.gateway.dispatcher.send(attemptEnded{attemptID: d.ID, server: d.Server.ID, end: end, route: c.route.Name, status: c.status, eventInterval: c.meanEventGap()})
 	return next
 }
 
--- a/gateway/call_quarantine.go
+++ b/gateway/call_quarantine.go
@@ -154,8 +154,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.suspects.newlyBarred:
-			g.activeCalls.cancelQuarantined(g.suspects.isBarred)
+		case <-g.suspects.newlyQuarantined:
+			g.activeCalls.cancelQuarantined(g.suspects.isQuarantined)
 		}
 	}
 }
--- a/gateway/charge_test.go
+++ b/gateway/charge_test.go
@@ -44,9 +44,9 @@
 			require.True(t, hasUsage(d, now))
 			now = now.Add(300 * time.Millisecond)
 			if test.begins {
-				d.recordFirstEvent(now, firstEventReceived{ticket: assign.ID, server: assign.Server.ID})
+				d.recordFirstEvent(now, firstEventReceived{attemptID: assign.ID, server: assign.Server.ID})
 			}
-			d.recordEnd(now, attemptEnded{ticket: assign.ID, server: assign.Server.ID, end: test.end})
+			d.recordEnd(now, attemptEnded{attemptID: assign.ID, server: assign.Server.ID, end: test.end})
 			require.Equal(t, test.counts, hasUsage(d, now))
 		})
 	}
--- a/gateway/delay_test.go
+++ b/gateway/delay_test.go
@@ -41,15 +41,15 @@
 				for ticket, p := range d.pending {
 					require.False(t, p.reportedSilent, "server of request %d is reported as silent", ticket)
 				}
-				d.recordFirstEvent(observed, firstEventReceived{ticket: assign.ID, server: assign.Server.ID})
-				d.recordEnd(observed, attemptEnded{ticket: assign.ID, server: assign.Server.ID, end: placement.Served})
+				d.recordFirstEvent(observed, firstEventReceived{attemptID: assign.ID, server: assign.Server.ID})
+				d.recordEnd(observed, attemptEnded{attemptID: assign.ID, server: assign.Server.ID, end: placement.Served})
 				now = observed.Add(100 * time.Millisecond)
 			}
 			require.InEpsilon(t, before.PrefillSlowdown, d.balancer.Speed("s").PrefillSlowdown, 0.1)
 			reply, _ := d.placeRequest(now, "a", nil)
 			assign, ok := (<-reply).(placement.Assign)
 			require.True(t, ok)
-			d.recordEnd(now, attemptEnded{ticket: assign.ID, server: assign.Server.ID, end: placement.Unreachable})
+			d.recordEnd(now, attemptEnded{attemptID: assign.ID, server: assign.Server.ID, end: placement.Unreachable})
 			again, _ := d.placeRequest(now, "a", func(a *placement.Request) { a.Exclude = nil })
 			require.IsType(t, placement.Assign{}, <-again)
 		})
--- a/gateway/dispatcher.go
+++ b/gateway/dispatcher.go
@@ -126,17 +126,17 @@
 	}
 	// firstEventReceived reports the first event of an attempt.
 	firstEventReceived struct {
-		ticket uint64
+		attemptID uint64
 		server string
 	}
 	// attemptEnded reports the end of an attempt.
 	attemptEnded struct {
-		ticket uint64
+		attemptID uint64
 		server string
 		end    placement.Outcome
 		route  string
 		status int           // of the server's answer; 0: none, or an incomplete answer
-		pause  time.Duration // mean time between events of a stream; 0: unknown
+		eventInterval  time.Duration // mean time between events of a stream; 0: unknown
 	}
 	// cacheReported reports the contents of a server's cache.
 	cacheReported struct {
@@ -212,7 +212,7 @@
 	select {
 	case decision := <-reply:
 		if a, ok := decision.(placement.Assign); ok {
-			d.send(attemptEnded{ticket: a.ID, server: a.Server.ID, end: placement.Abandoned})
+			d.send(attemptEnded{attemptID: a.ID, server: a.Server.ID, end: placement.Abandoned})
 		}
 	case <-d.done:
 	}
@@ -344,7 +344,7 @@
 func (d *dispatcher) recordEnd(now time.Time, m attemptEnded) {
 	d.refundTokens(now, m)
 	d.recordRolloutAnswer(now, m)
-	delete(d.pending, m.ticket)
+	delete(d.pending, m.attemptID)
 	if m.end == placement.Served || m.end == placement.Rejected {
 		d.lastHeard[m.server] = now
 	}
@@ -364,7 +364,7 @@
 // server was sent 0.27 million tokens in the second in which it ended, and accounts that
 // had received nothing counted as over their share for four seconds.
 func (d *dispatcher) refundTokens(now time.Time, m attemptEnded) {
-	p := d.pending[m.ticket]
+	p := d.pending[m.attemptID]
 	if p == nil || p.account == "" {
 		return
 	}
--- a/gateway/dispatcher_rollout.go
+++ b/gateway/dispatcher_rollout.go
@@ -336,8 +336,8 @@
 // recordRolloutAnswer records the end of a request.
 func (d *dispatcher) recordRolloutAnswer(now time.Time, m attemptEnded) {
 	for _, s := range d.rollouts {
-		if p := s.pending[m.ticket]; p != nil {
-			delete(s.pending, m.ticket)
+		if p := s.pending[m.attemptID]; p != nil {
+			delete(s.pending, m.attemptID)
 			s.recordAnswer(now, p, m)
 		}
 	}
@@ -348,7 +348,7 @@
 	if m.status == 0 || s.rollout == nil {
 		return
 	}
-	a := rollout.Answer{Failed: m.status >= minFailureStatus, EventInterval: m.pause, RelativeLatency: now.Sub(p.sentAt).Seconds()}
+	a := rollout.Answer{Failed: m.status >= minFailureStatus, EventInterval: m.eventInterval, RelativeLatency: now.Sub(p.sentAt).Seconds()}
 	if p.nominal > 0 {
 		a.RelativeLatency = 0
 		if p.firstEvent > 0 {
@@ -362,9 +362,9 @@
 const minFailureStatus = 500
 
 // recordRolloutFirstEvent records the first event of a request.
-func (d *dispatcher) recordRolloutFirstEvent(now time.Time, ticket uint64) {
+func (d *dispatcher) recordRolloutFirstEvent(now time.Time, attemptID uint64) {
 	for _, s := range d.rollouts {
-		if p := s.pending[ticket]; p != nil {
+		if p := s.pending[attemptID]; p != nil {
 			p.firstEvent = now.Sub(p.sentAt)
 		}
 	}
--- a/gateway/dispatcher_updates.go
+++ b/gateway/dispatcher_updates.go
@@ -28,11 +28,11 @@
 // recordFirstEvent handles the first event of a request, which shows how far its server has
 // got.
 func (d *dispatcher) recordFirstEvent(now time.Time, m firstEventReceived) {
-	p := d.pending[m.ticket]
-	delete(d.pending, m.ticket)
+	p := d.pending[m.attemptID]
+	delete(d.pending, m.attemptID)
 	d.lastHeard[m.server] = now
 	d.balancer.RecordAccepting(now, m.server)
-	d.recordRolloutFirstEvent(now, m.ticket)
+	d.recordRolloutFirstEvent(now, m.attemptID)
 	if p == nil || p.copiesCache {
 		return // while it copied, later requests may have overtaken it
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -228,7 +228,7 @@
 	v := g.view.Load()
 	s := Status{StoreEra: v.Revision.Era(), ViewAge: time.Since(g.confirmedAt()), Servers: len(v.Servers), Peers: int(g.dispatcher.livePeers.Load()), Active: int(g.active.Load()), SchedulingDelay: time.Duration(g.overload.delay.Load()), AdmittedShare: g.overload.admittedShare()}
 	s.AnnouncedLeaving, s.BackingOff = g.signals.count(time.Now())
-	s.Suspects, s.Quarantined = int(g.suspects.suspectCount.Load()), g.suspects.barredCount()
+	s.Suspects, s.Quarantined = int(g.suspects.suspectCount.Load()), g.suspects.quarantinedCount()
 	if v.Configuration != nil {
 		s.ConfigurationVersion = v.Configuration.Version
 	}
--- a/gateway/lifetime_test.go
+++ b/gateway/lifetime_test.go
@@ -152,11 +152,11 @@
 	require.Equal(t, before.Load.Work, after.Load.Work, "the new lifetime's cache is empty")
 	require.Zero(t, after.QueueTime, "nothing was sent to the new lifetime")
 	// Late reports of the earlier lifetime.
-	d.recordFirstEvent(now, firstEventReceived{ticket: before.ID, server: before.Server.ID})
-	d.recordEnd(now, attemptEnded{ticket: before.ID, server: before.Server.ID, end: placement.Unreachable})
+	d.recordFirstEvent(now, firstEventReceived{attemptID: before.ID, server: before.Server.ID})
+	d.recordEnd(now, attemptEnded{attemptID: before.ID, server: before.Server.ID, end: placement.Unreachable})
 	d.handle(now, cacheReported{server: before.Server.ID, parts: []uint64{7, 8}})
 	require.Equal(t, 1, d.running[after.Server.ID])
-	d.recordEnd(now, attemptEnded{ticket: after.ID, server: after.Server.ID, end: placement.Served})
+	d.recordEnd(now, attemptEnded{attemptID: after.ID, server: after.Server.ID, end: placement.Served})
 	require.Equal(t, server(2).ID, place().Server.ID, "the new lifetime is not in backoff")
 }
 
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -61,7 +61,7 @@
 		c.reportLost(d, sent, lossConnectionBroke)
 		return placement.Failed, c.retryOrFail(errors.Wrapf(err, "gateway: answer of server %s", d.Server.ID))
 	}
-	c.gateway.dispatcher.send(firstEventReceived{ticket: d.ID, server: d.Server.ID})
+	c.gateway.dispatcher.send(firstEventReceived{attemptID: d.ID, server: d.Server.ID})
 	c.copyHeader(r)
 	if r.Length < 0 && len(body) < maxBufferedResponse && c.request.Method != http.MethodHead {
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -122,7 +122,7 @@
 		}
 		if !started {
 			started = true
-			c.gateway.dispatcher.send(firstEventReceived{ticket: d.ID, server: d.Server.ID})
+			c.gateway.dispatcher.send(firstEventReceived{attemptID: d.ID, server: d.Server.ID})
 		}
 		if len(event) > 0 && !c.alreadyRelayed(event) {
 			if werr := c.relayEvent(r, control, event, events.Buffered() > 0); werr != nil {
--- a/gateway/rollout_test.go
+++ b/gateway/rollout_test.go
@@ -126,7 +126,7 @@
 		} else {
 			baseline++
 		}
-		d.recordEnd(now, attemptEnded{ticket: assign.ID, server: assign.Server.ID, end: placement.Served, status: 200})
+		d.recordEnd(now, attemptEnded{attemptID: assign.ID, server: assign.Server.ID, end: placement.Served, status: 200})
 	}
 	return baseline, target
 }
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -74,7 +74,7 @@
 	store        SuspectStore  // nil: nothing is stored, and barred requests are not tried
 	fleetSize    func() int    // number of live gateways
 	writerWake   chan struct{} // there is something to write
-	newlyBarred  chan struct{} // a request has been barred
+	newlyQuarantined  chan struct{} // a request has been barred
 	suspectCount atomic.Int64  // requests in the registry; if 0, lookups are skipped
 
 	mutex         sync.Mutex
@@ -92,7 +92,7 @@
 
 func newSuspectTracker(log zerolog.Logger, address string, fleetSize func() int) *suspectTracker {
 	return &suspectTracker{
-		log: log, address: address, fleetSize: fleetSize, writerWake: make(chan struct{}, 1), newlyBarred: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
+		log: log, address: address, fleetSize: fleetSize, writerWake: make(chan struct{}, 1), newlyQuarantined: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
 		ownWrites: map[quarantine.Key]bool{}, trials: map[quarantine.Key]trialState{}, livePeers: map[string]bool{}, summaries: map[quarantine.Key]string{}, pendingWrites: map[quarantine.Key]bool{}, rewriteAt: map[quarantine.Key]time.Time{},
 	}
 }
@@ -179,7 +179,7 @@
 		}
 		event.Str("event", "request.barred").Msg("request is barred from all servers")
 		select {
-		case s.newlyBarred <- struct{}{}:
+		case s.newlyQuarantined <- struct{}{}:
 		default: // the reader looks at all barred requests
 		}
 	}
@@ -317,14 +317,14 @@
 	return true
 }
 
-// isBarred reports whether a request is barred.
-func (s *suspectTracker) isBarred(key quarantine.Key) bool {
+// isQuarantined reports whether a request is barred.
+func (s *suspectTracker) isQuarantined(key quarantine.Key) bool {
 	_, barred := s.crashCount(key)
 	return barred
 }
 
-// barredCount returns the number of barred requests.
-func (s *suspectTracker) barredCount() int {
+// quarantinedCount returns the number of barred requests.
+func (s *suspectTracker) quarantinedCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.registry.CountQuarantined()
--- a/gateway/suspects_restore_test.go
+++ b/gateway/suspects_restore_test.go
@@ -31,8 +31,8 @@
 		restored := listResult(after, 1)
 		restored.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{lifted: record(0), tried: record(1)}
 		g.storeWatcher.applyResult(now, restored)
-		require.True(t, g.suspects.isBarred(barred))
-		require.False(t, g.suspects.isBarred(lifted))
+		require.True(t, g.suspects.isQuarantined(barred))
+		require.False(t, g.suspects.isQuarantined(lifted))
 		require.Equal(t, 2, g.suspects.trials[tried].count)
 		writes := func() []quarantine.Key {
 			g.suspects.queueDueRewrites(now.Add(rewriteJitter))
@@ -50,6 +50,6 @@
 		g.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{SuspectChanged{Key: barred, Record: record(1)}}})
 		require.Equal(t, []quarantine.Key{lifted, tried}, writes(), "a peer has written the third one")
 		g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
-		require.True(t, g.suspects.isBarred(barred))
+		require.True(t, g.suspects.isQuarantined(barred))
 	}
 }
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -40,20 +40,20 @@
 	from, to := newIdleGateway(t), newIdleGateway(t)
 	from.storeWatcher.applyResult(now, first)
 	transferView(t, now, from, to, unchanged)
-	require.True(t, to.suspects.isBarred(quarantine.Key{1}), "whole view")
+	require.True(t, to.suspects.isQuarantined(quarantine.Key{1}), "whole view")
 	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
 		SuspectChanged{Key: quarantine.Key{2}, Record: quarantine.StoredRecord{Servers: []string{"a", "b", "d"}, Simultaneous: true, Trials: 1}}, SuspectRemoved{Key: quarantine.Key{1}},
 	}})
 	transferView(t, now, from, to, func(d *viewDocument) { require.True(t, d.Partial) })
-	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
+	require.True(t, to.suspects.isQuarantined(quarantine.Key{2}))
 	require.Equal(t, from.view.Load().Suspects, to.view.Load().Suspects, "including ambiguous suspects")
-	require.False(t, to.suspects.isBarred(quarantine.Key{1}), "the suspect was removed")
+	require.False(t, to.suspects.isQuarantined(quarantine.Key{1}), "the suspect was removed")
 	from.storeWatcher.applyResult(now, sourceResult{since: 5, revision: 7, changes: []Change{ServerChanged{Server: readyServer("i-1")}}})
 	transferView(t, now, from, to, func(d *viewDocument) {
 		*d = viewDocument{Servers: d.Servers, Revision: d.Revision}
 	})
 	require.Equal(t, []string{"i-1"}, to.serverIDs())
-	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
+	require.True(t, to.suspects.isQuarantined(quarantine.Key{2}))
 }
 
 // faultyStore stores suspects and can be made unreachable.
@@ -153,12 +153,12 @@
 		at := now.Add(time.Duration(n) * time.Second)
 		s.applyPeerReports(at, []peer.Crash{{Server: server, Suspects: []peer.Key{{1}, {2}}}}, nil)
 	}
-	require.True(t, s.isBarred(quarantine.Key{1}))
+	require.True(t, s.isQuarantined(quarantine.Key{1}))
 	n, _ := s.crashCount(quarantine.Key{2})
 	require.Zero(t, n)
 	require.False(t, s.trialDue(now.Add(time.Minute), quarantine.Key{1}), "the crashes did not come at once")
 	s.applyPeerReports(now, nil, []peer.Cleared{{Key: peer.Key{1}, Servers: []string{"i-2"}}})
-	require.False(t, s.isBarred(quarantine.Key{1}))
+	require.False(t, s.isQuarantined(quarantine.Key{1}))
 }
 
 // TestTrialsAreCounted: gateways that bar a request because of simultaneous crashes send it maxTrials
