--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -292,7 +292,7 @@
 }
 
 // CallerClosed implements handoff.Leaver.
-func (c *callerConn) CallerClosed() bool { return c.gone() }
+func (c *callerConn) CallerClosed() bool { return c.closedByCaller() }
 
 // connKey is the context key of a request's connection.
 type connKey struct{}
@@ -302,15 +302,15 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// callerGone reports whether the caller of a request has closed its connection.
-func callerGone(ctx context.Context) bool {
+// callerClosed reports whether the caller of a request has closed its connection.
+func callerClosed(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
-	return ok && c.gone()
+	return ok && c.closedByCaller()
 }
 
-// gone reports whether the caller has closed the connection, without waiting for the goroutine
+// closedByCaller reports whether the caller has closed the connection, without waiting for the goroutine
 // that reads it to notice.
-func (c *callerConn) gone() bool {
+func (c *callerConn) closedByCaller() bool {
 	n, err := peek(c.Conn)
 	return n == 0 && err == nil || err == unix.ECONNRESET
 }
--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -193,9 +193,9 @@
 	require.EqualValues(t, answered, m.denied.Load())
 }
 
-// TestCallerGone checks that a closed caller's connection is noticed before its request is
+// TestCallerClosed checks that a closed caller's connection is noticed before its request is
 // sent.
-func TestCallerGone(t *testing.T) {
+func TestCallerClosed(t *testing.T) {
 	l, err := ListenCallers("127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -204,8 +204,8 @@
 	accepted, err := l.Accept()
 	require.NoError(t, err)
 	ctx := withConn(t.Context(), &callerConn{Conn: accepted})
-	require.False(t, callerGone(ctx))
+	require.False(t, callerClosed(ctx))
 	caller.Close()
-	require.Eventually(t, func() bool { return callerGone(ctx) }, time.Second, time.Millisecond)
-	require.False(t, callerGone(t.Context()), "a request without a caller's connection")
+	require.Eventually(t, func() bool { return callerClosed(ctx) }, time.Second, time.Millisecond)
+	require.False(t, callerClosed(t.Context()), "a request without a caller's connection")
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -18,26 +18,26 @@
 
 // call is a caller's request in progress.
 type call struct {
-	gateway       *Gateway
-	w             http.ResponseWriter
-	request       *http.Request
-	meta          protocol.Request
-	body          []byte
-	route         *catalog.Route
-	account       string
-	service       string
-	engine        bool    // the service is a model engine
-	cost          float64 // cost charged to the account's share
-	placeReq      placement.Request
-	regions       catalog.Regions // regions in which it may be served
-	arrived       time.Time
-	sinceFirstTry time.Duration // time between the caller's first attempt and the arrival of this one
-	deadline      time.Time
+	gateway           *Gateway
+	w                 http.ResponseWriter
+	request           *http.Request
+	meta              protocol.Request
+	body              []byte
+	route             *catalog.Route
+	account           string
+	service           string
+	engine            bool    // the service is a model engine
+	cost              float64 // cost charged to the account's share
+	placeReq          placement.Request
+	regions           catalog.Regions // regions in which it may be served
+	arrived           time.Time
+	sinceFirstAttempt time.Duration // time between the caller's first attempt and the arrival of this one
+	deadline          time.Time
 
 	attempts        int           // number of times it was sent to a server
 	delivered       int           // number of times it reached a server
 	mayHaveRun      bool          // a server may have run it
-	callerLeft      bool          // the caller has closed its connection
+	callerClosed    bool          // the caller has closed its connection
 	headerSent      bool          // the response header has been sent to the caller
 	lastEventID     string        // ID of the last event relayed
 	firstByteAt     time.Time     // when the first byte was sent to the caller; zero: not yet
@@ -48,10 +48,10 @@
 	firstEventAt    time.Time     // when the first of them was sent to the caller
 	result          string        // for logs and metrics
 	reason          string
-	fingerprint     quarantine.Key // computed by key
-	hasFingerprint  bool           // fingerprint is set
+	cachedKey       quarantine.Key // computed by key
+	hasCachedKey    bool           // fingerprint is set
 	responseStarted atomic.Bool    // the caller has received part of a response
-	probe           bool           // it is quarantined but is sent once as a probe
+	trial           bool           // it is quarantined but is sent once as a probe
 }
 
 // step is the next step after an attempt.
@@ -100,7 +100,7 @@
 	c.placeReq.Remaining = c.deadline.Sub(now)
 	c.placeReq.Objective = 0
 	if c.route.Objective > 0 && !c.mayHaveRun {
-		c.placeReq.Objective = remainingObjective(c.route.Objective, c.sinceFirstTry+now.Sub(c.arrived))
+		c.placeReq.Objective = remainingObjective(c.route.Objective, c.sinceFirstAttempt+now.Sub(c.arrived))
 		c.placeReq.CallerTimeout = min(c.route.CallerTimeout-now.Sub(c.arrived), c.placeReq.Remaining)
 	}
 	decision, ok := c.gateway.dispatcher.requestPlacement(ctx, &c.placeReq, c.delivered > 0, c.cost)
@@ -130,16 +130,16 @@
 	return objective - elapsed
 }
 
-// errCallerLeft is the cause of failure of a request whose caller has closed its connection.
-var errCallerLeft = errors.New("gateway: the caller has left")
+// errCallerClosed is the cause of failure of a request whose caller has closed its connection.
+var errCallerClosed = errors.New("gateway: the caller has left")
 
 // send sends the request to a server and relays the response.
 func (c *call) send(ctx context.Context, d placement.Assign) step {
 	// An overloaded process notices late that a caller has disconnected.
-	if c.gateway.overload.overloaded(time.Now()) && callerGone(ctx) {
+	if c.gateway.overload.overloaded(time.Now()) && callerClosed(ctx) {
 		c.gateway.dispatcher.send(attemptEnded{attemptID: d.ID, server: d.Server.ID, end: placement.Abandoned})
-		c.callerLeft = true
-		return failStep{err: errCallerLeft}
+		c.callerClosed = true
+		return failStep{err: errCallerClosed}
 	}
 	if c.quarantined(true) { // other gateways may have reported crashes while it waited
 		c.gateway.dispatcher.send(attemptEnded{attemptID: d.ID, server: d.Server.ID, end: placement.Abandoned})
@@ -155,7 +155,7 @@
 	c.gateway.log.Info().Str("event", "attempt.sent").Str("request", c.meta.ID).Int("attempt", c.attempts).
 		Str("server", d.Server.ID).Dur("predicted", d.Predicted).Dur("work", d.Load.Work).Dur("reading", d.PrefillTime).Float64("tokens", c.cost).
 		Dur("left", c.deadline.Sub(sent)).Str("account", c.account).Bool("over_share", c.placeReq.OverShare).
-		Int("prompt", c.placeReq.PromptTokens).Dur("waiting", d.QueueTime).Int("reread", d.SharedMissTokens).Dur("spent", c.sinceFirstTry).Float64("ahead", c.placeReq.ShareRatio).Bool("again", c.sinceFirstTry > 0).Str("copy_from", d.CopyFrom).Msg("request sent to server")
+		Int("prompt", c.placeReq.PromptTokens).Dur("waiting", d.QueueTime).Int("reread", d.SharedMissTokens).Dur("spent", c.sinceFirstAttempt).Float64("ahead", c.placeReq.ShareRatio).Bool("again", c.sinceFirstAttempt > 0).Str("copy_from", d.CopyFrom).Msg("request sent to server")
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil) // cancels the server's work if the response was not read to its end
 	c.gateway.activeCalls.add(c, cancel)
@@ -163,7 +163,7 @@
 	c.status, c.eventCount = 0, 0
 	result := c.gateway.pool.Send(ctx, d.Server, c.upstreamRequest(d, sent))
 	end, next := c.handleResult(ctx, d, sent, result)
-	c.gateway.dispatcher.send(attemptEnded{attemptID: d.ID, server: d.Server.ID, end: end, route: c.route.Name, status: c.status, eventInterval: c.meanEventGap()})
+	c.gateway.dispatcher.send(attemptEnded{attemptID: d.ID, server: d.Server.ID, end: end, route: c.route.Name, status: c.status, eventInterval: c.meanEventInterval()})
 	return next
 }
 
@@ -258,15 +258,15 @@
 	}
 	c.deny(denial{http.StatusServiceUnavailable, string(d.Reason), d.RetryAfter})
 	c.gateway.log.Info().Str("event", "request.refused").Str("request", c.meta.ID).Str("account", c.account).
-		Str("reason", string(d.Reason)).Dur("objective", c.route.Objective).Int("prompt", c.placeReq.PromptTokens).Dur("spent", c.sinceFirstTry).Dur("predicted", d.Predicted).Dur("retry_after", d.RetryAfter).
-		Bool("over_share", c.placeReq.OverShare).Bool("stop", c.placeReq.Capped).Float64("ahead", c.placeReq.ShareRatio).Bool("again", c.sinceFirstTry > 0).Msg("request refused")
+		Str("reason", string(d.Reason)).Dur("objective", c.route.Objective).Int("prompt", c.placeReq.PromptTokens).Dur("spent", c.sinceFirstAttempt).Dur("predicted", d.Predicted).Dur("retry_after", d.RetryAfter).
+		Bool("over_share", c.placeReq.OverShare).Bool("stop", c.placeReq.Capped).Float64("ahead", c.placeReq.ShareRatio).Bool("again", c.sinceFirstAttempt > 0).Msg("request refused")
 }
 
 // fail sends the final response to a request that no server has answered.
 func (c *call) fail(ctx context.Context, f failStep) {
 	c.reason = f.err.Error()
 	switch {
-	case c.callerLeft || c.request.Context().Err() != nil:
+	case c.callerClosed || c.request.Context().Err() != nil:
 		c.result = "left" // the caller no longer reads
 	case c.headerSent:
 		c.result = "cut"
@@ -304,7 +304,7 @@
 	}
 	c.gateway.options.Metrics.RequestEnded(o)
 	c.gateway.log.Info().Str("event", "request.ended").Str("request", c.meta.ID).Str("route", c.route.Name).
-		Str("kind", kindName(c.route)).Dur("spent", c.sinceFirstTry).Str("account", c.account).Str("result", o.Result).Str("reason", c.reason).Int("attempts", c.attempts).
+		Str("kind", kindName(c.route)).Dur("spent", c.sinceFirstAttempt).Str("account", c.account).Str("result", o.Result).Str("reason", c.reason).Int("attempts", c.attempts).
 		Dur("first", o.FirstByte).Dur("pause", c.maxEventGap).Dur("whole", o.Total).EmbedObject(revisionFields(c.gateway.view.Load().Revision)).Msg("request finished")
 }
 
@@ -312,7 +312,7 @@
 // the caller's first attempt to the first event, or for the interval between two events.
 func (c *call) missedObjective(first time.Duration) bool {
 	r := c.route
-	return r.Objective > 0 && c.sinceFirstTry+first > r.Objective || r.MaxEventGap > 0 && c.maxEventGap > r.MaxEventGap
+	return r.Objective > 0 && c.sinceFirstAttempt+first > r.Objective || r.MaxEventGap > 0 && c.maxEventGap > r.MaxEventGap
 }
 
 func kindName(r *catalog.Route) string {
--- a/gateway/call_quarantine.go
+++ b/gateway/call_quarantine.go
@@ -44,7 +44,7 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for c, cancel := range a.calls {
-		if !c.probe && !c.responseStarted.Load() && quarantined(c.computeKey()) {
+		if !c.trial && !c.responseStarted.Load() && quarantined(c.computeQuarantineKey()) {
 			cancel(errQuarantined)
 		}
 	}
@@ -62,17 +62,17 @@
 // maxSummaryLength limits the part of a request that is logged.
 const maxSummaryLength = 200
 
-// key returns the request's quarantine key, which is computed on first use.
-func (c *call) key() quarantine.Key {
-	if !c.hasFingerprint {
-		c.fingerprint, c.hasFingerprint = c.computeKey(), true
+// quarantineKey returns the request's quarantine quarantineKey, which is computed on first use.
+func (c *call) quarantineKey() quarantine.Key {
+	if !c.hasCachedKey {
+		c.cachedKey, c.hasCachedKey = c.computeQuarantineKey(), true
 	}
-	return c.fingerprint
+	return c.cachedKey
 }
 
-// computeKey computes the request's quarantine key. It reads only fields that do not change
+// computeQuarantineKey computes the request's quarantine key. It reads only fields that do not change
 // once the request was read, so other goroutines may call it.
-func (c *call) computeKey() quarantine.Key {
+func (c *call) computeQuarantineKey() quarantine.Key {
 	return quarantine.KeyOf(quarantine.Request{
 		Account: c.account, Method: c.request.Method, Host: c.request.Host, Target: requestTarget(c.request), Body: c.body,
 	})
@@ -84,26 +84,26 @@
 	if c.gateway.suspects.suspectCount.Load() == 0 {
 		return 0, false
 	}
-	return c.gateway.suspects.crashCount(c.key())
+	return c.gateway.suspects.crashCount(c.quarantineKey())
 }
 
 // quarantined reports whether the request may not be sent to a server. With sending set, it
 // uses up a trial of a quarantined request if one is due.
 func (c *call) quarantined(sending bool) bool {
 	_, quarantined := c.crashesSeen()
-	if !quarantined || c.probe {
+	if !quarantined || c.trial {
 		return false
 	}
 	if !sending {
-		return !c.gateway.suspects.trialDue(time.Now(), c.key())
+		return !c.gateway.suspects.trialDue(time.Now(), c.quarantineKey())
 	}
-	c.probe = c.gateway.suspects.claimTrial(c.request.Context(), c.key())
-	return !c.probe
+	c.trial = c.gateway.suspects.claimTrial(c.request.Context(), c.quarantineKey())
+	return !c.trial
 }
 
 // reportAnswered records that the request was answered completely.
 func (c *call) reportAnswered() {
-	c.gateway.suspects.requestAnswered(time.Now(), c.key())
+	c.gateway.suspects.requestAnswered(time.Now(), c.quarantineKey())
 }
 
 // reportLost records that the request was lost at a server.
@@ -113,7 +113,7 @@
 		heard = c.lastEventAt
 	}
 	planned := !c.gateway.view.Load().acceptsWork(d.Server.ID)
-	c.gateway.crashes.requestLost(time.Now(), d.Server, planned, heard, lostRequest{kind: kind, suspect: suspect{key: c.key(), summary: c.summary(), responding: heard != sent}})
+	c.gateway.crashes.requestLost(time.Now(), d.Server, planned, heard, lostRequest{kind: kind, suspect: suspect{key: c.quarantineKey(), summary: c.summary(), responding: heard != sent}})
 }
 
 // summary describes the request for operators.
@@ -125,7 +125,7 @@
 // abandonAttempt records the loss of a request whose context has ended at a server, and
 // returns the next step.
 func (c *call) abandonAttempt(ctx context.Context, d placement.Assign, sent time.Time) step {
-	kind := lossCallerLeft
+	kind := lossCallerClosed
 	if errors.Is(context.Cause(ctx), errDeadline) {
 		kind = lossTimeout
 	}
--- a/gateway/cold_servers.go
+++ b/gateway/cold_servers.go
@@ -174,18 +174,18 @@
 // applyPeerCold takes over the cold servers and evacuated halls of another gateway's view.
 // It is of a later revision, so it replaces what was known, except for cold periods that
 // end later here.
-func (f *storeWatcher) applyPeerCold(now time.Time, h peerView) {
+func (f *storeWatcher) applyPeerCold(now time.Time, p peerView) {
 	listed := map[string]bool{}
-	for _, s := range h.snapshot.Servers {
+	for _, s := range p.snapshot.Servers {
 		listed[s.ID] = true
 	}
 	for id, c := range f.cold {
-		if _, cold := h.cold[id]; !cold && (listed[id] || !h.partial) {
+		if _, cold := p.cold[id]; !cold && (listed[id] || !p.partial) {
 			c.StartObserved = false
 			f.cold[id] = c
 		}
 	}
-	for id, c := range h.cold {
+	for id, c := range p.cold {
 		c.AssumedUntil = latest(c.AssumedUntil, f.cold[id].AssumedUntil)
 		if f.reconciling(now) {
 			c.ReportedUntil = latest(c.ReportedUntil, f.cold[id].ReportedUntil)
@@ -193,11 +193,11 @@
 		f.cold[id] = c
 	}
 	for hall := range f.evacuations {
-		if _, still := h.evacuations[hall]; !still && !f.reconciling(now) {
+		if _, still := p.evacuations[hall]; !still && !f.reconciling(now) {
 			f.endEvacuation(now, hall)
 		}
 	}
-	for hall, e := range h.evacuations {
+	for hall, e := range p.evacuations {
 		if old, already := f.evacuations[hall]; already && old.Since.Before(e.Since) {
 			e.Since = old.Since
 		}
--- a/gateway/cold_simulation_test.go
+++ b/gateway/cold_simulation_test.go
@@ -202,25 +202,25 @@
 
 // writeEntry lets a server write for how long it is still cold.
 func (w *simWorld) writeEntry(i int) {
-	left := time.Duration(0)
+	remaining := time.Duration(0)
 	var spans []int
 	for n := range w.spans {
 		s := &w.spans[n]
 		if s.server != i || !w.now.Before(s.until) {
 			continue
 		}
-		left = max(left, s.until.Sub(w.now))
+		remaining = max(remaining, s.until.Sub(w.now))
 		s.inEntry = true
 		spans = append(spans, n)
 		if s.announced == 0 {
 			s.announced = w.revision + 1
 		}
 	}
-	w.entries[i], w.entrySpans[i], w.entryCold[i], w.present[i] = w.servers[i], spans, left, true
+	w.entries[i], w.entrySpans[i], w.entryCold[i], w.present[i] = w.servers[i], spans, remaining, true
 	if w.rewriteAt > 0 {
 		w.beforeRestore.present[i] = true
 	}
-	w.write(ServerChanged{Server: w.servers[i], Cold: left})
+	w.write(ServerChanged{Server: w.servers[i], Cold: remaining})
 }
 
 // evacuate evacuates a server's hall, which also announces a cold span of the server.
@@ -321,11 +321,11 @@
 	if d.Revision <= g.view.Load().Revision {
 		return
 	}
-	h := d.peerView(w.now)
-	h.from = f.name
-	h.snapshot.Configuration = f.view.Load().Configuration
+	p := d.peerView(w.now)
+	p.from = f.name
+	p.snapshot.Configuration = f.view.Load().Configuration
 	w.handedServers += len(d.Servers)
-	g.storeWatcher.applyPeerView(w.now, h)
+	g.storeWatcher.applyPeerView(w.now, p)
 	g.handleMessages(w.now)
 	for n := range w.spans {
 		if f.known[n] {
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -35,9 +35,9 @@
 	// disappears after three to four seconds, and up to two seconds later if the store was
 	// away.
 	lossRetention = 10 * time.Second
-	// callerLeftWindow is how soon after its caller has left a request is still blamed for
+	// callerClosedWindow is how soon after its caller has left a request is still blamed for
 	// a crash: the server may have gone on with it.
-	callerLeftWindow = 500 * time.Millisecond
+	callerClosedWindow = 500 * time.Millisecond
 	// maxLostPerServer limits the lost requests remembered for a server.
 	maxLostPerServer = 256
 )
@@ -74,7 +74,7 @@
 const (
 	lossConnectionBroke lossKind = iota // its connection broke
 	lossTimeout                         // nothing was received until its deadline
-	lossCallerLeft                      // its caller left
+	lossCallerClosed                    // its caller left
 )
 
 func newCrashDetector(log zerolog.Logger, onCrash func(now time.Time, server string, requests []suspect)) *crashDetector {
@@ -105,7 +105,7 @@
 		c.losses[s.ID] = b
 	}
 	if !b.crashedAt.IsZero() {
-		if heard.Before(b.crashedAt) && l.kind != lossCallerLeft {
+		if heard.Before(b.crashedAt) && l.kind != lossCallerClosed {
 			c.reportCrash(now, s.ID, "", []lostRequest{l})
 		}
 		return
@@ -132,12 +132,12 @@
 // caller.
 func (c *crashDetector) declareCrashed(now time.Time, server, cause string) {
 	b := c.losses[server]
-	notByCaller := func(l lostRequest) bool { return l.kind != lossCallerLeft }
+	notByCaller := func(l lostRequest) bool { return l.kind != lossCallerClosed }
 	if b == nil || !b.crashedAt.IsZero() || !slices.ContainsFunc(b.requests, notByCaller) {
 		return
 	}
 	b.crashedAt = now
-	requests := slices.DeleteFunc(b.requests, func(l lostRequest) bool { return l.kind == lossCallerLeft && now.Sub(l.at) > callerLeftWindow })
+	requests := slices.DeleteFunc(b.requests, func(l lostRequest) bool { return l.kind == lossCallerClosed && now.Sub(l.at) > callerClosedWindow })
 	b.requests = nil
 	c.reportCrash(now, server, cause, requests)
 }
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -56,8 +56,8 @@
 		{"timeout, then entry disappears", []action{lose(testLoss{n: 1, kind: lossTimeout}), view(all, others)}, []byte{1}},
 		{"entry disappears, then timeout without events", []action{view(all, others), lose(testLoss{n: 1, kind: lossTimeout, planned: true, ago: time.Second})}, []byte{1}},
 		{"entry disappears, then timeout after an event", []action{view(all, others), lose(testLoss{n: 1, kind: lossTimeout, planned: true})}, nil},
-		{"only caller left", []action{lose(testLoss{n: 1, kind: lossCallerLeft}), refuse, view(all, others)}, nil},
-		{"caller left just before the crash", []action{lose(testLoss{n: 1, kind: lossCallerLeft}), lose(testLoss{n: 2}), refuse}, []byte{1, 2}},
+		{"only caller left", []action{lose(testLoss{n: 1, kind: lossCallerClosed}), refuse, view(all, others)}, nil},
+		{"caller left just before the crash", []action{lose(testLoss{n: 1, kind: lossCallerClosed}), lose(testLoss{n: 2}), refuse}, []byte{1, 2}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/gateway/delay_test.go
+++ b/gateway/delay_test.go
@@ -38,8 +38,8 @@
 				observed := now.Add(promptTime + test.delay)
 				d.detectOverdue(observed)
 				d.detectSilent(observed)
-				for ticket, p := range d.pending {
-					require.False(t, p.reportedSilent, "server of request %d is reported as silent", ticket)
+				for attemptID, p := range d.pending {
+					require.False(t, p.reportedSilent, "server of request %d is reported as silent", attemptID)
 				}
 				d.recordFirstEvent(observed, firstEventReceived{attemptID: assign.ID, server: assign.Server.ID})
 				d.recordEnd(observed, attemptEnded{attemptID: assign.ID, server: assign.Server.ID, end: placement.Served})
--- a/gateway/dispatcher.go
+++ b/gateway/dispatcher.go
@@ -127,16 +127,16 @@
 	// firstEventReceived reports the first event of an attempt.
 	firstEventReceived struct {
 		attemptID uint64
-		server string
+		server    string
 	}
 	// attemptEnded reports the end of an attempt.
 	attemptEnded struct {
-		attemptID uint64
-		server string
-		end    placement.Outcome
-		route  string
-		status int           // of the server's answer; 0: none, or an incomplete answer
-		eventInterval  time.Duration // mean time between events of a stream; 0: unknown
+		attemptID     uint64
+		server        string
+		end           placement.Outcome
+		route         string
+		status        int           // of the server's answer; 0: none, or an incomplete answer
+		eventInterval time.Duration // mean time between events of a stream; 0: unknown
 	}
 	// cacheReported reports the contents of a server's cache.
 	cacheReported struct {
@@ -191,10 +191,10 @@
 
 // requestPlacement returns the decision for a request, which may take until the request
 // leaves the wait queue. ok is false if ctx ends first.
-func (d *dispatcher) requestPlacement(ctx context.Context, a *placement.Request, repeat bool, tokens float64) (placement.Decision, bool) {
+func (d *dispatcher) requestPlacement(ctx context.Context, a *placement.Request, retry bool, tokens float64) (placement.Decision, bool) {
 	reply := make(chan placement.Decision, 1)
 	request := *a // the dispatcher may still use it after ctx has ended
-	d.send(placementRequest{request: &request, retry: repeat, tokens: tokens, done: ctx.Done(), reply: reply})
+	d.send(placementRequest{request: &request, retry: retry, tokens: tokens, done: ctx.Done(), reply: reply})
 	select {
 	case decision := <-reply:
 		*a = request // the dispatcher has filled in the account's share status
--- a/gateway/dispatcher_rollout.go
+++ b/gateway/dispatcher_rollout.go
@@ -389,13 +389,13 @@
 
 // encodeReport encodes what this gateway has seen of a rollout; bad is the number of bad
 // answers of the target version.
-func encodeReport(now time.Time, w *rollout.Rollout) (r *peerpb.Rollout, bad uint32) {
-	r = &peerpb.Rollout{Order: uint64(w.Revision), Stage: uint32(w.Stage()), AgeMs: uint32(max(now.Sub(w.OrderedAt), 0).Milliseconds())}
-	for cell, n := range w.Report() {
+func encodeReport(now time.Time, ro *rollout.Rollout) (r *peerpb.Rollout, bad uint32) {
+	r = &peerpb.Rollout{Order: uint64(ro.Revision), Stage: uint32(ro.Stage()), AgeMs: uint32(max(now.Sub(ro.OrderedAt), 0).Milliseconds())}
+	for key, n := range ro.Report() {
 		r.Answers = append(r.Answers, &peerpb.Answers{
-			Route: cell.Route, Server: cell.Server, Target: cell.Target, Answers: n.Answers, Failed: n.Failed, Slow: n.Slow,
+			Route: key.Route, Server: key.Server, Target: key.Target, Answers: n.Answers, Failed: n.Failed, Slow: n.Slow,
 		})
-		if cell.Target {
+		if key.Target {
 			bad += n.Failed + n.Slow
 		}
 	}
--- a/gateway/handover_test.go
+++ b/gateway/handover_test.go
@@ -79,14 +79,14 @@
 			}
 			r.handle(t.Context(), now, peer.Update{From: "sound", Hall: "h", Alive: true})
 			r.handle(t.Context(), now, peer.Update{From: "far", Hall: "other", Alive: true, StoreUnreachable: true})
-			f := g.storeWatcher
-			f.unreachable, f.lastQuery = true, now
-			require.False(t, f.shouldQuery(now.Add(test.after-time.Millisecond)))
-			require.True(t, f.shouldQuery(now.Add(test.after)))
+			w := g.storeWatcher
+			w.unreachable, w.lastQuery = true, now
+			require.False(t, w.shouldQuery(now.Add(test.after-time.Millisecond)))
+			require.True(t, w.shouldQuery(now.Add(test.after)))
 			for n := range test.othersWithoutStore {
 				r.handle(t.Context(), now, peer.Update{From: fmt.Sprint(n), Hall: "h", Alive: true})
 			}
-			require.Equal(t, sourceRetryInterval, f.retryInterval(), "the others reach the store again")
+			require.Equal(t, sourceRetryInterval, w.retryInterval(), "the others reach the store again")
 		})
 	}
 }
--- a/gateway/peer/beacon.go
+++ b/gateway/peer/beacon.go
@@ -19,8 +19,8 @@
 		ConfigurationVersion: s.ConfigurationVersion, StoreRevision: uint64(s.StoreRevision), StoreAway: s.StoreUnreachable, Leaving: n.leaving,
 		ConfirmedMs: uint32(min(time.Since(s.ConfirmedAt), maxAge).Milliseconds()),
 	}
-	for server, left := range n.pendingBacklogs {
-		b.Backlogs = append(b.Backlogs, &peerpb.Backlog{Server: server, LeftUs: microseconds(left)})
+	for server, remaining := range n.pendingBacklogs {
+		b.Backlogs = append(b.Backlogs, &peerpb.Backlog{Server: server, LeftUs: microseconds(remaining)})
 	}
 	clear(n.pendingBacklogs)
 	for server, requests := range s.Running {
--- a/gateway/peer/peer.go
+++ b/gateway/peer/peer.go
@@ -338,13 +338,13 @@
 			n.relays.rankedAt = time.Time{} // it must not be used as a relay any more
 			n.deliver([]Update{{From: a.String()}})
 		}
-		if !r.seed && now.Sub(later(r.lastHeard, r.knownSince)) > forgetAfter {
+		if !r.seed && now.Sub(latest(r.lastHeard, r.knownSince)) > forgetAfter {
 			delete(n.peers, a)
 		}
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/gateway/peer/relay.go
+++ b/gateway/peer/relay.go
@@ -162,7 +162,7 @@
 			r.relaySince = now
 		}
 		r.relayRound = round
-		if now.Sub(later(r.lastDirect, r.relaySince)) > relayTimeout {
+		if now.Sub(latest(r.lastDirect, r.relaySince)) > relayTimeout {
 			r.relayExcludedUntil = now.Add(relayExclusionTime)
 			continue
 		}
@@ -176,7 +176,7 @@
 func (n *Node) checkRelays(now time.Time) {
 	unresponsive := func(a netip.Addr) bool {
 		r := n.peers[a]
-		return r == nil || now.Sub(later(r.lastDirect, r.relaySince)) > relayTimeout
+		return r == nil || now.Sub(latest(r.lastDirect, r.relaySince)) > relayTimeout
 	}
 	if !slices.ContainsFunc(n.relays.ownHallRelays, unresponsive) {
 		return
--- a/gateway/reconcile.go
+++ b/gateway/reconcile.go
@@ -201,7 +201,7 @@
 	merged := make(map[quarantine.Key]quarantine.StoredRecord, len(stored))
 	var changed []quarantine.Key
 	for k, record := range stored {
-		if _, lifted := f.tombstones.suspects[k]; lifted {
+		if _, removed := f.tombstones.suspects[k]; removed {
 			changed = append(changed, k)
 			continue
 		}
--- a/gateway/reconcile_test.go
+++ b/gateway/reconcile_test.go
@@ -120,13 +120,13 @@
 	transferView(t, now, started, longRunning, unchanged)
 	require.Equal(t, uint64(7), longRunning.view.Load().Configuration.Version)
 
-	h := updateReceiver{gateway: started, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
+	r := updateReceiver{gateway: started, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
 	for range 4 {
 		now = now.Add(handoverDelay / 2)
-		h.handle(t.Context(), now, peer.Update{From: "127.0.0.9", Hall: "other", Alive: true, StoreRevision: after, ConfigurationVersion: 7})
+		r.handle(t.Context(), now, peer.Update{From: "127.0.0.9", Hall: "other", Alive: true, StoreRevision: after, ConfigurationVersion: 7})
 	}
-	require.True(t, h.fetching, "the peer knows a newer configuration")
-	<-h.fetched
+	require.True(t, r.fetching, "the peer knows a newer configuration")
+	<-r.fetched
 	transferView(t, now, longRunning, started, func(d *viewDocument) { require.True(t, d.Partial, "only the configuration is sent") })
 	require.Equal(t, uint64(7), started.view.Load().Configuration.Version)
 	require.Equal(t, after+1, started.view.Load().Revision)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -182,9 +182,9 @@
 	return control.Flush()
 }
 
-// meanEventGap returns the mean interval between the events of the latest response; 0 if it
+// meanEventInterval returns the mean interval between the events of the latest response; 0 if it
 // had too few.
-func (c *call) meanEventGap() time.Duration {
+func (c *call) meanEventInterval() time.Duration {
 	const minEvents = 3
 	if c.eventCount < minEvents {
 		return 0
--- a/gateway/retries.go
+++ b/gateway/retries.go
@@ -25,9 +25,9 @@
 	fn(t.history)
 }
 
-// sinceFirstTry returns how long ago the caller of a request first tried; 0 if this is its
+// sinceFirstAttempt returns how long ago the caller of a request first tried; 0 if this is its
 // first attempt as far as is known.
-func (t *retryTracker) sinceFirstTry(c *call) time.Duration {
+func (t *retryTracker) sinceFirstAttempt(c *call) time.Duration {
 	key, ok := c.retryKey()
 	if !ok {
 		return 0
@@ -47,7 +47,7 @@
 	if !ok {
 		return
 	}
-	f := retry.Refusal{Key: key, Deadline: c.arrived.Add(c.meta.Deadline), FirstAttempt: c.arrived.Add(-c.sinceFirstTry)}
+	f := retry.Refusal{Key: key, Deadline: c.arrived.Add(c.meta.Deadline), FirstAttempt: c.arrived.Add(-c.sinceFirstAttempt)}
 	t.withHistory(func(h *retry.History) { h.Record(time.Now(), f) })
 	c.gateway.peers.PublishRefusal(peer.Refusal{Key: uint64(key), Deadline: f.Deadline, FirstAttempt: f.FirstAttempt})
 }
--- a/gateway/retry/retry_test.go
+++ b/gateway/retry/retry_test.go
@@ -16,8 +16,8 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestFirstAttempt(t *testing.T) {
-	const patience = 10 * time.Second
-	refused := retry.Refusal{Key: 1, Deadline: start.Add(patience), FirstAttempt: start}
+	const timeout = 10 * time.Second
+	refused := retry.Refusal{Key: 1, Deadline: start.Add(timeout), FirstAttempt: start}
 	tests := []struct {
 		name    string
 		after   time.Duration // since start
@@ -60,11 +60,11 @@
 
 // attempt is a request as a gateway receives it.
 type attempt struct {
-	at       time.Time
-	key      retry.Key
-	patience time.Duration // timeout that the caller names
-	first    time.Time
-	refused  bool
+	at      time.Time
+	key     retry.Key
+	timeout time.Duration // timeout that the caller names
+	first   time.Time
+	refused bool
 }
 
 // simulate returns the attempts of callers whose timeouts vary by the given share. A third of them is
@@ -79,16 +79,16 @@
 		if n%5 == 0 {
 			key = retry.Key(r.IntN(50))
 		}
-		patience := time.Duration(float64(10*time.Second) * (1 + spread*(2*r.Float64()-1)))
+		timeout := time.Duration(float64(10*time.Second) * (1 + spread*(2*r.Float64()-1)))
 		if outliers && n%100 == 0 {
-			patience *= 3
+			timeout *= 3
 		}
 		refused := r.IntN(3) == 0
-		list = append(list, attempt{at: at, key: key, patience: patience, first: at, refused: refused})
+		list = append(list, attempt{at: at, key: key, timeout: timeout, first: at, refused: refused})
 		if refused {
-			wait := 200*time.Millisecond + time.Duration(r.Float64()*float64(patience)/3)
+			wait := 200*time.Millisecond + time.Duration(r.Float64()*float64(timeout)/3)
 			roundTrip := time.Duration(r.IntN(10)) * time.Millisecond // round trip
-			list = append(list, attempt{at: at.Add(wait + roundTrip), key: key, patience: patience - wait, first: at})
+			list = append(list, attempt{at: at.Add(wait + roundTrip), key: key, timeout: timeout - wait, first: at})
 		}
 	}
 	slices.SortStableFunc(list, func(x, y attempt) int { return cmp.Compare(x.at.UnixNano(), y.at.UnixNano()) })
@@ -109,12 +109,12 @@
 			var history, baseline counts
 			longest := time.Duration(0)
 			for _, x := range simulate(test.spread, test.outliers) {
-				longest = max(longest, x.patience)
-				baseline.add(x, longest-x.patience > 50*time.Millisecond)
-				first, isRetry := h.FirstAttempt(x.at, x.key, x.at.Add(x.patience))
+				longest = max(longest, x.timeout)
+				baseline.add(x, longest-x.timeout > 50*time.Millisecond)
+				first, isRetry := h.FirstAttempt(x.at, x.key, x.at.Add(x.timeout))
 				history.add(x, isRetry && first.Equal(x.first))
 				if x.refused {
-					h.Record(x.at, retry.Refusal{Key: x.key, Deadline: x.at.Add(x.patience), FirstAttempt: x.first})
+					h.Record(x.at, retry.Refusal{Key: x.key, Deadline: x.at.Add(x.timeout), FirstAttempt: x.first})
 				}
 			}
 			fmt.Printf("figure precision-%.2f-%v %.3f share (longest patience: %.3f)\n", test.spread, test.outliers, history.precision(), baseline.precision())
--- a/gateway/signals.go
+++ b/gateway/signals.go
@@ -133,7 +133,7 @@
 	if s.Leaving && g.signals.addLeaving(now, server.ID) {
 		g.log.Info().Str("event", "server.says_leaving").Str("server", server.ID).Int("status", s.Status).Msg("server announced that it is leaving: no new requests")
 		g.peers.PublishLeaving(server.ID)
-		g.serverLeft(server.ID)
+		g.serverLeaving(server.ID)
 	}
 	if s.Backoff > 0 && s.Status == http.StatusServiceUnavailable {
 		until := now.Add(min(s.Backoff, placement.MaxBackoff))
@@ -148,13 +148,13 @@
 	for _, id := range servers {
 		if g.signals.addLeaving(now, id) {
 			g.log.Info().Str("event", "server.told_leaving").Str("server", id).Str("peer", from).Msg("another gateway reported that the server is leaving: no new requests")
-			g.serverLeft(id)
+			g.serverLeaving(id)
 		}
 	}
 }
 
-// serverLeft tells the dispatcher at once that a server is leaving; the view follows.
-func (g *Gateway) serverLeft(server string) {
+// serverLeaving tells the dispatcher at once that a server is leaving; the view follows.
+func (g *Gateway) serverLeaving(server string) {
 	g.dispatcher.send(leavingAnnounced{server: server})
 	select {
 	case g.storeWatcher.leavingSignal <- struct{}{}:
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -68,14 +68,14 @@
 
 // suspectTracker tracks requests during which servers have crashed. It is safe for concurrent use.
 type suspectTracker struct {
-	log          zerolog.Logger
-	peers        *peer.Node
-	address      string        // IP address of this gateway
-	store        SuspectStore  // nil: nothing is stored, and barred requests are not tried
-	fleetSize    func() int    // number of live gateways
-	writerWake   chan struct{} // there is something to write
-	newlyQuarantined  chan struct{} // a request has been barred
-	suspectCount atomic.Int64  // requests in the registry; if 0, lookups are skipped
+	log              zerolog.Logger
+	peers            *peer.Node
+	address          string        // IP address of this gateway
+	store            SuspectStore  // nil: nothing is stored, and barred requests are not tried
+	fleetSize        func() int    // number of live gateways
+	writerWake       chan struct{} // there is something to write
+	newlyQuarantined chan struct{} // a request has been barred
+	suspectCount     atomic.Int64  // requests in the registry; if 0, lookups are skipped
 
 	mutex         sync.Mutex
 	registry      *quarantine.Registry
@@ -153,16 +153,16 @@
 	if now.Sub(s.windowStart) >= time.Second {
 		s.windowStart, s.reported = now, 0
 	}
-	left := max(maxFleetSuspectsPerSecond/max(s.fleetSize(), 1), minSuspectsPerSecond) - s.reported
+	remaining := max(maxFleetSuspectsPerSecond/max(s.fleetSize(), 1), minSuspectsPerSecond) - s.reported
 	e := peer.Crash{Server: server}
 	for _, k := range repeated {
 		e.Suspects = append(e.Suspects, peer.Key(k))
 	}
 	for _, k := range keys {
-		if left > 0 && !slices.Contains(repeated, k) {
+		if remaining > 0 && !slices.Contains(repeated, k) {
 			e.Suspects = append(e.Suspects, peer.Key(k))
 			s.reported++
-			left--
+			remaining--
 		}
 	}
 	s.peers.PublishCrash(e)
@@ -187,13 +187,13 @@
 }
 
 // applyPeerReports applies what a peer reports.
-func (s *suspectTracker) applyPeerReports(now time.Time, ends []peer.Crash, answered []peer.Cleared) {
-	if len(ends)+len(answered) == 0 {
+func (s *suspectTracker) applyPeerReports(now time.Time, crashes []peer.Crash, cleared []peer.Cleared) {
+	if len(crashes)+len(cleared) == 0 {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, e := range ends {
+	for _, e := range crashes {
 		keys := make([]quarantine.Key, 0, len(e.Suspects))
 		for _, k := range e.Suspects {
 			if s.recentAnswers.Contains(now, quarantine.Key(k)) {
@@ -204,7 +204,7 @@
 		}
 		s.reportChanged(s.registry.AddCrash(now, e.Server, keys), e.Server)
 	}
-	for _, a := range answered {
+	for _, a := range cleared {
 		k := quarantine.Key(a.Key)
 		s.registry.Clear(k, a.Servers)
 		if _, repeated := s.registry.Record(k); !repeated && s.ownWrites[k] {
@@ -214,7 +214,7 @@
 }
 
 // crashCount returns how many servers have crashed during a request, and whether it is barred.
-func (s *suspectTracker) crashCount(key quarantine.Key) (n int, barred bool) {
+func (s *suspectTracker) crashCount(key quarantine.Key) (n int, quarantined bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.registry.CrashCount(key), s.registry.IsQuarantined(key)
@@ -319,8 +319,8 @@
 
 // isQuarantined reports whether a request is barred.
 func (s *suspectTracker) isQuarantined(key quarantine.Key) bool {
-	_, barred := s.crashCount(key)
-	return barred
+	_, quarantined := s.crashCount(key)
+	return quarantined
 }
 
 // quarantinedCount returns the number of barred requests.
--- a/gateway/suspects_restore_test.go
+++ b/gateway/suspects_restore_test.go
@@ -14,7 +14,7 @@
 // TestSuspectsAfterRestore: a suspect that the copy lacks stays barred and is written again once, with
 // its trials; one that was deleted and is in the copy is deleted again.
 func TestSuspectsAfterRestore(t *testing.T) {
-	barred, lifted, tried := quarantine.Key{1}, quarantine.Key{2}, quarantine.Key{3}
+	quarantined, deleted, tried := quarantine.Key{1}, quarantine.Key{2}, quarantine.Key{3}
 	record := func(trials int) quarantine.StoredRecord {
 		return quarantine.StoredRecord{Servers: []string{"a", "b", "c"}, Simultaneous: true, Trials: trials}
 	}
@@ -25,14 +25,14 @@
 		g.watchesStore.Store(watches)
 		g.suspects.store = &faultyStore{}
 		first := listResult(before-1, 1)
-		first.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{barred: record(1), lifted: record(0), tried: record(2)}
+		first.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{quarantined: record(1), deleted: record(0), tried: record(2)}
 		g.storeWatcher.applyResult(now, first)
-		g.storeWatcher.applyResult(now, sourceResult{since: before - 1, revision: before, changes: []Change{SuspectRemoved{Key: lifted}}})
+		g.storeWatcher.applyResult(now, sourceResult{since: before - 1, revision: before, changes: []Change{SuspectRemoved{Key: deleted}}})
 		restored := listResult(after, 1)
-		restored.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{lifted: record(0), tried: record(1)}
+		restored.snapshot.Suspects = map[quarantine.Key]quarantine.StoredRecord{deleted: record(0), tried: record(1)}
 		g.storeWatcher.applyResult(now, restored)
-		require.True(t, g.suspects.isQuarantined(barred))
-		require.False(t, g.suspects.isQuarantined(lifted))
+		require.True(t, g.suspects.isQuarantined(quarantined))
+		require.False(t, g.suspects.isQuarantined(deleted))
 		require.Equal(t, 2, g.suspects.trials[tried].count)
 		writes := func() []quarantine.Key {
 			g.suspects.queueDueRewrites(now.Add(rewriteJitter))
@@ -47,9 +47,9 @@
 			require.Empty(t, writes(), "only the gateway that watches for the hall writes")
 			continue
 		}
-		g.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{SuspectChanged{Key: barred, Record: record(1)}}})
-		require.Equal(t, []quarantine.Key{lifted, tried}, writes(), "a peer has written the third one")
+		g.storeWatcher.applyResult(now, sourceResult{since: after, revision: after + 1, changes: []Change{SuspectChanged{Key: quarantined, Record: record(1)}}})
+		require.Equal(t, []quarantine.Key{deleted, tried}, writes(), "a peer has written the third one")
 		g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
-		require.True(t, g.suspects.isQuarantined(barred))
+		require.True(t, g.suspects.isQuarantined(quarantined))
 	}
 }
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -24,10 +24,10 @@
 	var d viewDocument
 	require.NoError(t, json.Unmarshal(raw, &d))
 	change(&d)
-	h := d.peerView(now)
-	h.from = "x"
-	h.snapshot.Configuration = from.view.Load().Configuration
-	to.storeWatcher.applyPeerView(now, h)
+	p := d.peerView(now)
+	p.from = "x"
+	p.snapshot.Configuration = from.view.Load().Configuration
+	to.storeWatcher.applyPeerView(now, p)
 }
 
 func unchanged(*viewDocument) {}
@@ -138,8 +138,8 @@
 		n, _ := kept()
 		return n == 0
 	}, 5*time.Second, 5*time.Millisecond)
-	_, barred := s.crashCount(quarantine.Key{1})
-	require.False(t, barred)
+	_, quarantined := s.crashCount(quarantine.Key{1})
+	require.False(t, quarantined)
 }
 
 // TestSuspectsFromPeers: peers' reports count, except for requests that this gateway has answered
--- a/gateway/wait_queue_test.go
+++ b/gateway/wait_queue_test.go
@@ -45,7 +45,7 @@
 }
 
 // placeRequest asks for a placement of an account's request.
-func (d *dispatcher) placeRequest(now time.Time, account string, modify func(a *placement.Request)) (reply chan placement.Decision, leave func()) {
+func (d *dispatcher) placeRequest(now time.Time, account string, modify func(a *placement.Request)) (reply chan placement.Decision, cancel func()) {
 	a := &placement.Request{
 		Service: "s", Account: account, Hall: "h", PromptTokens: 1000, Objective: 300 * time.Millisecond,
 		CallerTimeout: 2400 * time.Millisecond, Remaining: 10 * time.Second,
