--- a/gateway/cold_servers.go
+++ b/gateway/cold_servers.go
@@ -38,26 +38,26 @@
 }
 
 // updateColdState applies a server's entry, as received by the watch.
-func (f *storeWatcher) updateColdState(now time.Time, s ServerChanged) {
+func (w *storeWatcher) updateColdState(now time.Time, s ServerChanged) {
 	id := s.Server.ID
-	c, tracked := f.cold[id]
-	_, known := f.servers[id]
-	hall, evacuated := f.evacuations[s.Server.Hall]
+	c, tracked := w.cold[id]
+	_, known := w.servers[id]
+	hall, evacuated := w.evacuations[s.Server.Hall]
 	if !known && !tracked {
 		// A server that appears while the store is being restored may have been there
 		// before.
-		c = coldState{StartObserved: !f.reconciling(now), Episode: startEpisode(f.changeRevision)}
+		c = coldState{StartObserved: !w.reconciling(now), Episode: startEpisode(w.changeRevision)}
 		if evacuated {
 			c.Episode = hall.Revision
 		}
-		if _, again := f.currentIDs[s.Server.Name()]; again && !evacuated {
+		if _, again := w.currentIDs[s.Server.Name()]; again && !evacuated {
 			c.IdleSince = now // its previous lifetime got work until now, and the limit covers both
 		}
 	}
 	if s.Cold <= 0 {
 		c.ReportedUntil = time.Time{}
 		if tracked || !known {
-			f.cold[id] = c
+			w.cold[id] = c
 		}
 		return
 	}
@@ -65,59 +65,59 @@
 		c.IdleSince = now // it got work until now
 	}
 	if !now.Before(c.until()) {
-		f.gateway.log.Info().Str("event", "server.cold").Str("server", id).Dur("for", s.Cold).
+		w.gateway.log.Info().Str("event", "server.cold").Str("server", id).Dur("for", s.Cold).
 			Stringer("episode", c.Episode).Bool("new", !known).Msg("server is cold: only the gateway that holds it sends a limited number of requests")
 	}
 	c.ReportedUntil = now.Add(s.Cold)
-	f.cold[id] = c
+	w.cold[id] = c
 }
 
 // startEpisode returns the episode of a server that starts in the revision's era.
 func startEpisode(r catalog.Revision) warmup.Episode { return catalog.NewRevision(r.Era(), 0) }
 
 // evacuate marks a hall as evacuated. A new episode begins for its servers.
-func (f *storeWatcher) evacuate(now time.Time, e HallEvacuated) {
+func (w *storeWatcher) evacuate(now time.Time, e HallEvacuated) {
 	since := now
-	if old, already := f.evacuations[e.Hall]; already {
+	if old, already := w.evacuations[e.Hall]; already {
 		since = old.Since
 	}
-	f.evacuations[e.Hall] = evacuation{Revision: e.Revision, Since: since}
-	for id, s := range f.servers {
+	w.evacuations[e.Hall] = evacuation{Revision: e.Revision, Since: since}
+	for id, s := range w.servers {
 		if s.Hall != e.Hall {
 			continue
 		}
-		c := f.cold[id]
+		c := w.cold[id]
 		c.Episode, c.IdleSince, c.StartObserved, c.Claimed = e.Revision, since, true, false
-		f.cold[id] = c
-		f.serverChanges.add(f.changeRevision, id)
+		w.cold[id] = c
+		w.serverChanges.add(w.changeRevision, id)
 	}
-	f.gateway.log.Info().Str("event", "hall.evacuated").Str("hall", e.Hall).EmbedObject(revisionFields(e.Revision)).Msg("hall evacuated: no new requests for its servers")
+	w.gateway.log.Info().Str("event", "hall.evacuated").Str("hall", e.Hall).EmbedObject(revisionFields(e.Revision)).Msg("hall evacuated: no new requests for its servers")
 }
 
 // endEvacuation ends a hall's evacuation. Its servers may have become cold just before
 // without having reported it, so they are assumed to be cold for as long as servers that
 // have just started, whatever they reported last.
-func (f *storeWatcher) endEvacuation(now time.Time, hall string) {
-	e, evacuated := f.evacuations[hall]
+func (w *storeWatcher) endEvacuation(now time.Time, hall string) {
+	e, evacuated := w.evacuations[hall]
 	if !evacuated {
 		return
 	}
-	delete(f.evacuations, hall)
-	for id, s := range f.servers {
+	delete(w.evacuations, hall)
+	for id, s := range w.servers {
 		if s.Hall != hall {
 			continue
 		}
-		c := f.cold[id]
-		c.AssumedUntil = latest(c.AssumedUntil, now.Add(f.coldDuration(s.Service)))
-		f.cold[id] = c
-		f.serverChanges.add(f.changeRevision, id)
+		c := w.cold[id]
+		c.AssumedUntil = latest(c.AssumedUntil, now.Add(w.coldDuration(s.Service)))
+		w.cold[id] = c
+		w.serverChanges.add(w.changeRevision, id)
 	}
-	f.gateway.log.Info().Str("event", "hall.returned").Str("hall", hall).Dur("after", now.Sub(e.Since)).Msg("evacuation ended: servers count as cold at first")
+	w.gateway.log.Info().Str("event", "hall.returned").Str("hall", hall).Dur("after", now.Sub(e.Since)).Msg("evacuation ended: servers count as cold at first")
 }
 
 // coldDuration returns how long a service's servers are cold after their start.
-func (f *storeWatcher) coldDuration(service string) time.Duration {
-	v := f.gateway.view.Load()
+func (w *storeWatcher) coldDuration(service string) time.Duration {
+	v := w.gateway.view.Load()
 	if v.Configuration == nil {
 		return 0
 	}
@@ -128,45 +128,45 @@
 }
 
 // markClaimed records that some gateway holds a server.
-func (f *storeWatcher) markClaimed(claim warmup.Claim) {
-	if c, known := f.cold[claim.Server]; known && c.Episode == claim.Episode {
+func (w *storeWatcher) markClaimed(claim warmup.Claim) {
+	if c, known := w.cold[claim.Server]; known && c.Episode == claim.Episode {
 		c.Claimed = true
-		f.cold[claim.Server] = c
-		f.serverChanges.add(f.changeRevision, claim.Server)
+		w.cold[claim.Server] = c
+		w.serverChanges.add(w.changeRevision, claim.Server)
 	}
 }
 
 // applyListedCold takes over the cold servers and evacuated halls of a list from the store.
 // A list gives the present state and no history, so the start of an episode was not
 // observed.
-func (f *storeWatcher) applyListedCold(now time.Time, s Snapshot) {
-	for id, c := range f.cold {
+func (w *storeWatcher) applyListedCold(now time.Time, s Snapshot) {
+	for id, c := range w.cold {
 		c.StartObserved = false
-		f.cold[id] = c
+		w.cold[id] = c
 	}
 	for _, server := range s.Servers {
 		id := server.ID
 		if cold := s.ColdFor[id]; cold > 0 {
-			c := f.cold[id]
+			c := w.cold[id]
 			if known := !c.until().IsZero(); !known || !now.Before(c.until()) {
 				c.IdleSince = now
 			}
 			reported := now.Add(cold)
-			if f.reconciling(now) {
+			if w.reconciling(now) {
 				reported = latest(reported, c.ReportedUntil) // it may have become cold again since the copy was made
 			}
 			c.ReportedUntil = reported
-			f.cold[id] = c
+			w.cold[id] = c
 		}
 	}
 	for hall, revision := range s.Evacuated {
-		if e, already := f.evacuations[hall]; !already || e.Revision != revision {
-			f.evacuate(now, HallEvacuated{Hall: hall, Revision: revision})
+		if e, already := w.evacuations[hall]; !already || e.Revision != revision {
+			w.evacuate(now, HallEvacuated{Hall: hall, Revision: revision})
 		}
 	}
-	for hall := range f.evacuations {
-		if _, still := s.Evacuated[hall]; !still && !f.reconciling(now) {
-			f.endEvacuation(now, hall)
+	for hall := range w.evacuations {
+		if _, still := s.Evacuated[hall]; !still && !w.reconciling(now) {
+			w.endEvacuation(now, hall)
 		}
 	}
 }
@@ -174,34 +174,34 @@
 // applyPeerCold takes over the cold servers and evacuated halls of another gateway's view.
 // It is of a later revision, so it replaces what was known, except for cold periods that
 // end later here.
-func (f *storeWatcher) applyPeerCold(now time.Time, p peerView) {
+func (w *storeWatcher) applyPeerCold(now time.Time, p peerView) {
 	listed := map[string]bool{}
 	for _, s := range p.snapshot.Servers {
 		listed[s.ID] = true
 	}
-	for id, c := range f.cold {
+	for id, c := range w.cold {
 		if _, cold := p.cold[id]; !cold && (listed[id] || !p.partial) {
 			c.StartObserved = false
-			f.cold[id] = c
+			w.cold[id] = c
 		}
 	}
 	for id, c := range p.cold {
-		c.AssumedUntil = latest(c.AssumedUntil, f.cold[id].AssumedUntil)
-		if f.reconciling(now) {
-			c.ReportedUntil = latest(c.ReportedUntil, f.cold[id].ReportedUntil)
+		c.AssumedUntil = latest(c.AssumedUntil, w.cold[id].AssumedUntil)
+		if w.reconciling(now) {
+			c.ReportedUntil = latest(c.ReportedUntil, w.cold[id].ReportedUntil)
 		}
-		f.cold[id] = c
+		w.cold[id] = c
 	}
-	for hall := range f.evacuations {
-		if _, still := p.evacuations[hall]; !still && !f.reconciling(now) {
-			f.endEvacuation(now, hall)
+	for hall := range w.evacuations {
+		if _, still := p.evacuations[hall]; !still && !w.reconciling(now) {
+			w.endEvacuation(now, hall)
 		}
 	}
 	for hall, e := range p.evacuations {
-		if old, already := f.evacuations[hall]; already && old.Since.Before(e.Since) {
+		if old, already := w.evacuations[hall]; already && old.Since.Before(e.Since) {
 			e.Since = old.Since
 		}
-		f.evacuations[hall] = e
+		w.evacuations[hall] = e
 	}
 }
 
--- a/gateway/peer_view.go
+++ b/gateway/peer_view.go
@@ -29,83 +29,83 @@
 }
 
 // applyPeerView applies a peer's view if it is newer than this gateway's own.
-func (f *storeWatcher) applyPeerView(now time.Time, p peerView) {
-	f.applyTime = now
-	f.gateway.applyPeerLeaving(now, p.from, p.leaving)
-	v := f.gateway.view.Load()
+func (w *storeWatcher) applyPeerView(now time.Time, p peerView) {
+	w.applyTime = now
+	w.gateway.applyPeerLeaving(now, p.from, p.leaving)
+	v := w.gateway.view.Load()
 	if p.snapshot.Revision <= v.Revision {
-		f.applyPeerConfiguration(v, p)
+		w.applyPeerConfiguration(v, p)
 		return
 	}
-	f.gateway.log.Info().Str("event", "view.handed_over").Str("peer", p.from).
+	w.gateway.log.Info().Str("event", "view.handed_over").Str("peer", p.from).
 		EmbedObject(revisionFields(p.snapshot.Revision)).Stringer("before", v.Revision).Bool("partial", p.partial).Msg("applying a peer's newer view")
 	if p.snapshot.Revision.Era() > v.Revision.Era() {
-		f.enterEra(p.snapshot.Revision, p.reconcileUntil)
+		w.enterEra(p.snapshot.Revision, p.reconcileUntil)
 	}
-	f.changeRevision = p.snapshot.Revision
-	f.applyPeerCold(now, p)
-	f.applyPeerRollouts(now, p.rollouts)
+	w.changeRevision = p.snapshot.Revision
+	w.applyPeerCold(now, p)
+	w.applyPeerRollouts(now, p.rollouts)
 	if p.partial {
-		f.applyPartialView(p)
+		w.applyPartialView(p)
 	} else {
-		f.applyFullView(p)
+		w.applyFullView(p)
 	}
-	f.gateway.confirm(p.confirmed)
+	w.gateway.confirm(p.confirmed)
 }
 
 // applyPeerConfiguration applies a newer configuration of a peer whose view is not newer. After
 // a restore of the store, this gateway may have started with an older configuration.
-func (f *storeWatcher) applyPeerConfiguration(v *View, p peerView) {
+func (w *storeWatcher) applyPeerConfiguration(v *View, p peerView) {
 	c := p.snapshot.Configuration
 	if c == nil || v.Configuration == nil || c.Version <= v.Configuration.Version {
 		return
 	}
-	f.gateway.log.Info().Str("event", "configuration.handed_over").Str("peer", p.from).Uint64("version", c.Version).Msg("applying a peer's newer configuration")
-	f.publish(c, p.snapshot.RawConfiguration, v.Revision)
+	w.gateway.log.Info().Str("event", "configuration.handed_over").Str("peer", p.from).Uint64("version", c.Version).Msg("applying a peer's newer configuration")
+	w.publish(c, p.snapshot.RawConfiguration, v.Revision)
 }
 
 // applyFullView replaces the state by a peer's whole view.
-func (f *storeWatcher) applyFullView(p peerView) {
-	f.serverChanges.reset(p.snapshot.Revision)
-	f.suspectChanges.reset(p.snapshot.Revision)
+func (w *storeWatcher) applyFullView(p peerView) {
+	w.serverChanges.reset(p.snapshot.Revision)
+	w.suspectChanges.reset(p.snapshot.Revision)
 	if !p.hasSuspects {
-		p.snapshot.Suspects = f.suspects
+		p.snapshot.Suspects = w.suspects
 	}
-	if !f.reconciling(f.applyTime) {
-		clear(f.missingUntil)
+	if !w.reconciling(w.applyTime) {
+		clear(w.missingUntil)
 	}
 	for id, until := range p.snapshot.MissingUntil {
-		f.missingUntil[id] = until
+		w.missingUntil[id] = until
 	}
 	for _, s := range p.unverified {
-		if f.reconciling(f.applyTime) {
-			f.withhold(s)
+		if w.reconciling(w.applyTime) {
+			w.withhold(s)
 		}
 	}
-	f.applySnapshot(p.snapshot, f.dropServer)
+	w.applySnapshot(p.snapshot, w.dropServer)
 }
 
 // applyPartialView applies what has changed at a peer. Expiry times are taken only for servers
 // known here: the peer may have dropped the others since.
-func (f *storeWatcher) applyPartialView(p peerView) {
+func (w *storeWatcher) applyPartialView(p peerView) {
 	for _, server := range p.snapshot.Servers {
-		delete(f.unverified, server.Name())
-		f.upsertServer(server)
+		delete(w.unverified, server.Name())
+		w.upsertServer(server)
 	}
 	for _, id := range p.removedServers {
-		delete(f.unverified, catalog.ServerName(id))
-		f.dropServer(id)
+		delete(w.unverified, catalog.ServerName(id))
+		w.dropServer(id)
 	}
 	for id, until := range p.snapshot.MissingUntil {
-		if _, known := f.servers[id]; known {
-			f.missingUntil[id] = until
+		if _, known := w.servers[id]; known {
+			w.missingUntil[id] = until
 		}
 	}
 	for key, kept := range p.snapshot.Suspects {
-		f.setSuspect(key, kept)
+		w.setSuspect(key, kept)
 	}
 	for _, key := range p.removedSuspects {
-		f.removeSuspect(key)
+		w.removeSuspect(key)
 	}
-	f.publish(p.snapshot.Configuration, p.snapshot.RawConfiguration, p.snapshot.Revision)
+	w.publish(p.snapshot.Configuration, p.snapshot.RawConfiguration, p.snapshot.Revision)
 }
--- a/gateway/reconcile.go
+++ b/gateway/reconcile.go
@@ -56,47 +56,47 @@
 }
 
 // addServer records that a server was removed.
-func (m *tombstones) addServer(now time.Time, s catalog.Server) {
-	if len(m.servers) < maxTombstones {
-		m.servers[s.Name()] = serverTombstone{removedAt: now, id: s.ID, leaving: s.Leaving}
+func (t *tombstones) addServer(now time.Time, s catalog.Server) {
+	if len(t.servers) < maxTombstones {
+		t.servers[s.Name()] = serverTombstone{removedAt: now, id: s.ID, leaving: s.Leaving}
 	}
 }
 
 // addSuspect records that a suspect was removed.
-func (m *tombstones) addSuspect(now time.Time, k quarantine.Key) {
-	if len(m.suspects) < maxTombstones {
-		m.suspects[k] = now
+func (t *tombstones) addSuspect(now time.Time, k quarantine.Key) {
+	if len(t.suspects) < maxTombstones {
+		t.suspects[k] = now
 	}
 }
 
 // expire drops tombstones older than tombstoneTTL.
-func (m *tombstones) expire(now time.Time) {
-	for name, e := range m.servers {
+func (t *tombstones) expire(now time.Time) {
+	for name, e := range t.servers {
 		if now.Sub(e.removedAt) > tombstoneTTL {
-			delete(m.servers, name)
+			delete(t.servers, name)
 		}
 	}
-	for k, at := range m.suspects {
+	for k, at := range t.suspects {
 		if now.Sub(at) > tombstoneTTL {
-			delete(m.suspects, k)
+			delete(t.suspects, k)
 		}
 	}
 }
 
 // reconciling reports whether the store was restored and may still lack earlier writes.
-func (f *storeWatcher) reconciling(now time.Time) bool { return now.Before(f.reconcileUntil) }
+func (w *storeWatcher) reconciling(now time.Time) bool { return now.Before(w.reconcileUntil) }
 
 // enterEra starts the reconciliation with a restored store, whose views may lack earlier writes
 // until the given time.
-func (f *storeWatcher) enterEra(revision catalog.Revision, settled time.Time) {
-	before := f.gateway.view.Load()
-	f.reconcileUntil = settled
+func (w *storeWatcher) enterEra(revision catalog.Revision, settled time.Time) {
+	before := w.gateway.view.Load()
+	w.reconcileUntil = settled
 	if before.Configuration == nil {
 		return // there is nothing to reconcile
 	}
-	f.gateway.log.Warn().Str("event", "store.returned").EmbedObject(revisionFields(revision)).Stringer("before", before.Revision).
-		Int("servers", len(f.servers)).Int("gone", len(f.tombstones.servers)).
-		Int("halls", len(f.evacuations)).Int("suspects", len(f.suspects)).
+	w.gateway.log.Warn().Str("event", "store.returned").EmbedObject(revisionFields(revision)).Stringer("before", before.Revision).
+		Int("servers", len(w.servers)).Int("gone", len(w.tombstones.servers)).
+		Int("halls", len(w.evacuations)).Int("suspects", len(w.suspects)).
 		Msg("store was restored from a copy; what the copy lacks is kept for a grace period")
 }
 
@@ -104,91 +104,91 @@
 // before, or another lifetime of it is known, and reports whether it did. Which of the two is
 // the later one is unknown until the server writes its entry again, so neither gets work: the
 // copy may lack a restart that the gateways know of, or this gateway may have missed one.
-func (f *storeWatcher) withholdUnverified(s catalog.Server) bool {
-	before, gone := f.tombstones.servers[s.Name()]
-	current, known := f.currentIDs[s.Name()]
-	_, held := f.unverified[s.Name()]
-	if !f.reconciling(f.applyTime) || !gone && !held && (!known || current == s.ID) {
+func (w *storeWatcher) withholdUnverified(s catalog.Server) bool {
+	before, gone := w.tombstones.servers[s.Name()]
+	current, known := w.currentIDs[s.Name()]
+	_, held := w.unverified[s.Name()]
+	if !w.reconciling(w.applyTime) || !gone && !held && (!known || current == s.ID) {
 		return false
 	}
 	s.Leaving = s.Leaving || before.leaving && before.id == s.ID
-	f.withhold(s)
+	w.withhold(s)
 	return true
 }
 
 // withhold excludes from the view a server that a restored store lists, and its known lifetime.
-func (f *storeWatcher) withhold(s catalog.Server) {
-	current, known := f.currentIDs[s.Name()]
-	f.gateway.log.Info().Str("event", "server.revived").Str("server", s.ID).Str("known", current).Msg("restored entry contradicts what is known; no work until the server writes its entry again")
-	f.unverified[s.Name()] = s
-	c, cold := f.cold[s.ID]
+func (w *storeWatcher) withhold(s catalog.Server) {
+	current, known := w.currentIDs[s.Name()]
+	w.gateway.log.Info().Str("event", "server.revived").Str("server", s.ID).Str("known", current).Msg("restored entry contradicts what is known; no work until the server writes its entry again")
+	w.unverified[s.Name()] = s
+	c, cold := w.cold[s.ID]
 	if known {
-		f.dropServer(current)
+		w.dropServer(current)
 	}
 	if cold {
-		f.cold[s.ID] = c // still holds if the server turns out to be live
+		w.cold[s.ID] = c // still holds if the server turns out to be live
 	}
 }
 
 // isLeaving reports whether a server of a whole view is leaving. One that was leaving before
 // the restore still is, even if the copy does not say so.
-func (f *storeWatcher) isLeaving(s catalog.Server) bool {
-	return s.Leaving || f.reconciling(f.applyTime) && f.servers[s.ID].Leaving
+func (w *storeWatcher) isLeaving(s catalog.Server) bool {
+	return s.Leaving || w.reconciling(w.applyTime) && w.servers[s.ID].Leaving
 }
 
 // handleAbsent handles a server that a whole view lacks. During reconciliation it is kept until
 // the period is over.
-func (f *storeWatcher) handleAbsent(id string, drop func(id string)) {
-	if !f.reconciling(f.applyTime) {
+func (w *storeWatcher) handleAbsent(id string, drop func(id string)) {
+	if !w.reconciling(w.applyTime) {
 		drop(id)
 		return
 	}
-	until, already := f.missingUntil[id]
-	f.missingUntil[id] = latest(until, f.reconcileUntil)
+	until, already := w.missingUntil[id]
+	w.missingUntil[id] = latest(until, w.reconcileUntil)
 	if !already {
-		f.gateway.log.Info().Str("event", "server.missing").Str("server", id).Msg("not in the restored store; server is kept for a grace period")
+		w.gateway.log.Info().Str("event", "server.missing").Str("server", id).Msg("not in the restored store; server is kept for a grace period")
 	}
 }
 
 // finishReconciliation ends the reconciliation when its time is over. It reports whether the
 // view may have changed.
-func (f *storeWatcher) finishReconciliation(now time.Time) bool {
-	if f.reconcileUntil.IsZero() || f.reconciling(now) {
+func (w *storeWatcher) finishReconciliation(now time.Time) bool {
+	if w.reconcileUntil.IsZero() || w.reconciling(now) {
 		return false
 	}
-	f.reconcileUntil = time.Time{}
-	for _, s := range f.unverified {
-		if _, another := f.currentIDs[s.Name()]; !another {
-			f.upsertServer(s)
+	w.reconcileUntil = time.Time{}
+	for _, s := range w.unverified {
+		if _, another := w.currentIDs[s.Name()]; !another {
+			w.upsertServer(s)
 		}
 	}
-	clear(f.unverified)
-	for id := range f.cold {
-		if _, known := f.servers[id]; !known {
-			delete(f.cold, id)
+	clear(w.unverified)
+	for id := range w.cold {
+		if _, known := w.servers[id]; !known {
+			delete(w.cold, id)
 		}
 	}
-	f.gateway.log.Info().Str("event", "store.settled").EmbedObject(revisionFields(f.gateway.view.Load().Revision)).Msg("reconciliation with the restored store is complete")
+	w.gateway.log.Info().Str("event", "store.settled").EmbedObject(revisionFields(w.gateway.view.Load().Revision)).Msg("reconciliation with the restored store is complete")
 	return true
 }
 
 // revertLostOrders reverts evacuations and roll-out orders that nobody has written again since the
 // store was restored, including those handed over later by a peer that was still reconciling. It
 // reports whether there were any.
-func (f *storeWatcher) revertLostOrders(now time.Time) (found bool) {
-	if f.reconciling(now) {
+func (w *storeWatcher) revertLostOrders(now time.Time) (found bool) {
+	if w.reconciling(now) {
 		return false
 	}
-	era := f.gateway.view.Load().Revision.Era()
-	for hall, e := range f.evacuations {
+	era := w.gateway.view.Load().Revision.Era()
+	for hall, e := range w.evacuations {
 		if e.Revision.Era() != era {
-			f.endEvacuation(now, hall)
+			w.endEvacuation(now, hall)
 			found = true
 		}
 	}
-	for service, o := range f.rollouts {
+	for service, o := range w.rollouts {
 		if o.Order != (rollout.Order{}) && o.Order.Revision.Era() != era {
-			f.withdrawOrder(service)
+			w.withdrawOrder(service)
 			found = true
 		}
 	}
@@ -197,25 +197,25 @@
 
 // mergeSuspects merges the suspects of a restored store's view with the known ones, and schedules
 // a rewrite of those that the store lacks or should no longer have.
-func (f *storeWatcher) mergeSuspects(stored map[quarantine.Key]quarantine.StoredRecord) map[quarantine.Key]quarantine.StoredRecord {
+func (w *storeWatcher) mergeSuspects(stored map[quarantine.Key]quarantine.StoredRecord) map[quarantine.Key]quarantine.StoredRecord {
 	merged := make(map[quarantine.Key]quarantine.StoredRecord, len(stored))
 	var changed []quarantine.Key
 	for k, record := range stored {
-		if _, removed := f.tombstones.suspects[k]; removed {
+		if _, removed := w.tombstones.suspects[k]; removed {
 			changed = append(changed, k)
 			continue
 		}
-		merged[k] = record.Merge(f.suspects[k])
+		merged[k] = record.Merge(w.suspects[k])
 		if !merged[k].Equal(record) {
 			changed = append(changed, k)
 		}
 	}
-	for k, known := range f.suspects {
+	for k, known := range w.suspects {
 		if _, found := stored[k]; !found {
 			merged[k] = known
 			changed = append(changed, k)
 		}
 	}
-	f.gateway.suspects.scheduleRewrites(f.applyTime, changed, f.gateway.watchesStore.Load())
+	w.gateway.suspects.scheduleRewrites(w.applyTime, changed, w.gateway.watchesStore.Load())
 	return merged
 }
--- a/gateway/rollout_view.go
+++ b/gateway/rollout_view.go
@@ -18,82 +18,82 @@
 }
 
 // applyOrder takes over an order of the operators.
-func (f *storeWatcher) applyOrder(now time.Time, o rollout.Order) {
-	known := f.rollouts[o.Service]
+func (w *storeWatcher) applyOrder(now time.Time, o rollout.Order) {
+	known := w.rollouts[o.Service]
 	if known.Order == o {
 		return
 	}
 	known.Order, known.Since = o, now
-	f.setRollout(o.Service, known)
-	f.gateway.log.Info().Str("event", "rollout.ordered").Str("service", o.Service).Str("target", o.Target).
+	w.setRollout(o.Service, known)
+	w.gateway.log.Info().Str("event", "rollout.ordered").Str("service", o.Service).Str("target", o.Target).
 		Dur("within", o.Duration).EmbedObject(revisionFields(o.Revision)).Msg("new version gets a small share of requests first")
 }
 
 // withdrawOrder removes an order that the operators have withdrawn. Its status stays in
 // force: a version that was rolled back gets no requests.
-func (f *storeWatcher) withdrawOrder(service string) {
-	known := f.rollouts[service]
+func (w *storeWatcher) withdrawOrder(service string) {
+	known := w.rollouts[service]
 	if known.Order == (rollout.Order{}) {
 		return
 	}
 	known.Order = rollout.Order{}
-	f.setRollout(service, known)
-	f.gateway.log.Info().Str("event", "rollout.withdrawn").Str("service", service).Msg("rollout order withdrawn")
+	w.setRollout(service, known)
+	w.gateway.log.Info().Str("event", "rollout.withdrawn").Str("service", service).Msg("rollout order withdrawn")
 }
 
 // applyRolloutStatus takes over the stored status of a service's rollout.
-func (f *storeWatcher) applyRolloutStatus(service string, s rollout.Status) {
-	known := f.rollouts[service]
+func (w *storeWatcher) applyRolloutStatus(service string, s rollout.Status) {
+	known := w.rollouts[service]
 	if s != (rollout.Status{}) && s.Revision < known.Status.Revision {
 		return
 	}
 	known.Status = s
-	f.setRollout(service, known)
+	w.setRollout(service, known)
 }
 
 // setRollout replaces a rollout. Views share the map, so it is copied.
-func (f *storeWatcher) setRollout(service string, o rolloutRecord) {
-	changed := make(map[string]rolloutRecord, len(f.rollouts)+1)
-	maps.Copy(changed, f.rollouts)
+func (w *storeWatcher) setRollout(service string, o rolloutRecord) {
+	changed := make(map[string]rolloutRecord, len(w.rollouts)+1)
+	maps.Copy(changed, w.rollouts)
 	changed[service] = o
 	if o.Order == (rollout.Order{}) && o.Status == (rollout.Status{}) {
 		delete(changed, service)
 	}
-	f.rollouts = changed
+	w.rollouts = changed
 }
 
 // applyListedRollouts takes over the rollouts of a list from the store. While the store may
 // lack recent writes, rollouts that the list does not name are kept.
-func (f *storeWatcher) applyListedRollouts(now time.Time, s Snapshot) {
+func (w *storeWatcher) applyListedRollouts(now time.Time, s Snapshot) {
 	for service, o := range s.RolloutOrders {
-		if known := f.rollouts[service]; known.Order.Target == o.Target && known.Order.Duration == o.Duration && f.reconciling(now) {
+		if known := w.rollouts[service]; known.Order.Target == o.Target && known.Order.Duration == o.Duration && w.reconciling(now) {
 			known.Order = o // the same order under the revision of the restored copy; its age stays
-			f.setRollout(service, known)
+			w.setRollout(service, known)
 			continue
 		}
-		f.applyOrder(now, o)
+		w.applyOrder(now, o)
 	}
-	for service := range f.rollouts {
-		if _, still := s.RolloutOrders[service]; !still && !f.reconciling(now) {
-			f.withdrawOrder(service)
+	for service := range w.rollouts {
+		if _, still := s.RolloutOrders[service]; !still && !w.reconciling(now) {
+			w.withdrawOrder(service)
 		}
 	}
 	for service, status := range s.RolloutStatuses {
-		f.applyRolloutStatus(service, status)
+		w.applyRolloutStatus(service, status)
 	}
 }
 
 // applyPeerRollouts takes over the rollouts of a gateway whose view is newer.
-func (f *storeWatcher) applyPeerRollouts(now time.Time, received map[string]rolloutRecord) {
+func (w *storeWatcher) applyPeerRollouts(now time.Time, received map[string]rolloutRecord) {
 	for service, o := range received {
-		if known := f.rollouts[service]; known.Order == o.Order && known.Since.Before(o.Since) {
+		if known := w.rollouts[service]; known.Order == o.Order && known.Since.Before(o.Since) {
 			o.Since = known.Since
 		}
-		f.setRollout(service, o)
+		w.setRollout(service, o)
 	}
-	for service := range f.rollouts {
-		if _, still := received[service]; !still && !f.reconciling(now) {
-			f.setRollout(service, rolloutRecord{})
+	for service := range w.rollouts {
+		if _, still := received[service]; !still && !w.reconciling(now) {
+			w.setRollout(service, rolloutRecord{})
 		}
 	}
 }
--- a/gateway/share/share_test.go
+++ b/gateway/share/share_test.go
@@ -58,26 +58,26 @@
 }
 
 func TestStatus(t *testing.T) {
-	b := share.NewTracker(4 * time.Second)
+	tr := share.NewTracker(4 * time.Second)
 	record := func(now time.Time, account string, tokens float64, admit bool) {
-		b.RecordAsked(now, account, tokens)
+		tr.RecordAsked(now, account, tokens)
 		if admit {
-			b.RecordAdmitted(now, account, tokens)
+			tr.RecordAdmitted(now, account, tokens)
 		}
 	}
 	record(start, "large", 9000, true)
 	record(start, "large", 9000, false)
 	record(start, "small", 500, true)
-	b.Recompute(start, 1000) // 4,000 tokens per window
-	require.True(t, b.Status("large").OverShare)
-	require.GreaterOrEqual(t, b.Status("large").ShareRatio, 1.0)
-	require.False(t, b.Status("small").OverShare)
-	require.Less(t, b.Status("small").ShareRatio, 1.0)
-	require.False(t, b.Status("unknown").OverShare)
+	tr.Recompute(start, 1000) // 4,000 tokens per window
+	require.True(t, tr.Status("large").OverShare)
+	require.GreaterOrEqual(t, tr.Status("large").ShareRatio, 1.0)
+	require.False(t, tr.Status("small").OverShare)
+	require.Less(t, tr.Status("small").ShareRatio, 1.0)
+	require.False(t, tr.Status("unknown").OverShare)
 
 	later := start.Add(5 * time.Second)
-	b.Recompute(later, 1000)
-	require.False(t, b.Status("large").OverShare, "outside the window")
+	tr.Recompute(later, 1000)
+	require.False(t, tr.Status("large").OverShare, "outside the window")
 }
 
 // TestCapped: the tokens that an account gets beyond its share are bounded by those of the
@@ -105,61 +105,61 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := share.NewTracker(4 * time.Second)
-			b.SetRemoteDemands("10.0.0.2", test.demands)
-			b.Recompute(start, rate)
-			require.Equal(t, test.capped, b.Status("a").Capped)
+			tr := share.NewTracker(4 * time.Second)
+			tr.SetRemoteDemands("10.0.0.2", test.demands)
+			tr.Recompute(start, rate)
+			require.Equal(t, test.capped, tr.Status("a").Capped)
 		})
 	}
 }
 
 func TestRemoteDemands(t *testing.T) {
-	b := share.NewTracker(4 * time.Second)
-	b.RecordAsked(start, "a", 100)
-	b.RecordAdmitted(start, "a", 100)
-	b.SetRemoteDemands("10.0.0.2", []share.Demand{{Account: "a", Asked: 5000, Admitted: 4000}, {Account: "b", Asked: 3000, Admitted: 1000}})
-	b.Recompute(start, 1000)
-	require.True(t, b.Status("a").OverShare)
-	require.False(t, b.Status("b").OverShare)
-	b.SetRemoteDemands("10.0.0.2", nil)
-	b.Recompute(start, 1000)
-	require.False(t, b.Status("a").OverShare, "the other gateway has gone")
+	tr := share.NewTracker(4 * time.Second)
+	tr.RecordAsked(start, "a", 100)
+	tr.RecordAdmitted(start, "a", 100)
+	tr.SetRemoteDemands("10.0.0.2", []share.Demand{{Account: "a", Asked: 5000, Admitted: 4000}, {Account: "b", Asked: 3000, Admitted: 1000}})
+	tr.Recompute(start, 1000)
+	require.True(t, tr.Status("a").OverShare)
+	require.False(t, tr.Status("b").OverShare)
+	tr.SetRemoteDemands("10.0.0.2", nil)
+	tr.Recompute(start, 1000)
+	require.False(t, tr.Status("a").OverShare, "the other gateway has gone")
 }
 
 func TestUnknownRate(t *testing.T) {
-	b := share.NewTracker(4 * time.Second)
-	b.RecordAsked(start, "a", 1e9)
-	b.RecordAdmitted(start, "a", 1e9)
-	b.Recompute(start, 0)
-	require.False(t, b.Status("a").OverShare)
+	tr := share.NewTracker(4 * time.Second)
+	tr.RecordAsked(start, "a", 1e9)
+	tr.RecordAdmitted(start, "a", 1e9)
+	tr.Recompute(start, 0)
+	require.False(t, tr.Status("a").OverShare)
 }
 
 func TestLocalDemandsExpire(t *testing.T) {
-	b := share.NewTracker(4 * time.Second)
-	b.RecordAsked(start, "a", 10)
-	require.Len(t, b.LocalDemands(start), 1)
-	require.Empty(t, b.LocalDemands(start.Add(time.Minute)))
+	tr := share.NewTracker(4 * time.Second)
+	tr.RecordAsked(start, "a", 10)
+	require.Len(t, tr.LocalDemands(start), 1)
+	require.Empty(t, tr.LocalDemands(start.Add(time.Minute)))
 }
 
 // TestRevertAdmitted: tokens of a request that did not run are subtracted in the bucket in
 // which they were counted.
 func TestRevertAdmitted(t *testing.T) {
 	now := time.Now()
-	b := share.NewTracker(4 * time.Second)
-	b.RecordAsked(now, "a", 100)
-	b.RecordAdmitted(now, "a", 60)
-	b.RecordAdmitted(now.Add(time.Second), "a", 40)
+	tr := share.NewTracker(4 * time.Second)
+	tr.RecordAsked(now, "a", 100)
+	tr.RecordAdmitted(now, "a", 60)
+	tr.RecordAdmitted(now.Add(time.Second), "a", 40)
 	admitted := func(after time.Duration) float64 {
-		list := b.LocalDemands(now.Add(after))
+		list := tr.LocalDemands(now.Add(after))
 		if len(list) == 0 {
 			return 0
 		}
 		return list[0].Admitted
 	}
 	require.EqualValues(t, 100, admitted(time.Second))
-	b.RevertAdmitted(now.Add(1500*time.Millisecond), now, "a", 60)
+	tr.RevertAdmitted(now.Add(1500*time.Millisecond), now, "a", 60)
 	require.EqualValues(t, 40, admitted(1500*time.Millisecond))
 	require.EqualValues(t, 40, admitted(4500*time.Millisecond))
-	b.RevertAdmitted(now.Add(6*time.Second), now.Add(time.Second), "a", 40)
+	tr.RevertAdmitted(now.Add(6*time.Second), now.Add(time.Second), "a", 40)
 	require.Zero(t, admitted(6*time.Second), "what has left the window is not reverted again")
 }
--- a/gateway/suspects_store.go
+++ b/gateway/suspects_store.go
@@ -95,24 +95,24 @@
 }
 
 // setSuspect applies a suspect's stored state.
-func (f *storeWatcher) setSuspect(key quarantine.Key, stored quarantine.StoredRecord) {
-	delete(f.tombstones.suspects, key)
-	f.gateway.suspects.cancelRewriteIfStored(key, stored)
-	f.suspectChanges.add(f.changeRevision, key.String())
-	changed := make(map[quarantine.Key]quarantine.StoredRecord, len(f.suspects)+1)
-	maps.Copy(changed, f.suspects)
+func (w *storeWatcher) setSuspect(key quarantine.Key, stored quarantine.StoredRecord) {
+	delete(w.tombstones.suspects, key)
+	w.gateway.suspects.cancelRewriteIfStored(key, stored)
+	w.suspectChanges.add(w.changeRevision, key.String())
+	changed := make(map[quarantine.Key]quarantine.StoredRecord, len(w.suspects)+1)
+	maps.Copy(changed, w.suspects)
 	changed[key] = stored
-	f.suspects, f.suspectsChanged = changed, true
+	w.suspects, w.suspectsChanged = changed, true
 }
 
 // removeSuspect applies the removal of a suspect from the store.
-func (f *storeWatcher) removeSuspect(key quarantine.Key) {
-	f.tombstones.addSuspect(f.applyTime, key)
-	f.gateway.suspects.cancelRewriteIfStored(key, quarantine.StoredRecord{})
-	f.suspectChanges.add(f.changeRevision, key.String())
-	changed := maps.Clone(f.suspects)
+func (w *storeWatcher) removeSuspect(key quarantine.Key) {
+	w.tombstones.addSuspect(w.applyTime, key)
+	w.gateway.suspects.cancelRewriteIfStored(key, quarantine.StoredRecord{})
+	w.suspectChanges.add(w.changeRevision, key.String())
+	changed := maps.Clone(w.suspects)
 	delete(changed, key)
-	f.suspects, f.suspectsChanged = changed, true
+	w.suspects, w.suspectsChanged = changed, true
 }
 
 func (s *suspectTracker) wakeWriter() {
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -123,11 +123,11 @@
 
 // run follows the source until ctx is done. Calls run in their own goroutines, so that
 // peer views are applied and grace periods end while a call waits.
-func (f *storeWatcher) run(ctx context.Context) {
+func (w *storeWatcher) run(ctx context.Context) {
 	results := make(chan sourceResult, 1)
 	call := func(listed bool) {
-		revision := f.gateway.view.Load().Revision
-		go func() { results <- f.query(ctx, listed, revision) }()
+		revision := w.gateway.view.Load().Revision
+		go func() { results <- w.query(ctx, listed, revision) }()
 	}
 	ticker := time.NewTicker(sourceRetryInterval)
 	defer ticker.Stop()
@@ -138,12 +138,12 @@
 	callTimer.Reset(electionDelay)
 	called := false
 	startCall := func(now time.Time) {
-		if next == nil || !f.shouldQuery(now) {
+		if next == nil || !w.shouldQuery(now) {
 			return
 		}
 		list := *next
 		next, called = nil, true
-		f.lastQuery = now
+		w.lastQuery = now
 		call(list)
 	}
 	for {
@@ -154,23 +154,23 @@
 			}
 			return
 		case r := <-results:
-			list, wait := f.applyResult(time.Now(), r)
+			list, wait := w.applyResult(time.Now(), r)
 			next = &list
 			if !wait {
 				callTimer.Reset(changeBatchDelay)
 			}
-		case p := <-f.peerViews:
-			f.applyPeerView(time.Now(), p)
+		case p := <-w.peerViews:
+			w.applyPeerView(time.Now(), p)
 			if !called {
 				list = false // a watch can continue from the peer's view
 			}
-		case <-f.leavingSignal:
-			f.republish()
+		case <-w.leavingSignal:
+			w.republish()
 		case now := <-callTimer.C:
 			startCall(now)
 		case now := <-ticker.C:
-			f.expireMissing(now)
-			f.gateway.suspects.queueDueRewrites(now)
+			w.expireMissing(now)
+			w.gateway.suspects.queueDueRewrites(now)
 			startCall(now)
 		}
 	}
@@ -178,11 +178,11 @@
 
 // shouldQuery reports whether this gateway has to query the store: it watches for its
 // hall, or no gateway that does has been heard.
-func (f *storeWatcher) shouldQuery(now time.Time) bool {
-	g := f.gateway
+func (w *storeWatcher) shouldQuery(now time.Time) bool {
+	g := w.gateway
 	age := now.Sub(g.started)
 	switch {
-	case age < electionDelay, f.unreachable && now.Sub(f.lastQuery) < f.retryInterval():
+	case age < electionDelay, w.unreachable && now.Sub(w.lastQuery) < w.retryInterval():
 		return false
 	case g.watchesStore.Load() || now.Sub(g.confirmedAt()) > confirmationTimeout:
 		return true
@@ -194,221 +194,221 @@
 }
 
 // retryInterval returns the time between calls while the store is unreachable.
-func (f *storeWatcher) retryInterval() time.Duration {
-	unreachable := time.Duration(f.gateway.hallPeersWithoutStore.Load()) + 1
+func (w *storeWatcher) retryInterval() time.Duration {
+	unreachable := time.Duration(w.gateway.hallPeersWithoutStore.Load()) + 1
 	return min(max(unreachable/2, 1)*sourceRetryInterval, maxSourceRetryInterval)
 }
 
-func (f *storeWatcher) query(ctx context.Context, listed bool, revision catalog.Revision) sourceResult {
+func (w *storeWatcher) query(ctx context.Context, listed bool, revision catalog.Revision) sourceResult {
 	if listed {
 		ctx, cancel := context.WithTimeout(ctx, listTimeout)
 		defer cancel()
-		s, err := f.gateway.options.Source.List(ctx)
+		s, err := w.gateway.options.Source.List(ctx)
 		return sourceResult{listed: true, snapshot: s, err: err}
 	}
 	ctx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
 	defer cancel()
-	changes, now, err := f.gateway.options.Source.Watch(ctx, revision, watchWait)
+	changes, now, err := w.gateway.options.Source.Watch(ctx, revision, watchWait)
 	return sourceResult{since: revision, changes: changes, revision: now, err: err}
 }
 
 // applyResult applies the result of a call. It returns whether to list next, and whether
 // to wait before that.
-func (f *storeWatcher) applyResult(now time.Time, r sourceResult) (list, wait bool) {
-	f.applyTime = now
-	known := f.gateway.view.Load().Revision
+func (w *storeWatcher) applyResult(now time.Time, r sourceResult) (list, wait bool) {
+	w.applyTime = now
+	known := w.gateway.view.Load().Revision
 	switch {
 	case errors.Is(r.err, ErrHistoryGone):
-		f.gateway.log.Warn().Str("event", "store.history_gone").EmbedObject(revisionFields(known)).Err(r.err).Msg("change history is gone; listing again")
+		w.gateway.log.Warn().Str("event", "store.history_gone").EmbedObject(revisionFields(known)).Err(r.err).Msg("change history is gone; listing again")
 		return true, r.listed // the list was late, or ran while the store was being restored
 	case r.err != nil:
-		f.recordFailure(now, r.err)
+		w.recordFailure(now, r.err)
 		return true, true // the store may have dropped the watch; a list returns the current state
 	}
-	f.recordSuccess(now)
+	w.recordSuccess(now)
 	if r.listed {
-		return f.applyList(now, known, r.snapshot)
+		return w.applyList(now, known, r.snapshot)
 	}
 	if r.since.Era() == known.Era() {
-		f.gateway.confirm(now)
+		w.gateway.confirm(now)
 	}
 	// A peer may have handed over a newer view while the call was in flight.
 	if r.since != known {
 		return false, false // its changes are already known: continue the watch from the newer revision
 	}
-	f.applyChanges(now, r.changes, r.revision)
+	w.applyChanges(now, r.changes, r.revision)
 	return false, false
 }
 
 // applyList applies a list, unless the view is newer.
-func (f *storeWatcher) applyList(now time.Time, known catalog.Revision, s Snapshot) (list, wait bool) {
+func (w *storeWatcher) applyList(now time.Time, known catalog.Revision, s Snapshot) (list, wait bool) {
 	if s.Revision.Era() == known.Era() {
-		f.gateway.confirm(now)
+		w.gateway.confirm(now)
 	}
 	if s.Revision < known {
-		f.gateway.log.Warn().Str("event", "store.list_set_aside").EmbedObject(revisionFields(s.Revision)).Stringer("known", known).Msg("list is older than the current view; listing again")
+		w.gateway.log.Warn().Str("event", "store.list_set_aside").EmbedObject(revisionFields(s.Revision)).Stringer("known", known).Msg("list is older than the current view; listing again")
 		return true, true
 	}
 	if s.Revision.Era() > known.Era() {
-		f.enterEra(s.Revision, now.Add(reconcilePeriod))
-		f.gateway.confirm(now)
+		w.enterEra(s.Revision, now.Add(reconcilePeriod))
+		w.gateway.confirm(now)
 	}
-	f.changeRevision = s.Revision
-	f.applyListedCold(now, s)
-	f.applyListedRollouts(now, s)
-	f.serverChanges.reset(s.Revision) // changes in between are unknown
-	f.suspectChanges.reset(s.Revision)
-	f.applySnapshot(s, func(id string) { f.removeServer(now, id) })
+	w.changeRevision = s.Revision
+	w.applyListedCold(now, s)
+	w.applyListedRollouts(now, s)
+	w.serverChanges.reset(s.Revision) // changes in between are unknown
+	w.suspectChanges.reset(s.Revision)
+	w.applySnapshot(s, func(id string) { w.removeServer(now, id) })
 	return s.Configuration == nil, s.Configuration == nil
 }
 
-func (f *storeWatcher) recordFailure(now time.Time, err error) {
-	f.lastFailure = now
-	if f.reconciling(now) {
-		f.reconcileUntil = now.Add(reconcilePeriod) // servers and operators cannot write meanwhile
+func (w *storeWatcher) recordFailure(now time.Time, err error) {
+	w.lastFailure = now
+	if w.reconciling(now) {
+		w.reconcileUntil = now.Add(reconcilePeriod) // servers and operators cannot write meanwhile
 	}
-	for id := range f.missingUntil {
-		f.missingUntil[id] = now.Add(reregistrationGrace)
+	for id := range w.missingUntil {
+		w.missingUntil[id] = now.Add(reregistrationGrace)
 	}
-	if !f.unreachable {
-		f.unreachable = true
-		f.gateway.storeUnreachable.Store(true)
-		f.gateway.peers.SendSoon()
-		f.gateway.log.Warn().Str("event", "store.lost").Err(err).EmbedObject(revisionFields(f.gateway.view.Load().Revision)).Msg("store is unreachable; continuing with the last view")
+	if !w.unreachable {
+		w.unreachable = true
+		w.gateway.storeUnreachable.Store(true)
+		w.gateway.peers.SendSoon()
+		w.gateway.log.Warn().Str("event", "store.lost").Err(err).EmbedObject(revisionFields(w.gateway.view.Load().Revision)).Msg("store is unreachable; continuing with the last view")
 	}
 }
 
-func (f *storeWatcher) recordSuccess(now time.Time) {
-	if f.unreachable {
-		f.unreachable = false
-		f.gateway.storeUnreachable.Store(false)
-		f.gateway.log.Info().Str("event", "store.regained").Dur("away", now.Sub(f.lastFailure)).Msg("store is reachable again")
+func (w *storeWatcher) recordSuccess(now time.Time) {
+	if w.unreachable {
+		w.unreachable = false
+		w.gateway.storeUnreachable.Store(false)
+		w.gateway.log.Info().Str("event", "store.regained").Dur("away", now.Sub(w.lastFailure)).Msg("store is reachable again")
 	}
 }
 
 // withinGrace reports whether missing entries may still be written again, since the store
 // was unreachable a moment ago.
-func (f *storeWatcher) withinGrace(now time.Time) bool {
-	return now.Sub(f.lastFailure) < reregistrationGrace
+func (w *storeWatcher) withinGrace(now time.Time) bool {
+	return now.Sub(w.lastFailure) < reregistrationGrace
 }
 
 // applySnapshot replaces the state by a snapshot and calls remove for each server that the
 // snapshot lacks.
-func (f *storeWatcher) applySnapshot(s Snapshot, remove func(id string)) {
+func (w *storeWatcher) applySnapshot(s Snapshot, remove func(id string)) {
 	for _, name := range s.Unreadable {
-		f.dropServerByName(name)
+		w.dropServerByName(name)
 	}
 	present := map[string]bool{}
 	for _, server := range s.Servers {
 		present[server.ID] = true
-		if f.withholdUnverified(server) {
+		if w.withholdUnverified(server) {
 			continue
 		}
-		server.Leaving = f.isLeaving(server)
+		server.Leaving = w.isLeaving(server)
 		if _, missing := s.MissingUntil[server.ID]; missing {
 			server.Evacuated = false
-			f.putServer(server)
+			w.putServer(server)
 			continue
 		}
-		f.upsertServer(server)
+		w.upsertServer(server)
 	}
-	for id := range f.servers {
+	for id := range w.servers {
 		if !present[id] {
-			f.handleAbsent(id, remove)
+			w.handleAbsent(id, remove)
 		}
 	}
-	if f.reconciling(f.applyTime) {
-		s.Suspects = f.mergeSuspects(s.Suspects)
+	if w.reconciling(w.applyTime) {
+		s.Suspects = w.mergeSuspects(s.Suspects)
 	}
-	for k := range f.suspects {
+	for k := range w.suspects {
 		if _, still := s.Suspects[k]; !still {
-			f.tombstones.addSuspect(f.applyTime, k)
+			w.tombstones.addSuspect(w.applyTime, k)
 		}
 	}
-	f.suspects, f.suspectsChanged = s.Suspects, true
-	f.publish(s.Configuration, s.RawConfiguration, s.Revision)
+	w.suspects, w.suspectsChanged = s.Suspects, true
+	w.publish(s.Configuration, s.RawConfiguration, s.Revision)
 }
 
-func (f *storeWatcher) applyChanges(now time.Time, changes []Change, revision catalog.Revision) {
-	v := f.gateway.view.Load()
+func (w *storeWatcher) applyChanges(now time.Time, changes []Change, revision catalog.Revision) {
+	v := w.gateway.view.Load()
 	configuration, raw := v.Configuration, v.RawConfiguration
-	f.changeRevision = revision
+	w.changeRevision = revision
 	for _, c := range changes {
 		switch c := c.(type) {
 		case ConfigurationChanged:
 			configuration, raw = c.Configuration, c.Raw
 		case ServerChanged:
-			delete(f.unverified, c.Server.Name())
-			f.updateColdState(now, c)
-			f.upsertServer(c.Server)
+			delete(w.unverified, c.Server.Name())
+			w.updateColdState(now, c)
+			w.upsertServer(c.Server)
 		case ServerRemoved:
-			delete(f.unverified, c.Name)
-			f.removeServer(now, f.currentIDs[c.Name])
+			delete(w.unverified, c.Name)
+			w.removeServer(now, w.currentIDs[c.Name])
 		case ServerUnreadable:
-			delete(f.unverified, c.Name)
-			f.dropServerByName(c.Name)
+			delete(w.unverified, c.Name)
+			w.dropServerByName(c.Name)
 		case HallEvacuated:
-			f.evacuate(now, c)
+			w.evacuate(now, c)
 		case HallEvacuationEnded:
-			f.endEvacuation(now, c.Hall)
+			w.endEvacuation(now, c.Hall)
 		case RolloutOrdered:
-			f.applyOrder(now, c.Order)
+			w.applyOrder(now, c.Order)
 		case RolloutWithdrawn:
-			f.withdrawOrder(c.Service)
+			w.withdrawOrder(c.Service)
 		case RolloutStatusChanged:
-			f.applyRolloutStatus(c.Service, c.Status)
+			w.applyRolloutStatus(c.Service, c.Status)
 		case ServerClaimed:
-			f.markClaimed(c.Claim)
+			w.markClaimed(c.Claim)
 		case SuspectChanged:
-			f.setSuspect(c.Key, c.Record)
+			w.setSuspect(c.Key, c.Record)
 		case SuspectRemoved:
-			f.removeSuspect(c.Key)
+			w.removeSuspect(c.Key)
 		}
 	}
-	f.publish(configuration, raw, revision)
+	w.publish(configuration, raw, revision)
 }
 
 // republish publishes a new view after a change that did not come from the store.
-func (f *storeWatcher) republish() {
-	v := f.gateway.view.Load()
-	f.publish(v.Configuration, v.RawConfiguration, v.Revision)
+func (w *storeWatcher) republish() {
+	v := w.gateway.view.Load()
+	w.publish(v.Configuration, v.RawConfiguration, v.Revision)
 }
 
 // publish publishes a new view. The version of the configuration never decreases.
-func (f *storeWatcher) publish(c *catalog.Configuration, raw []byte, revision catalog.Revision) {
-	old := f.gateway.view.Load()
+func (w *storeWatcher) publish(c *catalog.Configuration, raw []byte, revision catalog.Revision) {
+	old := w.gateway.view.Load()
 	if old.Configuration != nil && (c == nil || c.Version < old.Configuration.Version) {
 		c, raw = old.Configuration, old.RawConfiguration
 	}
 	if c != nil && (old.Configuration == nil || c.Version != old.Configuration.Version) {
-		f.gateway.log.Info().Str("event", "configuration.in_force").Uint64("version", c.Version).
+		w.gateway.log.Info().Str("event", "configuration.in_force").Uint64("version", c.Version).
 			EmbedObject(revisionFields(revision)).Int("routes", len(c.Routes)).Int("accounts", len(c.Accounts)).Msg("apply")
 	}
 	v := &View{
-		Configuration: c, RawConfiguration: raw, Revision: max(revision, old.Revision), MissingUntil: maps.Clone(f.missingUntil),
-		Evacuated: maps.Clone(f.evacuations), Cold: maps.Clone(f.cold), serverChanges: f.serverChanges,
-		Rollouts: f.rollouts, Suspects: f.suspects, suspectChanges: f.suspectChanges,
-		ReconcileUntil: f.reconcileUntil, Unverified: slices.Collect(maps.Values(f.unverified)),
+		Configuration: c, RawConfiguration: raw, Revision: max(revision, old.Revision), MissingUntil: maps.Clone(w.missingUntil),
+		Evacuated: maps.Clone(w.evacuations), Cold: maps.Clone(w.cold), serverChanges: w.serverChanges,
+		Rollouts: w.rollouts, Suspects: w.suspects, suspectChanges: w.suspectChanges,
+		ReconcileUntil: w.reconcileUntil, Unverified: slices.Collect(maps.Values(w.unverified)),
 	}
-	if f.sortedIDs == nil {
-		f.sortedIDs = slices.Sorted(maps.Keys(f.servers))
+	if w.sortedIDs == nil {
+		w.sortedIDs = slices.Sorted(maps.Keys(w.servers))
 	}
-	v.Servers = make([]catalog.Server, len(f.sortedIDs))
-	for i, id := range f.sortedIDs {
-		v.Servers[i] = f.servers[id]
-		_, v.Servers[i].Evacuated = f.evacuations[v.Servers[i].Hall]
+	v.Servers = make([]catalog.Server, len(w.sortedIDs))
+	for i, id := range w.sortedIDs {
+		v.Servers[i] = w.servers[id]
+		_, v.Servers[i].Evacuated = w.evacuations[v.Servers[i].Hall]
 	}
 	now := time.Now()
-	v.ReportedLeaving = f.gateway.signals.applyTo(now, v.Servers)
+	v.ReportedLeaving = w.gateway.signals.applyTo(now, v.Servers)
 	changed := c != old.Configuration || !slices.Equal(v.Servers, old.Servers) || !maps.Equal(v.Cold, old.Cold) || !maps.Equal(v.Rollouts, old.Rollouts)
-	f.gateway.view.Store(v)
-	f.gateway.crashes.viewChanged(now, old.Servers, v.Servers)
-	if f.suspectsChanged {
-		f.suspectsChanged = false
-		f.gateway.suspects.applyStored(now, old.Suspects, v.Suspects, f.gateway.watchesStore.Load())
+	w.gateway.view.Store(v)
+	w.gateway.crashes.viewChanged(now, old.Servers, v.Servers)
+	if w.suspectsChanged {
+		w.suspectsChanged = false
+		w.gateway.suspects.applyStored(now, old.Suspects, v.Suspects, w.gateway.watchesStore.Load())
 	}
 	if changed {
-		f.gateway.dispatcher.viewChanged(v)
-		f.gateway.peers.SendSoon()
+		w.gateway.dispatcher.viewChanged(v)
+		w.gateway.peers.SendSoon()
 	}
 }
--- a/gateway/warmup/warmup_test.go
+++ b/gateway/warmup/warmup_test.go
@@ -63,16 +63,16 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := warmup.NewLimiter()
-			g.SetServers(start, []warmup.Server{test.server})
+			l := warmup.NewLimiter()
+			l.SetServers(start, []warmup.Server{test.server})
 			if test.won {
-				g.ResolveClaim(start, test.server.Claim, warmup.Won)
+				l.ResolveClaim(start, test.server.Claim, warmup.Won)
 			}
 			for range test.sent {
-				g.RecordSend(start, "i-1")
+				l.RecordSend(start, "i-1")
 			}
 			now := start.Add(test.after)
-			require.Equal(t, test.want, max(g.NextSendAt(now, "i-1").Sub(now), 0))
+			require.Equal(t, test.want, max(l.NextSendAt(now, "i-1").Sub(now), 0))
 		})
 	}
 }
@@ -97,17 +97,17 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := warmup.NewLimiter()
-			g.SetServers(start, []warmup.Server{test.server})
+			l := warmup.NewLimiter()
+			l.SetServers(start, []warmup.Server{test.server})
 			rank := func(warmup.Server) int { return test.rank }
 			wanted := func(string) bool { return test.wanted }
-			list := g.DueClaims(start, wanted, rank)
+			list := l.DueClaims(start, wanted, rank)
 			if test.after > 0 {
 				require.Empty(t, list)
-				list = g.DueClaims(start.Add(test.after), wanted, rank)
+				list = l.DueClaims(start.Add(test.after), wanted, rank)
 			}
 			require.Equal(t, test.due, len(list) == 1)
-			require.Empty(t, g.DueClaims(start.Add(test.after), wanted, rank), "one claim at a time")
+			require.Empty(t, l.DueClaims(start.Add(test.after), wanted, rank), "one claim at a time")
 		})
 	}
 }
@@ -115,17 +115,17 @@
 // TestUnknownOutcomesAreRetried: a claim of unknown outcome is retried, also when a watch reports
 // meanwhile that the server is held, since the holder may be this process.
 func TestUnknownOutcomesAreRetried(t *testing.T) {
-	g := warmup.NewLimiter()
+	l := warmup.NewLimiter()
 	s := cold(nil)
-	g.SetServers(start, []warmup.Server{s})
+	l.SetServers(start, []warmup.Server{s})
 	now := start
 	attempts := 0
 	for now.Before(s.ColdUntil) {
-		for _, c := range g.DueClaims(now, always, first) {
+		for _, c := range l.DueClaims(now, always, first) {
 			attempts++
-			g.ResolveClaim(now, c, warmup.Unknown)
+			l.ResolveClaim(now, c, warmup.Unknown)
 			s.Claimed = true
-			g.SetServers(now, []warmup.Server{s})
+			l.SetServers(now, []warmup.Server{s})
 		}
 		now = now.Add(50 * time.Millisecond)
 	}
@@ -134,32 +134,32 @@
 
 // TestEpisodes: a server is held only in the episode of the claim.
 func TestEpisodes(t *testing.T) {
-	g := warmup.NewLimiter()
+	l := warmup.NewLimiter()
 	s := cold(nil)
-	g.SetServers(start, []warmup.Server{s})
-	g.ResolveClaim(start, s.Claim, warmup.Won)
+	l.SetServers(start, []warmup.Server{s})
+	l.ResolveClaim(start, s.Claim, warmup.Won)
 	s.ColdUntil = s.ColdUntil.Add(time.Second)
-	g.SetServers(start, []warmup.Server{s})
-	require.False(t, g.NextSendAt(start, "i-1").After(start), "update within the episode")
+	l.SetServers(start, []warmup.Server{s})
+	require.False(t, l.NextSendAt(start, "i-1").After(start), "update within the episode")
 	s.Episode = 7
-	g.SetServers(start, []warmup.Server{s})
-	require.Equal(t, s.ColdUntil, g.NextSendAt(start, "i-1"))
-	g.ResolveClaim(start, warmup.Claim{Server: "i-1"}, warmup.Won)
-	require.Equal(t, s.ColdUntil, g.NextSendAt(start, "i-1"), "late outcome of a claim in the previous episode")
+	l.SetServers(start, []warmup.Server{s})
+	require.Equal(t, s.ColdUntil, l.NextSendAt(start, "i-1"))
+	l.ResolveClaim(start, warmup.Claim{Server: "i-1"}, warmup.Won)
+	require.Equal(t, s.ColdUntil, l.NextSendAt(start, "i-1"), "late outcome of a claim in the previous episode")
 }
 
 // TestHolderKeepsLimit: whenever a holder is asked, its decisions in any Window are bounded, and so is
 // what it sends in any second.
 func TestHolderKeepsLimit(t *testing.T) {
-	g := warmup.NewLimiter()
+	l := warmup.NewLimiter()
 	s := cold(func(s *warmup.Server) { s.ColdUntil = start.Add(10 * time.Second) })
-	g.SetServers(start, []warmup.Server{s})
-	g.ResolveClaim(start, s.Claim, warmup.Won)
+	l.SetServers(start, []warmup.Server{s})
+	l.ResolveClaim(start, s.Claim, warmup.Won)
 	var sent []time.Time
 	for now := start; now.Before(s.ColdUntil); now = now.Add(7 * time.Millisecond) {
 		for range 3 {
-			if !g.NextSendAt(now, "i-1").After(now) {
-				g.RecordSend(now, "i-1")
+			if !l.NextSendAt(now, "i-1").After(now) {
+				l.RecordSend(now, "i-1")
 				sent = append(sent, now)
 			}
 		}
