--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -291,7 +291,7 @@
 	return n, err
 }
 
-// CallerClosed implements handoff.Leaver.
+// CallerClosed implements handoff.CloseChecker.
 func (c *callerConn) CallerClosed() bool { return c.closedByCaller() }
 
 // connKey is the context key of a request's connection.
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -51,7 +51,7 @@
 	cachedKey       quarantine.Key // computed by key
 	hasCachedKey    bool           // fingerprint is set
 	responseStarted atomic.Bool    // the caller has received part of a response
-	trial           bool           // it is quarantined but is sent once as a probe
+	trial           bool           // it is quarantined but is sent once as a trial
 }
 
 // step is the next step after an attempt.
--- a/gateway/changelog.go
+++ b/gateway/changelog.go
@@ -3,7 +3,7 @@
 import "opalbridge.dev/gateway/catalog"
 
 // changeLog holds the recent changes of servers or suspects by the store's revision, so that peers
-// can be sent those instead of the whole view, which grows with the fleet. Its zero value is empty.
+// can be sent those instead of the full view, which grows with the fleet. Its zero value is empty.
 // Entries are immutable, so a View may hold a copy of the log.
 type changeLog struct {
 	completeAfter catalog.Revision // the log is complete after this revision
@@ -30,7 +30,7 @@
 }
 
 // reset empties the log: changes before the revision are unknown. Each era begins with a reset,
-// so that a peer that knows an earlier one is sent the whole view.
+// so that a peer that knows an earlier one is sent the full view.
 func (l *changeLog) reset(revision catalog.Revision) { *l = changeLog{completeAfter: revision} }
 
 // since returns the IDs changed after a revision; ok is false if the log does not reach back so far.
--- a/gateway/cold_servers.go
+++ b/gateway/cold_servers.go
@@ -153,7 +153,7 @@
 			}
 			reported := now.Add(cold)
 			if w.reconciling(now) {
-				reported = latest(reported, c.ReportedUntil) // it may have become cold again since the copy was made
+				reported = latest(reported, c.ReportedUntil) // it may have become cold again since the backup was made
 			}
 			c.ReportedUntil = reported
 			w.cold[id] = c
@@ -223,7 +223,7 @@
 }
 
 // addCold adds the evacuated halls of a view, and the servers that are cold or whose
-// episode the receiver can't derive.
+// episode the receiver cannot derive.
 func (d *viewDocument) addCold(now time.Time, v *View, include func(server string) bool) {
 	for hall, e := range v.Evacuated {
 		if d.Evacuated == nil {
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -33,10 +33,10 @@
 	probeWorkers = 4
 	// lossRetention is how long losses are remembered. The entry of a crashed server
 	// disappears after three to four seconds, and up to two seconds later if the store was
-	// away.
+	// unreachable.
 	lossRetention = 10 * time.Second
-	// callerClosedWindow is how soon after its caller has left a request is still blamed for
-	// a crash: the server may have gone on with it.
+	// callerClosedWindow is how soon after its caller has closed the connection a request
+	// is still blamed for a crash: the server may have gone on with it.
 	callerClosedWindow = 500 * time.Millisecond
 	// maxLostPerServer limits the lost requests remembered for a server.
 	maxLostPerServer = 256
@@ -74,7 +74,7 @@
 const (
 	lossConnectionBroke lossKind = iota // its connection broke
 	lossTimeout                         // nothing was received until its deadline
-	lossCallerClosed                    // its caller left
+	lossCallerClosed                    // its caller closed the connection
 )
 
 func newCrashDetector(log zerolog.Logger, onCrash func(now time.Time, server string, requests []suspect)) *crashDetector {
--- a/gateway/dispatcher.go
+++ b/gateway/dispatcher.go
@@ -59,7 +59,7 @@
 	livePeers atomic.Int64 // live gateways other than this one
 
 	// The fields below are owned by run.
-	lastAttemptID   uint64                     // last attempt ID issued; messages call it the ticket
+	lastAttemptID   uint64                     // last attempt ID issued
 	shareUpdates    int                        // number of times shares were recomputed
 	pending         map[uint64]*pendingAttempt // own requests without a first event, by attempt ID
 	lastHeard       map[string]time.Time       // last sign of life, by server
--- a/gateway/dispatcher_cold.go
+++ b/gateway/dispatcher_cold.go
@@ -170,7 +170,7 @@
 		event.Err(err).Msg("claim may or may not have been written")
 		return warmup.Unknown
 	case era != c.Episode.Era():
-		event.Uint64("era", era).Msg("store was restored from a copy since: holder unknown")
+		event.Uint64("era", era).Msg("store was restored from a backup since: holder unknown")
 		return warmup.Lost
 	case won:
 		event.Bool("own", true).Msg("only this gateway sends requests while the server is cold")
--- a/gateway/dispatcher_rollout.go
+++ b/gateway/dispatcher_rollout.go
@@ -60,7 +60,7 @@
 	wantedState                            rollout.State
 	reportedBad                            uint32
 	reportedStage                          rollout.Stage
-	pending                                map[uint64]*pendingAnswer // requests in flight, by ticket
+	pending                                map[uint64]*pendingAnswer // requests in flight, by attempt ID
 }
 
 // pendingAnswer is a request in flight whose answer will be evaluated.
@@ -308,7 +308,7 @@
 }
 
 // targetAccepts reports whether a decision made for the target version is used. While the
-// target gets only a part of the requests, one that it can't serve at once goes to the
+// target gets only a part of the requests, one that it cannot serve at once goes to the
 // others. When all requests go to the target, one goes to the others only if none of its
 // servers takes work.
 func (s *serviceRollout) targetAccepts(decision placement.Decision) bool {
--- a/gateway/dispatcher_updates.go
+++ b/gateway/dispatcher_updates.go
@@ -20,7 +20,7 @@
 const dialTimeout = 1500 * time.Millisecond
 
 // unreliable reports whether this process was delayed so much since the given time that its
-// observations of servers can't be trusted.
+// observations of servers cannot be trusted.
 func (d *dispatcher) unreliable(now, since time.Time) bool {
 	return d.lateness(since, now) > maxTrustedLateness
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -49,11 +49,11 @@
 	ReadyListener  net.Listener // health checks of the load balancer
 	ReadyPath      string
 	PeerListener   net.Listener // requests of other gateways, on the address of Peer
-	Peer           peer.Options // State and Failed are set by New
+	Peer           peer.Options // Hall, State and OnError are set by New
 	Source         Source
 	Caches         Caches       // nil: servers do not report the contents of their caches
 	Claims         ClaimStore   // nil: cold servers get no requests
-	Rollouts       RolloutStore // nil: the progress of roll-outs is not reported to operators
+	Rollouts       RolloutStore // nil: the progress of rollouts is not reported to operators
 	Suspects       SuspectStore // nil: requests that crashed servers are not remembered once all gateways have restarted
 	Codec          protocol.Codec
 	Dispatcher     DispatcherOptions
@@ -101,7 +101,7 @@
 	storeWatcher          *storeWatcher
 	viewCache             viewCache
 	claims                chan warmup.Claim       // claims to be written to the store
-	statusWrites          chan rolloutStatusWrite // roll-out states to be reported to the operators
+	statusWrites          chan rolloutStatusWrite // rollout statuses to be reported to the operators
 	crashes               *crashDetector
 	suspects              *suspectTracker
 	activeCalls           *activeCalls
--- a/gateway/handoff/handoff.go
+++ b/gateway/handoff/handoff.go
@@ -7,13 +7,13 @@
 //
 //	f := handoff.NewForwarder()
 //	defer f.Close()
-//	err := f.Carry(ctx, "10.1.0.34:7400", conn) // until the connection has ended
+//	err := f.Forward(ctx, "10.1.0.34:7400", conn) // until the connection has ended
 //
 // At the other gateway, with a hijacked connection that requested [Path]:
 //
 //	l := handoff.NewListener(address)
 //	go server.Serve(l)
-//	err := l.Link(ctx, hijacked) // until the link has ended
+//	err := l.ServeLink(ctx, hijacked) // until the link has ended
 //
 // A link that breaks ends its connections, just as a gateway that dies does. A caller that has
 // not received any byte of a response gets a 502, since its request may have run.
@@ -238,7 +238,7 @@
 	_ = t.caller.SetReadDeadline(time.Unix(1, 0))
 	<-requestDone
 	if t.requestSent && !responded && !t.callerClosed() {
-		// A caller that has gone cannot be told.
+		// A caller that has gone gets no response.
 		_, _ = io.WriteString(t.caller, badGatewayResponse)
 	}
 	t.caller.Close()
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -43,8 +43,8 @@
 	Rollouts  map[string]rolloutDocument    `json:"rollouts,omitempty"` // by service
 	// Suspects holds the servers that crashed under a request, by the text of its key.
 	Suspects map[string][]string `json:"suspects,omitempty"`
-	// Trials holds the number of probes sent of requests whose servers crashed at the same
-	// time. It is a separate field for compatibility with gateways of a version that lacks it.
+	// Trials holds the number of trials of requests whose servers crashed at the same time. It
+	// is a separate field for compatibility with gateways of a version that lacks it.
 	Trials map[string]int `json:"doubts,omitempty"`
 	// HasSuspects is true in a full view, unless the sender is of a version without Suspects.
 	HasSuspects bool `json:"suspects_told,omitempty"`
@@ -132,8 +132,8 @@
 	suspects = map[quarantine.Key]quarantine.StoredRecord{}
 	for text, servers := range d.Suspects {
 		if key, err := quarantine.ParseKey(text); err == nil {
-			probes, simultaneous := d.Trials[text]
-			suspects[key] = quarantine.StoredRecord{Servers: servers, Simultaneous: simultaneous, Trials: probes}
+			trials, simultaneous := d.Trials[text]
+			suspects[key] = quarantine.StoredRecord{Servers: servers, Simultaneous: simultaneous, Trials: trials}
 		}
 	}
 	for _, text := range d.RemovedSuspects {
--- a/gateway/lifetimes.go
+++ b/gateway/lifetimes.go
@@ -102,6 +102,6 @@
 		w.republish()
 	}
 	if now.Sub(w.gateway.confirmedAt()) < confirmationTimeout {
-		w.tombstones.expire(now) // not while the store is unreachable: it may come back restored from an older copy
+		w.tombstones.expire(now) // not while the store is unreachable: it may come back restored from an older backup
 	}
 }
--- a/gateway/peer/messages.go
+++ b/gateway/peer/messages.go
@@ -23,7 +23,7 @@
 	Remaining time.Duration
 }
 
-// Refusal is a request that was turned away and whose caller may retry.
+// Refusal is a request that was refused and whose caller may retry.
 type Refusal struct {
 	Key          uint64    // of the request's content
 	Deadline     time.Time // when its caller gives up
@@ -66,7 +66,7 @@
 	Rollouts             []*peerpb.Rollout
 }
 
-// Update is news from another gateway.
+// Update is what another gateway reports.
 type Update struct {
 	From  string // IP address
 	Hall  string // empty: not known yet
@@ -108,7 +108,7 @@
 	}
 }
 
-// PublishRefusal sends with the next beacons that a request was turned away. It never blocks.
+// PublishRefusal sends with the next beacons that a request was refused. It never blocks.
 func (n *Node) PublishRefusal(r Refusal) {
 	select {
 	case n.refusals <- r:
--- a/gateway/peer/relay.go
+++ b/gateway/peer/relay.go
@@ -28,7 +28,7 @@
 	fallbackRelaysPerHall = 4
 	// A relay forwards pending beacons with this delay per live gateway after the first one, up
 	// to maxBundleDelay. With 100 gateways it then sends 70 bundles a second to each gateway of
-	// its hall, and news from another hall is 20 ms old.
+	// its hall, and beacons from another hall are 20 ms old.
 	bundleDelayPerPeer = 150 * time.Microsecond
 	maxBundleDelay     = 15 * time.Millisecond
 	// Size of the beacons in one datagram, in bytes; further ones go into another datagram.
--- a/gateway/peer_view.go
+++ b/gateway/peer_view.go
@@ -22,7 +22,7 @@
 	removedServers  []string                 // only if partial
 	removedSuspects []quarantine.Key         // only if partial
 	leaving         []string                 // servers that have reported that they are leaving
-	// Whether the peer's version knows of suspects; if not, a whole view leaves the known
+	// Whether the peer's version knows of suspects; if not, a full view leaves the known
 	// suspects as they are.
 	hasSuspects bool
 	confirmed   time.Time // when the view was the store's latest
@@ -64,7 +64,7 @@
 	w.publish(c, p.snapshot.RawConfiguration, v.Revision)
 }
 
-// applyFullView replaces the state by a peer's whole view.
+// applyFullView replaces the state by a peer's full view.
 func (w *storeWatcher) applyFullView(p peerView) {
 	w.serverChanges.reset(p.snapshot.Revision)
 	w.suspectChanges.reset(p.snapshot.Revision)
--- a/gateway/placement/backlog_test.go
+++ b/gateway/placement/backlog_test.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// TestNoCopyFromEjectedServer: a copy from a server that can't be reached would hang.
+// TestNoCopyFromEjectedServer: a copy from a server that cannot be reached would hang.
 func TestNoCopyFromEjectedServer(t *testing.T) {
 	b := placement.NewBalancer(placement.DefaultPolicy())
 	b.SetServers(start, servers(9), copyEngine)
--- a/gateway/placement/backoff.go
+++ b/gateway/placement/backoff.go
@@ -6,7 +6,7 @@
 
 // This file implements the backoff that servers ask for. Such a server gets no requests until
 // the backoff ends, followed by a slow start: a server that rejects everything at once looks
-// idle and would otherwise be preferred (platform: TestServersAskForRest).
+// idle and would otherwise be preferred (platform: TestRetryAfterIsHonored).
 
 const (
 	// MaxBackoff bounds a server's backoff, whatever it asked for. A server that needs longer
--- a/gateway/placement/cache_test.go
+++ b/gateway/placement/cache_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestNoCopyBeforePrefill: a part can't be copied before its prefill has ended.
+// TestNoCopyBeforePrefill: a part cannot be copied before its prefill has ended.
 func TestNoCopyBeforePrefill(t *testing.T) {
 	b := placement.NewBalancer(placement.DefaultPolicy())
 	b.SetServers(start, servers(9), copyEngine)
--- a/gateway/placement/engine.go
+++ b/gateway/placement/engine.go
@@ -9,7 +9,7 @@
 // figures are only the initial values.
 
 const (
-	// With fewer servers a slow service can't be told from a slow server, so that only the
+	// With fewer servers a slow service cannot be told from a slow server, so that only the
 	// slowdown of each server is used. One outlier among three does not move the median.
 	minServers = 3
 	// The median is recomputed at most this often. A server gives some 20 observations per
--- a/gateway/placement/observe.go
+++ b/gateway/placement/observe.go
@@ -151,8 +151,8 @@
 	Served      Outcome = iota
 	Failed              // server error, or a broken or invalid answer
 	Unreachable         // no connection could be established
-	Rejected            // the server turned the request away
-	Abandoned           // the caller left or the gateway gave up; says nothing about the server
+	Rejected            // the server rejected the request
+	Abandoned           // the caller disconnected or the gateway gave up; says nothing about the server
 	NotSent             // the gateway did not send it after all
 )
 
--- a/gateway/protocol/protocol.go
+++ b/gateway/protocol/protocol.go
@@ -4,7 +4,7 @@
 // # Usage
 //
 //	r, err := codec.Request(request.Header)
-//	codec.Forward(header, protocol.Forward{Server: s.ID, Deadline: left})
+//	codec.Forward(header, protocol.Forward{Server: s.ID, Deadline: remaining})
 //	resp := codec.Response(response.StatusCode, response.Header)
 //
 // The names themselves are in the adapter that implements [Codec].
--- a/gateway/quarantine/quarantine.go
+++ b/gateway/quarantine/quarantine.go
@@ -11,8 +11,8 @@
 // flight when several servers crash at once.
 //
 // A [Registry] holds only sets that grow: pairs of a request and a crashed server, and pairs
-// that no longer count. News that arrives twice, late or out of order therefore makes no
-// difference, and gateways that have received the same news quarantine the same requests.
+// that no longer count. A report that arrives twice, late or out of order therefore makes no
+// difference, and gateways that have received the same reports quarantine the same requests.
 //
 // # Usage
 //
@@ -210,7 +210,7 @@
 }
 
 // Clear stops counting the crashes of these servers for a request, as another gateway found that
-// it did not cause them. Later news of the same crashes is ignored too.
+// it did not cause them. Later reports of the same crashes are ignored too.
 func (r *Registry) Clear(k Key, servers []string) {
 	s := r.suspects[k]
 	if s == nil {
--- a/gateway/quarantine/quarantine_test.go
+++ b/gateway/quarantine/quarantine_test.go
@@ -88,7 +88,7 @@
 	require.LessOrEqual(t, len(r.suspects), maxPairs+maxRepeatSuspects)
 }
 
-// TestOrderIndependence checks that gateways which receive the same news in different orders,
+// TestOrderIndependence checks that gateways which receive the same reports in different orders,
 // some of it twice, quarantine the same requests.
 func TestOrderIndependence(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
--- a/gateway/reconcile.go
+++ b/gateway/reconcile.go
@@ -8,17 +8,17 @@
 	"opalbridge.dev/gateway/rollout"
 )
 
-// This file handles a store that was restored from an older copy. Its revisions are of a later
+// This file handles a store that was restored from an older backup. Its revisions are of a later
 // era (see [catalog.Revision]), so a view of it replaces any earlier view, and each gateway that
 // hears of the era lists again or fetches such a view from a peer.
 //
-// At first the copy is older than what the gateways know: operators and servers write again what
+// At first the backup is older than what the gateways know: operators and servers write again what
 // it lacks. During that time (reconcilePeriod) a view of the new era is merged from both:
 //
 //   - the configuration is the one of the highest version;
 //   - a lifetime that has reported that it is leaving stays leaving until its entry is
 //     written again;
-//   - a server, an evacuated hall or a suspect that the copy lacks is kept, and removed after
+//   - a server, an evacuated hall or a suspect that the backup lacks is kept, and removed after
 //     the period if nobody has written it again;
 //   - a server of which another lifetime is known, or whose entry was gone, gets no work until
 //     its entry is written again, or until the period is over and the entry is still there.
@@ -28,17 +28,17 @@
 // [warmup.Episode]: the holder of one goes on, and nobody else can claim the server.
 
 const (
-	// reconcilePeriod is the time in which operators and servers have written again what a copy
+	// reconcilePeriod is the time in which operators and servers have written again what a backup
 	// lacks: they take about two seconds.
 	reconcilePeriod = reregistrationGrace
-	// tombstoneTTL is how long removed servers and suspects are remembered: copies are some
+	// tombstoneTTL is how long removed servers and suspects are remembered: backups are some
 	// seconds old, and an outage adds some more.
 	tombstoneTTL = time.Minute
 	// maxTombstones bounds each kind; a fleet of 10,000 that is replaced at once fits.
 	maxTombstones = 1 << 14
 )
 
-// tombstones remembers what was removed from the store, in case it is restored from a copy.
+// tombstones remembers what was removed from the store, in case it is restored from a backup.
 type tombstones struct {
 	servers  map[string]serverTombstone   // removed servers, by name
 	suspects map[quarantine.Key]time.Time // removed suspects, by the time of removal
@@ -97,13 +97,13 @@
 	w.gateway.log.Warn().Str("event", "store.returned").EmbedObject(revisionFields(revision)).Stringer("before", before.Revision).
 		Int("servers", len(w.servers)).Int("gone", len(w.tombstones.servers)).
 		Int("halls", len(w.evacuations)).Int("suspects", len(w.suspects)).
-		Msg("store was restored from a copy; what the copy lacks is kept for a grace period")
+		Msg("store was restored from a backup; what the backup lacks is kept for a grace period")
 }
 
 // withholdUnverified withholds a server of a restored store's view if its entry was removed
 // before, or another lifetime of it is known, and reports whether it did. Which of the two is
 // the later one is unknown until the server writes its entry again, so neither gets work: the
-// copy may lack a restart that the gateways know of, or this gateway may have missed one.
+// backup may lack a restart that the gateways know of, or this gateway may have missed one.
 func (w *storeWatcher) withholdUnverified(s catalog.Server) bool {
 	before, gone := w.tombstones.servers[s.Name()]
 	current, known := w.currentIDs[s.Name()]
@@ -130,13 +130,13 @@
 	}
 }
 
-// isLeaving reports whether a server of a whole view is leaving. One that was leaving before
-// the restore still is, even if the copy does not say so.
+// isLeaving reports whether a server of a full view is leaving. One that was leaving before
+// the restore still is, even if the backup does not say so.
 func (w *storeWatcher) isLeaving(s catalog.Server) bool {
 	return s.Leaving || w.reconciling(w.applyTime) && w.servers[s.ID].Leaving
 }
 
-// handleAbsent handles a server that a whole view lacks. During reconciliation it is kept until
+// handleAbsent handles a server that a full view lacks. During reconciliation it is kept until
 // the period is over.
 func (w *storeWatcher) handleAbsent(id string, drop func(id string)) {
 	if !w.reconciling(w.applyTime) {
@@ -172,7 +172,7 @@
 	return true
 }
 
-// revertLostOrders reverts evacuations and roll-out orders that nobody has written again since the
+// revertLostOrders reverts evacuations and rollout orders that nobody has written again since the
 // store was restored, including those handed over later by a peer that was still reconciling. It
 // reports whether there were any.
 func (w *storeWatcher) revertLostOrders(now time.Time) (found bool) {
--- a/gateway/reconcile_test.go
+++ b/gateway/reconcile_test.go
@@ -132,7 +132,7 @@
 	require.Equal(t, after+1, started.view.Load().Revision)
 }
 
-// TestPeerViewOfRestoredStore: a gateway that has started after a restore hands over the older copy.
+// TestPeerViewOfRestoredStore: a gateway that has started after a restore hands over the older state.
 func TestPeerViewOfRestoredStore(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	other := lifetime("i-2", 6)
@@ -146,7 +146,7 @@
 		started.storeWatcher.applyResult(now, listResult(after+1, 5, testServer()))
 		transferView(t, now, started, longRunning, unchanged)
 		require.Equal(t, after+1, longRunning.view.Load().Revision)
-		require.Equal(t, []string{"i-2@6"}, longRunning.availableServers(), "i-1 is leaving, i-2 is not in the copy")
+		require.Equal(t, []string{"i-2@6"}, longRunning.availableServers(), "i-1 is leaving, i-2 is not in the backup")
 		longRunning.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
 		require.Empty(t, longRunning.availableServers(), "i-2 was not written again")
 	}
@@ -167,7 +167,7 @@
 	require.Equal(t, []string{"i-1@5"}, partitioned.availableServers())
 }
 
-// TestEvacuationAfterRestore: a hall whose evacuation the copy lacks stays evacuated until the end of
+// TestEvacuationAfterRestore: a hall whose evacuation the backup lacks stays evacuated until the end of
 // the reconciliation, and after that only if the operators have ordered it again.
 func TestEvacuationAfterRestore(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
--- a/gateway/rollout/analysis.go
+++ b/gateway/rollout/analysis.go
@@ -22,7 +22,7 @@
 
 // Thresholds of the comparison.
 const (
-	// A smaller difference can't be told from noise in the answers of a canary.
+	// A smaller difference cannot be told from noise in the answers of a canary.
 	failedMargin = 0.03
 	slowMargin   = 0.08
 	// Once nearly all traffic has moved, the baseline's answers come from an earlier time. Their
--- a/gateway/rollout/rollout.go
+++ b/gateway/rollout/rollout.go
@@ -49,10 +49,10 @@
 	Revision catalog.Revision // of the store; identifies the order
 }
 
-// State is the state of a roll-out as reported to operators.
+// State is the state of a rollout as reported to operators.
 type State int
 
-// States of a roll-out.
+// States of a rollout.
 const (
 	Unknown    State = iota // not reported yet
 	InProgress              // both versions get requests
@@ -81,10 +81,10 @@
 	return s.State
 }
 
-// Stage is a step of a roll-out.
+// Stage is a step of a rollout.
 type Stage int
 
-// Stages of a roll-out.
+// Stages of a rollout.
 const (
 	Canary   Stage = iota // few requests go to the target
 	Expand                // a larger fraction goes to the target
@@ -135,7 +135,7 @@
 	fullSince     time.Time // since when all requests go to the target; zero: they do not
 }
 
-// New returns the roll-out of an order that was given at the time since.
+// New returns the rollout of an order that was given at the time since.
 func New(o Order, since time.Time) *Rollout {
 	return &Rollout{Order: o, OrderedAt: since, counter: newCounter(), analyzer: newAnalyzer()}
 }
--- a/gateway/rollout/rollout_test.go
+++ b/gateway/rollout/rollout_test.go
@@ -80,7 +80,7 @@
 	return a
 }
 
-// run simulates a roll-out until some time after its duration. Reports take up to a second.
+// run simulates a rollout until some time after its duration. Reports take up to a second.
 func (s *simulation) run() {
 	type message struct {
 		at     time.Time
--- a/gateway/rollout_test.go
+++ b/gateway/rollout_test.go
@@ -50,15 +50,15 @@
 		{"missing in a later list", func(g *Gateway) {
 			g.storeWatcher.applyResult(now.Add(reconcilePeriod+time.Second), listResult(old+5, 1, readyServer("i-1")))
 		}, rollout.Order{}, time.Time{}},
-		{"store restored from a copy that has it", func(g *Gateway) {
+		{"store restored from a backup that has it", func(g *Gateway) {
 			g.storeWatcher.applyResult(now.Add(time.Second), within(later))
 		}, testOrder(later), now},
-		{"restored from a copy that lacks it, not written again", func(g *Gateway) {
+		{"restored from a backup that lacks it, not written again", func(g *Gateway) {
 			g.storeWatcher.applyResult(now, listResult(later, 1, readyServer("i-1")))
 			require.Equal(t, testOrder(old), g.view.Load().Rollouts["s"].Order, "kept while the store is reconciled")
 			g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Second))
 		}, rollout.Order{}, time.Time{}},
-		{"restored from a copy that lacks it, written again", func(g *Gateway) {
+		{"restored from a backup that lacks it, written again", func(g *Gateway) {
 			g.storeWatcher.applyResult(now, listResult(later, 1, readyServer("i-1")))
 			g.storeWatcher.applyResult(now.Add(time.Second), sourceResult{since: later, revision: later + 1, changes: []Change{RolloutOrdered{testOrder(later + 1)}}})
 			g.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Second))
--- a/gateway/rollout_view.go
+++ b/gateway/rollout_view.go
@@ -67,7 +67,7 @@
 func (w *storeWatcher) applyListedRollouts(now time.Time, s Snapshot) {
 	for service, o := range s.RolloutOrders {
 		if known := w.rollouts[service]; known.Order.Target == o.Target && known.Order.Duration == o.Duration && w.reconciling(now) {
-			known.Order = o // the same order under the revision of the restored copy; its age stays
+			known.Order = o // the same order under the revision of the restored store; its age stays
 			w.setRollout(service, known)
 			continue
 		}
--- a/gateway/signals.go
+++ b/gateway/signals.go
@@ -15,7 +15,7 @@
 // This file handles what servers announce about themselves in answers: that they are
 // leaving, and that they want clients to back off (a 503 with a time to come back). A
 // server's entry in the store also says that it is leaving, but not while the store accepts
-// no writes (platform: TestServerSaysItLeaves).
+// no writes (platform: TestServerAnnouncesLeaving).
 //
 // Both are checked twice. The dispatcher places no more requests at such a server, and a
 // request that was placed there before is checked again just before it is sent on its
@@ -25,7 +25,7 @@
 
 const (
 	// leavingRetention is how long a leaving server is remembered after its entry has gone.
-	// An entry that lapses while the store is away may come back, and a server may serve
+	// An entry that lapses while the store is unreachable may come back, and a server may serve
 	// for some seconds or more after it has announced that it is leaving. A server that
 	// starts again is another lifetime and is available at once.
 	leavingRetention = time.Minute
@@ -158,6 +158,6 @@
 	g.dispatcher.send(leavingAnnounced{server: server})
 	select {
 	case g.storeWatcher.leavingSignal <- struct{}{}:
-	default: // the follower has a notification pending
+	default: // the store watcher has a notification pending
 	}
 }
--- a/gateway/source.go
+++ b/gateway/source.go
@@ -72,7 +72,7 @@
 // RolloutWithdrawn reports that the operators have withdrawn the order.
 type RolloutWithdrawn struct{ Service string }
 
-// RolloutStatusChanged reports the progress of a service's roll-out.
+// RolloutStatusChanged reports the progress of a service's rollout.
 type RolloutStatusChanged struct {
 	Service string
 	Status  rollout.Status // zero: the status was removed
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -15,8 +15,8 @@
 
 // This file protects the fleet from requests that crash servers. Such a request arrives as a
 // valid first attempt each time, at any gateway, and would crash server after server (platform:
-// TestRequestThatEndsServers). crashes.go detects which servers have crashed, and package
-// quarantine decides which requests are barred.
+// TestRequestThatCrashesServers). crashes.go detects which servers have crashed, and package
+// quarantine decides which requests are quarantined.
 //
 // What one gateway has seen reaches the others in two ways, so that either may fail: by beacons,
 // within milliseconds, and, for requests during which two servers or more have crashed, by the
@@ -27,7 +27,7 @@
 	Summary      string   // description of the request, for operators
 	Servers      []string // lifetimes that crashed
 	Simultaneous bool     // they crashed at one moment, but for one at most
-	Trials       int      // times that it was sent although barred
+	Trials       int      // times that it was sent although quarantined
 }
 
 // SuspectStore stores suspects where all gateways see the same ones, until they are deleted.
@@ -36,7 +36,7 @@
 	Save(ctx context.Context, key quarantine.Key, s Suspect) error
 	// Delete removes a suspect; it need not exist.
 	Delete(ctx context.Context, key quarantine.Key) error
-	// CountTrial counts one more trial of a barred suspect if the stored count equals trials. It
+	// CountTrial counts one more trial of a quarantined suspect if the stored count equals trials. It
 	// reports whether it was counted; after an error that is unknown.
 	CountTrial(ctx context.Context, key quarantine.Key, trials int) (counted bool, err error)
 }
@@ -49,7 +49,7 @@
 	// minSuspectsPerSecond is what each gateway of a large fleet may report at least.
 	minSuspectsPerSecond = 4
 	// trialInterval is the time without another crash or trial before an ambiguous request is tried;
-	// by then all gateways have heard of the last one. The fleet may send a barred request three
+	// by then all gateways have heard of the last one. The fleet may send a quarantined request three
 	// more times, which leaves room for maxTrials.
 	trialInterval = 3 * time.Second
 	maxTrials     = 2
@@ -71,17 +71,17 @@
 	log              zerolog.Logger
 	peers            *peer.Node
 	address          string        // IP address of this gateway
-	store            SuspectStore  // nil: nothing is stored, and barred requests are not tried
+	store            SuspectStore  // nil: nothing is stored, and quarantined requests are not tried
 	fleetSize        func() int    // number of live gateways
 	writerWake       chan struct{} // there is something to write
-	newlyQuarantined chan struct{} // a request has been barred
+	newlyQuarantined chan struct{} // a request has been quarantined
 	suspectCount     atomic.Int64  // requests in the registry; if 0, lookups are skipped
 
 	mutex         sync.Mutex
 	registry      *quarantine.Registry
 	recentAnswers quarantine.RecentAnswers      // answered by this gateway
 	ownWrites     map[quarantine.Key]bool       // stored by this gateway
-	trials        map[quarantine.Key]trialState // of barred requests
+	trials        map[quarantine.Key]trialState // of quarantined requests
 	livePeers     map[string]bool               // by address
 	summaries     map[quarantine.Key]string     // descriptions of suspects that this gateway has seen, for requests with two crashes or more
 	pendingWrites map[quarantine.Key]bool       // to be written to the store
@@ -97,7 +97,7 @@
 	}
 }
 
-// trialState counts, over the fleet, how often a barred request was sent.
+// trialState counts, over the fleet, how often a quarantined request was sent.
 type trialState struct {
 	count    int
 	lastAt   time.Time // when this gateway heard of the last trial, or failed to claim one
@@ -180,7 +180,7 @@
 		event.Str("event", "request.barred").Msg("request is barred from all servers")
 		select {
 		case s.newlyQuarantined <- struct{}{}:
-		default: // the reader looks at all barred requests
+		default: // the reader looks at all quarantined requests
 		}
 	}
 	s.suspectCount.Store(int64(s.registry.Len()))
@@ -213,7 +213,7 @@
 	}
 }
 
-// crashCount returns how many servers have crashed during a request, and whether it is barred.
+// crashCount returns how many servers have crashed during a request, and whether it is quarantined.
 func (s *suspectTracker) crashCount(key quarantine.Key) (n int, quarantined bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -260,7 +260,7 @@
 	delete(s.livePeers, address)
 }
 
-// trialDue reports whether this gateway may send a barred request once now: all crashes came at
+// trialDue reports whether this gateway may send a quarantined request once now: all crashes came at
 // one moment, so something else may be their cause. Gateways take turns in an order by rendezvous
 // hashing, which is the same for nearly all of them, including those that have started since and
 // know of the crashes from the store alone.
@@ -287,7 +287,7 @@
 	return min(quiet, now.Sub(known.lastAt)) >= trialInterval+time.Duration(min(rank, maxTrialRank))*trialStagger
 }
 
-// claimTrial claims a trial of a barred request. The store counts the trials, which bounds them
+// claimTrial claims a trial of a quarantined request. The store counts the trials, which bounds them
 // over the fleet, whichever gateways have started since.
 func (s *suspectTracker) claimTrial(ctx context.Context, key quarantine.Key) bool {
 	s.mutex.Lock()
@@ -317,13 +317,13 @@
 	return true
 }
 
-// isQuarantined reports whether a request is barred.
+// isQuarantined reports whether a request is quarantined.
 func (s *suspectTracker) isQuarantined(key quarantine.Key) bool {
 	_, quarantined := s.crashCount(key)
 	return quarantined
 }
 
-// quarantinedCount returns the number of barred requests.
+// quarantinedCount returns the number of quarantined requests.
 func (s *suspectTracker) quarantinedCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -32,7 +32,7 @@
 
 func unchanged(*viewDocument) {}
 
-// TestSuspectsInPeerView: a gateway learns of barred requests from a peer's view, whole or partial,
+// TestSuspectsInPeerView: a gateway learns of quarantined requests from a peer's view, full or partial,
 // and keeps them when a peer's version knows of no suspects.
 func TestSuspectsInPeerView(t *testing.T) {
 	now := time.Now()
@@ -40,7 +40,7 @@
 	from, to := newIdleGateway(t), newIdleGateway(t)
 	from.storeWatcher.applyResult(now, first)
 	transferView(t, now, from, to, unchanged)
-	require.True(t, to.suspects.isQuarantined(quarantine.Key{1}), "whole view")
+	require.True(t, to.suspects.isQuarantined(quarantine.Key{1}), "full view")
 	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
 		SuspectChanged{Key: quarantine.Key{2}, Record: quarantine.StoredRecord{Servers: []string{"a", "b", "d"}, Simultaneous: true, Trials: 1}}, SuspectRemoved{Key: quarantine.Key{1}},
 	}})
@@ -62,7 +62,7 @@
 	unreachable bool
 	calls       int
 	saved       map[quarantine.Key]Suspect
-	trials      map[quarantine.Key]int // by barred request
+	trials      map[quarantine.Key]int // by quarantined request
 }
 
 func (f *faultyStore) do(use func()) error {
@@ -161,7 +161,7 @@
 	require.False(t, s.isQuarantined(quarantine.Key{1}))
 }
 
-// TestTrialsAreCounted: gateways that bar a request because of simultaneous crashes send it maxTrials
+// TestTrialsAreCounted: gateways that quarantine a request because of simultaneous crashes send it maxTrials
 // times in all, with a pause in between, even if they know the crashes from the store alone or restart
 // in between. None sends it while the store is unreachable.
 func TestTrialsAreCounted(t *testing.T) {
