--- a/gateway/call.go
+++ b/gateway/call.go
@@ -48,8 +48,8 @@
 	firstEventAt    time.Time     // when the first of them was sent to the caller
 	result          string        // for logs and metrics
 	reason          string
-	cachedKey       quarantine.Key // computed by key
-	hasCachedKey    bool           // fingerprint is set
+	cachedKey       quarantine.Key // computed by quarantineKey
+	hasCachedKey    bool           // cachedKey is set
 	responseStarted atomic.Bool    // the caller has received part of a response
 	trial           bool           // it is quarantined but is sent once as a trial
 }
--- a/gateway/era_test.go
+++ b/gateway/era_test.go
@@ -84,17 +84,17 @@
 func TestNoQueryForEarlierEra(t *testing.T) {
 	g := newIdleGateway(t)
 	g.storeWatcher.publish(configurationVersion(1), nil, catalog.NewRevision(2, 20))
-	h := updateReceiver{gateway: g, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
+	r := updateReceiver{gateway: g, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
 	now := time.Now()
 	before := g.confirmedAt()
 	for range 8 {
 		now = now.Add(100 * time.Millisecond)
-		h.handle(t.Context(), now, peer.Update{From: "127.0.0.2", Hall: "other", Alive: true, StoreRevision: catalog.NewRevision(1, 99), ConfirmedAt: now})
+		r.handle(t.Context(), now, peer.Update{From: "127.0.0.2", Hall: "other", Alive: true, StoreRevision: catalog.NewRevision(1, 99), ConfirmedAt: now})
 	}
-	require.False(t, h.fetching)
+	require.False(t, r.fetching)
 	require.Equal(t, before, g.confirmedAt())
-	h.handle(t.Context(), now, peer.Update{From: "127.0.0.3", Hall: "other", Alive: true, StoreRevision: catalog.NewRevision(3, 1)})
-	h.handle(t.Context(), now.Add(handoverDelay), peer.Update{From: "127.0.0.3", Hall: "other", Alive: true, StoreRevision: catalog.NewRevision(3, 1)})
-	require.True(t, h.fetching)
-	<-h.fetched
+	r.handle(t.Context(), now, peer.Update{From: "127.0.0.3", Hall: "other", Alive: true, StoreRevision: catalog.NewRevision(3, 1)})
+	r.handle(t.Context(), now.Add(handoverDelay), peer.Update{From: "127.0.0.3", Hall: "other", Alive: true, StoreRevision: catalog.NewRevision(3, 1)})
+	require.True(t, r.fetching)
+	<-r.fetched
 }
--- a/gateway/lifetime_test.go
+++ b/gateway/lifetime_test.go
@@ -32,49 +32,49 @@
 	first := sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-1", 5000), lifetime("i-2", 1)}, Revision: 3}}
 	tests := []struct {
 		name   string
-		update func(f *storeWatcher)
+		update func(w *storeWatcher)
 		want   []string
 	}{
-		{"watch", func(f *storeWatcher) {
-			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
+		{"watch", func(w *storeWatcher) {
+			w.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
 		}, []string{"i-1@6000", "i-2@1"}},
-		{"host's clock was set back", func(f *storeWatcher) {
-			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 400)}}})
+		{"host's clock was set back", func(w *storeWatcher) {
+			w.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 400)}}})
 		}, []string{"i-1@400", "i-2@1"}},
-		{"two restarts in one watch", func(f *storeWatcher) {
-			f.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
+		{"two restarts in one watch", func(w *storeWatcher) {
+			w.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
 				ServerChanged{Server: lifetime("i-1", 6000)}, ServerChanged{Server: lifetime("i-1", 7000)},
 			}})
 		}, []string{"i-1@7000", "i-2@1"}},
-		{"entry was removed in between", func(f *storeWatcher) {
-			f.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{ServerRemoved{"i-1"}, ServerChanged{Server: lifetime("i-1", 6000)}}})
+		{"entry was removed in between", func(w *storeWatcher) {
+			w.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{ServerRemoved{"i-1"}, ServerChanged{Server: lifetime("i-1", 6000)}}})
 		}, []string{"i-1@6000", "i-2@1"}},
-		{"entry was removed in between, in the grace period", func(f *storeWatcher) {
-			f.lastFailure = now
-			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
-			f.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
-			f.expireMissing(now.Add(time.Minute))
+		{"entry was removed in between, in the grace period", func(w *storeWatcher) {
+			w.lastFailure = now
+			w.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
+			w.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
+			w.expireMissing(now.Add(time.Minute))
 		}, []string{"i-1@6000", "i-2@1"}},
-		{"list", func(f *storeWatcher) {
-			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-1", 6000)}, Revision: 9}})
+		{"list", func(w *storeWatcher) {
+			w.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-1", 6000)}, Revision: 9}})
 		}, []string{"i-1@6000"}},
-		{"late list of an earlier revision", func(f *storeWatcher) {
-			f.applyResult(now, sourceResult{since: 3, revision: 8, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
-			f.applyResult(now, first)
+		{"late list of an earlier revision", func(w *storeWatcher) {
+			w.applyResult(now, sourceResult{since: 3, revision: 8, changes: []Change{ServerChanged{Server: lifetime("i-1", 6000)}}})
+			w.applyResult(now, first)
 		}, []string{"i-1@6000", "i-2@1"}},
-		{"start time is no longer reported", func(f *storeWatcher) {
-			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 0)}}})
+		{"start time is no longer reported", func(w *storeWatcher) {
+			w.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 0)}}})
 		}, []string{"i-1", "i-2@1"}},
-		{"entry becomes unreadable", func(f *storeWatcher) {
-			f.lastFailure = now // no grace period for unreadable entries
-			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerUnreadable{"i-1"}}})
+		{"entry becomes unreadable", func(w *storeWatcher) {
+			w.lastFailure = now // no grace period for unreadable entries
+			w.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerUnreadable{"i-1"}}})
 		}, []string{"i-2@1"}},
-		{"list with an unreadable entry", func(f *storeWatcher) {
-			f.lastFailure = now
-			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-2", 1)}, Unreadable: []string{"i-1"}, Revision: 9}})
+		{"list with an unreadable entry", func(w *storeWatcher) {
+			w.lastFailure = now
+			w.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{lifetime("i-2", 1)}, Unreadable: []string{"i-1"}, Revision: 9}})
 		}, []string{"i-2@1"}},
-		{"entry becomes unreadable and readable again", func(f *storeWatcher) {
-			f.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{ServerUnreadable{"i-1"}, ServerChanged{Server: lifetime("i-1", 5000)}}})
+		{"entry becomes unreadable and readable again", func(w *storeWatcher) {
+			w.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{ServerUnreadable{"i-1"}, ServerChanged{Server: lifetime("i-1", 5000)}}})
 		}, []string{"i-1@5000", "i-2@1"}},
 	}
 	for _, test := range tests {
@@ -101,9 +101,9 @@
 		require.NoError(t, err)
 		var d viewDocument
 		require.NoError(t, json.Unmarshal(raw, &d))
-		h := peerView{from: "x", snapshot: d.decodeSnapshot(now), partial: d.Partial, removedServers: d.RemovedServers}
-		h.evacuations, h.cold = d.decodeCold(now)
-		to.storeWatcher.applyPeerView(now, h)
+		p := peerView{from: "x", snapshot: d.decodeSnapshot(now), partial: d.Partial, removedServers: d.RemovedServers}
+		p.evacuations, p.cold = d.decodeCold(now)
+		to.storeWatcher.applyPeerView(now, p)
 	}
 	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerChanged{Server: lifetime("i-1", 400), Cold: time.Second}}})
 	transfer(from, to)
--- a/gateway/quarantine/quarantine_test.go
+++ b/gateway/quarantine/quarantine_test.go
@@ -89,7 +89,7 @@
 }
 
 // TestOrderIndependence checks that gateways which receive the same reports in different orders,
-// some of it twice, quarantine the same requests.
+// some of them twice, quarantine the same requests.
 func TestOrderIndependence(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
--- a/gateway/reconcile_test.go
+++ b/gateway/reconcile_test.go
@@ -132,7 +132,7 @@
 	require.Equal(t, after+1, started.view.Load().Revision)
 }
 
-// TestPeerViewOfRestoredStore: a gateway that has started after a restore hands over the older state.
+// TestPeerViewOfRestoredStore: a gateway that has started after a restore hands over the view of the older backup.
 func TestPeerViewOfRestoredStore(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	other := lifetime("i-2", 6)
--- a/gateway/retries_test.go
+++ b/gateway/retries_test.go
@@ -25,7 +25,7 @@
 }
 
 // TestRetryRecognized checks that a retry is recognized by the gateway that refused the first
-// attempt and by those that were told of it, however callers' deadlines differ.
+// attempt and by those that received its report, however callers' deadlines differ.
 func TestRetryRecognized(t *testing.T) {
 	now := time.Now()
 	here, there := newIdleGateway(t), newIdleGateway(t)
--- a/gateway/view_test.go
+++ b/gateway/view_test.go
@@ -54,11 +54,11 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := newIdleGateway(t)
-			f := g.storeWatcher
+			w := g.storeWatcher
 			now := time.Now()
-			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{readyServer("i-1")}, Revision: 3}})
-			f.applyPeerView(now, peerView{snapshot: Snapshot{Configuration: configurationVersion(2), Servers: []catalog.Server{leavingServer("i-1"), readyServer("i-2")}, Revision: 9}})
-			f.applyResult(now, test.late)
+			w.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{readyServer("i-1")}, Revision: 3}})
+			w.applyPeerView(now, peerView{snapshot: Snapshot{Configuration: configurationVersion(2), Servers: []catalog.Server{leavingServer("i-1"), readyServer("i-2")}, Revision: 9}})
+			w.applyResult(now, test.late)
 			require.Equal(t, []string{"i-1"}, g.leavingServers(), "a leaving server must not become ready again")
 			require.Len(t, g.view.Load().Servers, 2)
 			require.Equal(t, catalog.Revision(9), g.view.Load().Revision)
@@ -84,14 +84,14 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := newIdleGateway(t)
-			f := g.storeWatcher
-			f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{test.server}, Revision: 3}})
+			w := g.storeWatcher
+			w.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{test.server}, Revision: 3}})
 			if test.failed > 0 {
-				f.lastFailure = now.Add(-test.failed) // and has answered since
+				w.lastFailure = now.Add(-test.failed) // and has answered since
 			}
-			f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
+			w.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
 			require.Equal(t, test.kept, len(g.view.Load().Servers) == 1)
-			f.expireMissing(now.Add(reregistrationGrace + time.Millisecond))
+			w.expireMissing(now.Add(reregistrationGrace + time.Millisecond))
 			require.Empty(t, g.view.Load().Servers, "a server whose entry is not written again is dropped")
 		})
 	}
@@ -101,12 +101,12 @@
 func TestMissingServerReregisters(t *testing.T) {
 	now := time.Now()
 	g := newIdleGateway(t)
-	f := g.storeWatcher
-	f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{readyServer("i-1")}, Revision: 3}})
-	f.lastFailure = now
-	f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
-	f.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: readyServer("i-1")}}})
-	f.expireMissing(now.Add(time.Minute))
+	w := g.storeWatcher
+	w.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{readyServer("i-1")}, Revision: 3}})
+	w.lastFailure = now
+	w.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
+	w.applyResult(now, sourceResult{since: 4, revision: 5, changes: []Change{ServerChanged{Server: readyServer("i-1")}}})
+	w.expireMissing(now.Add(time.Minute))
 	require.Len(t, g.view.Load().Servers, 1)
 }
 
@@ -115,10 +115,10 @@
 func TestMissingServersInPeerView(t *testing.T) {
 	now := time.Now()
 	from, to := newIdleGateway(t), newIdleGateway(t)
-	f := from.storeWatcher
-	f.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{readyServer("i-1"), readyServer("i-2")}, Revision: 3}})
-	f.recordFailure(now, ErrHistoryGone)
-	f.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
+	w := from.storeWatcher
+	w.applyResult(now, sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Servers: []catalog.Server{readyServer("i-1"), readyServer("i-2")}, Revision: 3}})
+	w.recordFailure(now, ErrHistoryGone)
+	w.applyResult(now, sourceResult{since: 3, revision: 4, changes: []Change{ServerRemoved{"i-1"}}})
 	s := from.view.Load().document(now).decodeSnapshot(now)
 	s.Configuration = configurationVersion(1)
 	to.storeWatcher.applyPeerView(now, peerView{snapshot: s})
