--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -308,8 +308,8 @@
 	return ok && c.closedByCaller()
 }
 
-// closedByCaller reports whether the caller has closed the connection, without waiting for the goroutine
-// that reads it to notice.
+// closedByCaller reports whether the caller has closed the connection, without waiting for the
+// goroutine that reads it to notice.
 func (c *callerConn) closedByCaller() bool {
 	n, err := peek(c.Conn)
 	return n == 0 && err == nil || err == unix.ECONNRESET
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -35,8 +35,8 @@
 	// disappears after three to four seconds, and up to two seconds later if the store was
 	// unreachable.
 	lossRetention = 10 * time.Second
-	// callerClosedWindow is how soon after its caller has closed the connection a request
-	// is still blamed for a crash: the server may have gone on with it.
+	// callerClosedWindow is how soon after its caller has closed the connection a request is still
+	// blamed for a crash: the server may have gone on with it.
 	callerClosedWindow = 500 * time.Millisecond
 	// maxLostPerServer limits the lost requests remembered for a server.
 	maxLostPerServer = 256
--- a/gateway/dispatcher.go
+++ b/gateway/dispatcher.go
@@ -414,12 +414,12 @@
 		return s.Engine
 	})
 	d.reapplyBackoffs(now)
-	others := d.peerRunningByServer()
+	peerRunning := d.peerRunningByServer()
 	clear(d.serverIDs)
 	for _, s := range v.Servers {
 		h := hashString(s.ID)
 		d.serverIDs[h] = s.ID
-		d.balancer.SetRemoteRunning(s.ID, others[h]) // peers may have reported it before this gateway knew the server
+		d.balancer.SetRemoteRunning(s.ID, peerRunning[h]) // peers may have reported it before this gateway knew the server
 	}
 	d.setColdServers(now, v)
 	d.setRollouts(now, v)
--- a/gateway/handover_test.go
+++ b/gateway/handover_test.go
@@ -66,15 +66,15 @@
 // before.
 func TestRetriesAreShared(t *testing.T) {
 	tests := []struct {
-		othersWithoutStore int // other gateways of the hall that have lost the store
-		after              time.Duration
+		peersWithoutStore int // other gateways of the hall that have lost the store
+		after             time.Duration
 	}{{0, 200 * time.Millisecond}, {1, 200 * time.Millisecond}, {5, 600 * time.Millisecond}, {19, 2 * time.Second}, {200, 2 * time.Second}}
 	for _, test := range tests {
-		t.Run(fmt.Sprint(test.othersWithoutStore), func(t *testing.T) {
+		t.Run(fmt.Sprint(test.peersWithoutStore), func(t *testing.T) {
 			g := newIdleGateway(t)
 			r := updateReceiver{gateway: g, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
 			now := g.started.Add(time.Minute)
-			for n := range test.othersWithoutStore {
+			for n := range test.peersWithoutStore {
 				r.handle(t.Context(), now, peer.Update{From: fmt.Sprint(n), Hall: "h", Alive: true, StoreUnreachable: true})
 			}
 			r.handle(t.Context(), now, peer.Update{From: "sound", Hall: "h", Alive: true})
@@ -83,7 +83,7 @@
 			w.unreachable, w.lastQuery = true, now
 			require.False(t, w.shouldQuery(now.Add(test.after-time.Millisecond)))
 			require.True(t, w.shouldQuery(now.Add(test.after)))
-			for n := range test.othersWithoutStore {
+			for n := range test.peersWithoutStore {
 				r.handle(t.Context(), now, peer.Update{From: fmt.Sprint(n), Hall: "h", Alive: true})
 			}
 			require.Equal(t, sourceRetryInterval, w.retryInterval(), "the others reach the store again")
--- a/gateway/reconcile_test.go
+++ b/gateway/reconcile_test.go
@@ -132,7 +132,8 @@
 	require.Equal(t, after+1, started.view.Load().Revision)
 }
 
-// TestPeerViewOfRestoredStore: a gateway that has started after a restore hands over the view of the older backup.
+// TestPeerViewOfRestoredStore: a gateway that has started after a restore hands over the view of
+// the older backup.
 func TestPeerViewOfRestoredStore(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	other := lifetime("i-2", 6)
@@ -167,8 +168,8 @@
 	require.Equal(t, []string{"i-1@5"}, partitioned.availableServers())
 }
 
-// TestEvacuationAfterRestore: a hall whose evacuation the backup lacks stays evacuated until the end of
-// the reconciliation, and after that only if the operators have ordered it again.
+// TestEvacuationAfterRestore: a hall whose evacuation the backup lacks stays evacuated until the
+// end of the reconciliation, and after that only if the operators have ordered it again.
 func TestEvacuationAfterRestore(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	for _, rewritten := range []bool{true, false} {
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -36,8 +36,8 @@
 	Save(ctx context.Context, key quarantine.Key, s Suspect) error
 	// Delete removes a suspect; it need not exist.
 	Delete(ctx context.Context, key quarantine.Key) error
-	// CountTrial counts one more trial of a quarantined suspect if the stored count equals trials. It
-	// reports whether it was counted; after an error that is unknown.
+	// CountTrial counts one more trial of a quarantined suspect if the stored count equals trials.
+	// It reports whether it was counted; after an error that is unknown.
 	CountTrial(ctx context.Context, key quarantine.Key, trials int) (counted bool, err error)
 }
 
@@ -49,8 +49,8 @@
 	// minSuspectsPerSecond is what each gateway of a large fleet may report at least.
 	minSuspectsPerSecond = 4
 	// trialInterval is the time without another crash or trial before an ambiguous request is tried;
-	// by then all gateways have heard of the last one. The fleet may send a quarantined request three
-	// more times, which leaves room for maxTrials.
+	// by then all gateways have heard of the last one. The fleet may send a quarantined request
+	// three more times, which leaves room for maxTrials.
 	trialInterval = 3 * time.Second
 	maxTrials     = 2
 	// trialStagger delays the gateways one after the other, so that mostly one of them asks the
@@ -213,7 +213,8 @@
 	}
 }
 
-// crashCount returns how many servers have crashed during a request, and whether it is quarantined.
+// crashCount returns how many servers have crashed during a request, and whether it is
+// quarantined.
 func (s *suspectTracker) crashCount(key quarantine.Key) (n int, quarantined bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -260,10 +261,10 @@
 	delete(s.livePeers, address)
 }
 
-// trialDue reports whether this gateway may send a quarantined request once now: all crashes came at
-// one moment, so something else may be their cause. Gateways take turns in an order by rendezvous
-// hashing, which is the same for nearly all of them, including those that have started since and
-// know of the crashes from the store alone.
+// trialDue reports whether this gateway may send a quarantined request once now: all crashes
+// came at one moment, so something else may be their cause. Gateways take turns in an order by
+// rendezvous hashing, which is the same for nearly all of them, including those that have
+// started since and know of the crashes from the store alone.
 func (s *suspectTracker) trialDue(now time.Time, key quarantine.Key) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -287,8 +288,8 @@
 	return min(quiet, now.Sub(known.lastAt)) >= trialInterval+time.Duration(min(rank, maxTrialRank))*trialStagger
 }
 
-// claimTrial claims a trial of a quarantined request. The store counts the trials, which bounds them
-// over the fleet, whichever gateways have started since.
+// claimTrial claims a trial of a quarantined request. The store counts the trials, which bounds
+// them over the fleet, whichever gateways have started since.
 func (s *suspectTracker) claimTrial(ctx context.Context, key quarantine.Key) bool {
 	s.mutex.Lock()
 	known := s.trials[key]
--- a/gateway/suspects_restore_test.go
+++ b/gateway/suspects_restore_test.go
@@ -11,8 +11,8 @@
 	"opalbridge.dev/gateway/quarantine"
 )
 
-// TestSuspectsAfterRestore: a suspect that the backup lacks stays quarantined and is written again once, with
-// its trials; one that was deleted and is in the backup is deleted again.
+// TestSuspectsAfterRestore: a suspect that the backup lacks stays quarantined and is written
+// again once, with its trials; one that was deleted and is in the backup is deleted again.
 func TestSuspectsAfterRestore(t *testing.T) {
 	quarantined, deleted, tried := quarantine.Key{1}, quarantine.Key{2}, quarantine.Key{3}
 	record := func(trials int) quarantine.StoredRecord {
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -32,8 +32,8 @@
 
 func unchanged(*viewDocument) {}
 
-// TestSuspectsInPeerView: a gateway learns of quarantined requests from a peer's view, full or partial,
-// and keeps them when a peer's version knows of no suspects.
+// TestSuspectsInPeerView: a gateway learns of quarantined requests from a peer's view, full or
+// partial, and keeps them when a peer's version knows of no suspects.
 func TestSuspectsInPeerView(t *testing.T) {
 	now := time.Now()
 	first := sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Revision: 3, Suspects: map[quarantine.Key]quarantine.StoredRecord{{1}: {Servers: []string{"a", "b", "c"}}}}}
@@ -161,9 +161,9 @@
 	require.False(t, s.isQuarantined(quarantine.Key{1}))
 }
 
-// TestTrialsAreCounted: gateways that quarantine a request because of simultaneous crashes send it maxTrials
-// times in all, with a pause in between, even if they know the crashes from the store alone or restart
-// in between. None sends it while the store is unreachable.
+// TestTrialsAreCounted: gateways that quarantine a request because of simultaneous crashes send
+// it maxTrials times in all, with a pause in between, even if they know the crashes from the
+// store alone or restart in between. None sends it while the store is unreachable.
 func TestTrialsAreCounted(t *testing.T) {
 	node := newPeerNode(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/gateway/wait_queue_test.go
+++ b/gateway/wait_queue_test.go
@@ -212,9 +212,9 @@
 	require.Equal(t, []peer.Speed{speed}, d.learnedSpeeds())
 }
 
-// TestOthersRunning checks that the running requests of other gateways follow from full
+// TestPeerRunning checks that the running requests of other gateways follow from full
 // heartbeats and from incremental ones.
-func TestOthersRunning(t *testing.T) {
+func TestPeerRunning(t *testing.T) {
 	now := time.Now()
 	d := newTestDispatcher(t, now, 2)
 	first, second := hashString("i-0"), hashString("i-1")
