--- a/gateway/dispatcher.go
+++ b/gateway/dispatcher.go
@@ -59,7 +59,7 @@
 	livePeers atomic.Int64 // live gateways other than this one
 
 	// The fields below are owned by run.
-	lastAttemptID   uint64                     // last attempt ID issued; messages call it the ticket
+	lastAttemptID   uint64                     // last attempt ID issued
 	shareUpdates    int                        // number of times shares were recomputed
 	pending         map[uint64]*pendingAttempt // own requests without a first event, by attempt ID
 	lastHeard       map[string]time.Time       // last sign of life, by server
@@ -126,17 +126,17 @@
 	}
 	// firstEventReceived reports the first event of an attempt.
 	firstEventReceived struct {
-		ticket uint64
-		server string
+		attemptID uint64
+		server    string
 	}
 	// attemptEnded reports the end of an attempt.
 	attemptEnded struct {
-		ticket uint64
-		server string
-		end    placement.Outcome
-		route  string
-		status int           // of the server's answer; 0: none, or an incomplete answer
-		pause  time.Duration // mean time between events of a stream; 0: unknown
+		attemptID     uint64
+		server        string
+		end           placement.Outcome
+		route         string
+		status        int           // of the server's answer; 0: none, or an incomplete answer
+		eventInterval time.Duration // mean time between events of a stream; 0: unknown
 	}
 	// cacheReported reports the contents of a server's cache.
 	cacheReported struct {
@@ -191,10 +191,10 @@
 
 // requestPlacement returns the decision for a request, which may take until the request
 // leaves the wait queue. ok is false if ctx ends first.
-func (d *dispatcher) requestPlacement(ctx context.Context, a *placement.Request, repeat bool, tokens float64) (placement.Decision, bool) {
+func (d *dispatcher) requestPlacement(ctx context.Context, a *placement.Request, retry bool, tokens float64) (placement.Decision, bool) {
 	reply := make(chan placement.Decision, 1)
 	request := *a // the dispatcher may still use it after ctx has ended
-	d.send(placementRequest{request: &request, retry: repeat, tokens: tokens, done: ctx.Done(), reply: reply})
+	d.send(placementRequest{request: &request, retry: retry, tokens: tokens, done: ctx.Done(), reply: reply})
 	select {
 	case decision := <-reply:
 		*a = request // the dispatcher has filled in the account's share status
@@ -212,7 +212,7 @@
 	select {
 	case decision := <-reply:
 		if a, ok := decision.(placement.Assign); ok {
-			d.send(attemptEnded{ticket: a.ID, server: a.Server.ID, end: placement.Abandoned})
+			d.send(attemptEnded{attemptID: a.ID, server: a.Server.ID, end: placement.Abandoned})
 		}
 	case <-d.done:
 	}
@@ -344,7 +344,7 @@
 func (d *dispatcher) recordEnd(now time.Time, m attemptEnded) {
 	d.refundTokens(now, m)
 	d.recordRolloutAnswer(now, m)
-	delete(d.pending, m.ticket)
+	delete(d.pending, m.attemptID)
 	if m.end == placement.Served || m.end == placement.Rejected {
 		d.lastHeard[m.server] = now
 	}
@@ -364,7 +364,7 @@
 // server was sent 0.27 million tokens in the second in which it ended, and accounts that
 // had received nothing counted as over their share for four seconds.
 func (d *dispatcher) refundTokens(now time.Time, m attemptEnded) {
-	p := d.pending[m.ticket]
+	p := d.pending[m.attemptID]
 	if p == nil || p.account == "" {
 		return
 	}
@@ -414,12 +414,12 @@
 		return s.Engine
 	})
 	d.reapplyBackoffs(now)
-	others := d.peerRunningByServer()
+	peerRunning := d.peerRunningByServer()
 	clear(d.serverIDs)
 	for _, s := range v.Servers {
 		h := hashString(s.ID)
 		d.serverIDs[h] = s.ID
-		d.balancer.SetRemoteRunning(s.ID, others[h]) // peers may have reported it before this gateway knew the server
+		d.balancer.SetRemoteRunning(s.ID, peerRunning[h]) // peers may have reported it before this gateway knew the server
 	}
 	d.setColdServers(now, v)
 	d.setRollouts(now, v)
--- a/gateway/dispatcher_rollout.go
+++ b/gateway/dispatcher_rollout.go
@@ -60,7 +60,7 @@
 	wantedState                            rollout.State
 	reportedBad                            uint32
 	reportedStage                          rollout.Stage
-	pending                                map[uint64]*pendingAnswer // requests in flight, by ticket
+	pending                                map[uint64]*pendingAnswer // requests in flight, by attempt ID
 }
 
 // pendingAnswer is a request in flight whose answer will be evaluated.
@@ -308,7 +308,7 @@
 }
 
 // targetAccepts reports whether a decision made for the target version is used. While the
-// target gets only a part of the requests, one that it can't serve at once goes to the
+// target gets only a part of the requests, one that it cannot serve at once goes to the
 // others. When all requests go to the target, one goes to the others only if none of its
 // servers takes work.
 func (s *serviceRollout) targetAccepts(decision placement.Decision) bool {
@@ -336,8 +336,8 @@
 // recordRolloutAnswer records the end of a request.
 func (d *dispatcher) recordRolloutAnswer(now time.Time, m attemptEnded) {
 	for _, s := range d.rollouts {
-		if p := s.pending[m.ticket]; p != nil {
-			delete(s.pending, m.ticket)
+		if p := s.pending[m.attemptID]; p != nil {
+			delete(s.pending, m.attemptID)
 			s.recordAnswer(now, p, m)
 		}
 	}
@@ -348,7 +348,7 @@
 	if m.status == 0 || s.rollout == nil {
 		return
 	}
-	a := rollout.Answer{Failed: m.status >= minFailureStatus, EventInterval: m.pause, RelativeLatency: now.Sub(p.sentAt).Seconds()}
+	a := rollout.Answer{Failed: m.status >= minFailureStatus, EventInterval: m.eventInterval, RelativeLatency: now.Sub(p.sentAt).Seconds()}
 	if p.nominal > 0 {
 		a.RelativeLatency = 0
 		if p.firstEvent > 0 {
@@ -362,9 +362,9 @@
 const minFailureStatus = 500
 
 // recordRolloutFirstEvent records the first event of a request.
-func (d *dispatcher) recordRolloutFirstEvent(now time.Time, ticket uint64) {
+func (d *dispatcher) recordRolloutFirstEvent(now time.Time, attemptID uint64) {
 	for _, s := range d.rollouts {
-		if p := s.pending[ticket]; p != nil {
+		if p := s.pending[attemptID]; p != nil {
 			p.firstEvent = now.Sub(p.sentAt)
 		}
 	}
@@ -389,13 +389,13 @@
 
 // encodeReport encodes what this gateway has seen of a rollout; bad is the number of bad
 // answers of the target version.
-func encodeReport(now time.Time, w *rollout.Rollout) (r *peerpb.Rollout, bad uint32) {
-	r = &peerpb.Rollout{Order: uint64(w.Revision), Stage: uint32(w.Stage()), AgeMs: uint32(max(now.Sub(w.OrderedAt), 0).Milliseconds())}
-	for cell, n := range w.Report() {
+func encodeReport(now time.Time, ro *rollout.Rollout) (r *peerpb.Rollout, bad uint32) {
+	r = &peerpb.Rollout{Order: uint64(ro.Revision), Stage: uint32(ro.Stage()), AgeMs: uint32(max(now.Sub(ro.OrderedAt), 0).Milliseconds())}
+	for key, n := range ro.Report() {
 		r.Answers = append(r.Answers, &peerpb.Answers{
-			Route: cell.Route, Server: cell.Server, Target: cell.Target, Answers: n.Answers, Failed: n.Failed, Slow: n.Slow,
+			Route: key.Route, Server: key.Server, Target: key.Target, Answers: n.Answers, Failed: n.Failed, Slow: n.Slow,
 		})
-		if cell.Target {
+		if key.Target {
 			bad += n.Failed + n.Slow
 		}
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -49,11 +49,11 @@
 	ReadyListener  net.Listener // health checks of the load balancer
 	ReadyPath      string
 	PeerListener   net.Listener // requests of other gateways, on the address of Peer
-	Peer           peer.Options // State and Failed are set by New
+	Peer           peer.Options // Hall, State and OnError are set by New
 	Source         Source
 	Caches         Caches       // nil: servers do not report the contents of their caches
 	Claims         ClaimStore   // nil: cold servers get no requests
-	Rollouts       RolloutStore // nil: the progress of roll-outs is not reported to operators
+	Rollouts       RolloutStore // nil: the progress of rollouts is not reported to operators
 	Suspects       SuspectStore // nil: requests that crashed servers are not remembered once all gateways have restarted
 	Codec          protocol.Codec
 	Dispatcher     DispatcherOptions
@@ -101,7 +101,7 @@
 	storeWatcher          *storeWatcher
 	viewCache             viewCache
 	claims                chan warmup.Claim       // claims to be written to the store
-	statusWrites          chan rolloutStatusWrite // roll-out states to be reported to the operators
+	statusWrites          chan rolloutStatusWrite // rollout statuses to be reported to the operators
 	crashes               *crashDetector
 	suspects              *suspectTracker
 	activeCalls           *activeCalls
@@ -228,7 +228,7 @@
 	v := g.view.Load()
 	s := Status{StoreEra: v.Revision.Era(), ViewAge: time.Since(g.confirmedAt()), Servers: len(v.Servers), Peers: int(g.dispatcher.livePeers.Load()), Active: int(g.active.Load()), SchedulingDelay: time.Duration(g.overload.delay.Load()), AdmittedShare: g.overload.admittedShare()}
 	s.AnnouncedLeaving, s.BackingOff = g.signals.count(time.Now())
-	s.Suspects, s.Quarantined = int(g.suspects.suspectCount.Load()), g.suspects.barredCount()
+	s.Suspects, s.Quarantined = int(g.suspects.suspectCount.Load()), g.suspects.quarantinedCount()
 	if v.Configuration != nil {
 		s.ConfigurationVersion = v.Configuration.Version
 	}
--- a/gateway/handoff/handoff.go
+++ b/gateway/handoff/handoff.go
@@ -7,13 +7,13 @@
 //
 //	f := handoff.NewForwarder()
 //	defer f.Close()
-//	err := f.Carry(ctx, "10.1.0.34:7400", conn) // until the connection has ended
+//	err := f.Forward(ctx, "10.1.0.34:7400", conn) // until the connection has ended
 //
 // At the other gateway, with a hijacked connection that requested [Path]:
 //
 //	l := handoff.NewListener(address)
 //	go server.Serve(l)
-//	err := l.Link(ctx, hijacked) // until the link has ended
+//	err := l.ServeLink(ctx, hijacked) // until the link has ended
 //
 // A link that breaks ends its connections, just as a gateway that dies does. A caller that has
 // not received any byte of a response gets a 502, since its request may have run.
@@ -116,9 +116,9 @@
 	}
 }
 
-// Carry forwards a caller's connection to the gateway at an address until it has ended, and
+// Forward forwards a caller's connection to the gateway at an address until it has ended, and
 // closes it. If it returns ErrNotForwarded, the connection is still open and untouched.
-func (f *Forwarder) Carry(ctx context.Context, address string, conn net.Conn) error {
+func (f *Forwarder) Forward(ctx context.Context, address string, conn net.Conn) error {
 	stream, err := f.openStream(ctx, address)
 	if err != nil {
 		return errors.CombineErrors(ErrNotForwarded, err)
@@ -212,7 +212,7 @@
 // CloseChecker is a connection that can tell, without reading, whether its caller has closed it.
 // It is checked before each chunk of a request is forwarded, so that a request whose caller
 // disconnected while it was queued here is never forwarded in full.
-type CloseChecker interface{ Left() bool }
+type CloseChecker interface{ CallerClosed() bool }
 
 // tunnel copies bytes between a caller and a stream.
 type tunnel struct {
@@ -238,7 +238,7 @@
 	_ = t.caller.SetReadDeadline(time.Unix(1, 0))
 	<-requestDone
 	if t.requestSent && !responded && !t.callerClosed() {
-		// A caller that has gone cannot be told.
+		// A caller that has gone gets no response.
 		_, _ = io.WriteString(t.caller, badGatewayResponse)
 	}
 	t.caller.Close()
@@ -265,7 +265,7 @@
 	defer requestBuffers.Put(chunk)
 	for {
 		n, err := t.caller.Read(chunk[:])
-		if l, ok := t.caller.(CloseChecker); ok && n > 0 && l.Left() {
+		if l, ok := t.caller.(CloseChecker); ok && n > 0 && l.CallerClosed() {
 			t.stream.Close()
 			return
 		}
--- a/gateway/peer/relay.go
+++ b/gateway/peer/relay.go
@@ -28,7 +28,7 @@
 	fallbackRelaysPerHall = 4
 	// A relay forwards pending beacons with this delay per live gateway after the first one, up
 	// to maxBundleDelay. With 100 gateways it then sends 70 bundles a second to each gateway of
-	// its hall, and news from another hall is 20 ms old.
+	// its hall, and beacons from another hall are 20 ms old.
 	bundleDelayPerPeer = 150 * time.Microsecond
 	maxBundleDelay     = 15 * time.Millisecond
 	// Size of the beacons in one datagram, in bytes; further ones go into another datagram.
@@ -162,7 +162,7 @@
 			r.relaySince = now
 		}
 		r.relayRound = round
-		if now.Sub(later(r.lastDirect, r.relaySince)) > relayTimeout {
+		if now.Sub(latest(r.lastDirect, r.relaySince)) > relayTimeout {
 			r.relayExcludedUntil = now.Add(relayExclusionTime)
 			continue
 		}
@@ -176,7 +176,7 @@
 func (n *Node) checkRelays(now time.Time) {
 	unresponsive := func(a netip.Addr) bool {
 		r := n.peers[a]
-		return r == nil || now.Sub(later(r.lastDirect, r.relaySince)) > relayTimeout
+		return r == nil || now.Sub(latest(r.lastDirect, r.relaySince)) > relayTimeout
 	}
 	if !slices.ContainsFunc(n.relays.ownHallRelays, unresponsive) {
 		return
--- a/gateway/quarantine/quarantine.go
+++ b/gateway/quarantine/quarantine.go
@@ -11,8 +11,8 @@
 // flight when several servers crash at once.
 //
 // A [Registry] holds only sets that grow: pairs of a request and a crashed server, and pairs
-// that no longer count. News that arrives twice, late or out of order therefore makes no
-// difference, and gateways that have received the same news quarantine the same requests.
+// that no longer count. A report that arrives twice, late or out of order therefore makes no
+// difference, and gateways that have received the same reports quarantine the same requests.
 //
 // # Usage
 //
@@ -95,12 +95,12 @@
 type StoredRecord struct {
 	Servers      []string `json:"servers"`           // that crashed
 	Simultaneous bool     `json:"at_once,omitempty"` // all crashes but at most one came at the same time
-	Probes       int      `json:"tries,omitempty"`   // number of times it was sent although quarantined
+	Trials       int      `json:"tries,omitempty"`   // number of times it was sent although quarantined
 }
 
 // Equal reports whether both records hold the same values.
 func (r StoredRecord) Equal(o StoredRecord) bool {
-	return r.Simultaneous == o.Simultaneous && r.Probes == o.Probes && slices.Equal(r.Servers, o.Servers)
+	return r.Simultaneous == o.Simultaneous && r.Trials == o.Trials && slices.Equal(r.Servers, o.Servers)
 }
 
 // Merge returns the union of both records. The crashes count as simultaneous only if both
@@ -109,7 +109,7 @@
 	if len(o.Servers) == 0 {
 		return r
 	}
-	merged := StoredRecord{Servers: slices.Clone(r.Servers), Simultaneous: r.Simultaneous && o.Simultaneous, Probes: max(r.Probes, o.Probes)}
+	merged := StoredRecord{Servers: slices.Clone(r.Servers), Simultaneous: r.Simultaneous && o.Simultaneous, Trials: max(r.Trials, o.Trials)}
 	for _, server := range o.Servers {
 		if !slices.Contains(merged.Servers, server) {
 			merged.Servers = append(merged.Servers, server)
@@ -210,7 +210,7 @@
 }
 
 // Clear stops counting the crashes of these servers for a request, as another gateway found that
-// it did not cause them. Later news of the same crashes is ignored too.
+// it did not cause them. Later reports of the same crashes are ignored too.
 func (r *Registry) Clear(k Key, servers []string) {
 	s := r.suspects[k]
 	if s == nil {
--- a/gateway/reconcile_test.go
+++ b/gateway/reconcile_test.go
@@ -120,19 +120,20 @@
 	transferView(t, now, started, longRunning, unchanged)
 	require.Equal(t, uint64(7), longRunning.view.Load().Configuration.Version)
 
-	h := updateReceiver{gateway: started, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
+	r := updateReceiver{gateway: started, halls: map[string]string{}, withoutStore: map[string]bool{}, fetched: make(chan struct{}, 1)}
 	for range 4 {
 		now = now.Add(handoverDelay / 2)
-		h.handle(t.Context(), now, peer.Update{From: "127.0.0.9", Hall: "other", Alive: true, StoreRevision: after, ConfigurationVersion: 7})
+		r.handle(t.Context(), now, peer.Update{From: "127.0.0.9", Hall: "other", Alive: true, StoreRevision: after, ConfigurationVersion: 7})
 	}
-	require.True(t, h.fetching, "the peer knows a newer configuration")
-	<-h.fetched
+	require.True(t, r.fetching, "the peer knows a newer configuration")
+	<-r.fetched
 	transferView(t, now, longRunning, started, func(d *viewDocument) { require.True(t, d.Partial, "only the configuration is sent") })
 	require.Equal(t, uint64(7), started.view.Load().Configuration.Version)
 	require.Equal(t, after+1, started.view.Load().Revision)
 }
 
-// TestPeerViewOfRestoredStore: a gateway that has started after a restore hands over the older copy.
+// TestPeerViewOfRestoredStore: a gateway that has started after a restore hands over the view of
+// the older backup.
 func TestPeerViewOfRestoredStore(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	other := lifetime("i-2", 6)
@@ -146,7 +147,7 @@
 		started.storeWatcher.applyResult(now, listResult(after+1, 5, testServer()))
 		transferView(t, now, started, longRunning, unchanged)
 		require.Equal(t, after+1, longRunning.view.Load().Revision)
-		require.Equal(t, []string{"i-2@6"}, longRunning.availableServers(), "i-1 is leaving, i-2 is not in the copy")
+		require.Equal(t, []string{"i-2@6"}, longRunning.availableServers(), "i-1 is leaving, i-2 is not in the backup")
 		longRunning.storeWatcher.expireMissing(now.Add(reconcilePeriod + time.Millisecond))
 		require.Empty(t, longRunning.availableServers(), "i-2 was not written again")
 	}
@@ -167,8 +168,8 @@
 	require.Equal(t, []string{"i-1@5"}, partitioned.availableServers())
 }
 
-// TestEvacuationAfterRestore: a hall whose evacuation the copy lacks stays evacuated until the end of
-// the reconciliation, and after that only if the operators have ordered it again.
+// TestEvacuationAfterRestore: a hall whose evacuation the backup lacks stays evacuated until the
+// end of the reconciliation, and after that only if the operators have ordered it again.
 func TestEvacuationAfterRestore(t *testing.T) {
 	before, after := catalog.NewRevision(1, 90), catalog.NewRevision(2, 80)
 	for _, rewritten := range []bool{true, false} {
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -15,8 +15,8 @@
 
 // This file protects the fleet from requests that crash servers. Such a request arrives as a
 // valid first attempt each time, at any gateway, and would crash server after server (platform:
-// TestRequestThatEndsServers). crashes.go detects which servers have crashed, and package
-// quarantine decides which requests are barred.
+// TestRequestThatCrashesServers). crashes.go detects which servers have crashed, and package
+// quarantine decides which requests are quarantined.
 //
 // What one gateway has seen reaches the others in two ways, so that either may fail: by beacons,
 // within milliseconds, and, for requests during which two servers or more have crashed, by the
@@ -27,7 +27,7 @@
 	Summary      string   // description of the request, for operators
 	Servers      []string // lifetimes that crashed
 	Simultaneous bool     // they crashed at one moment, but for one at most
-	Trials       int      // times that it was sent although barred
+	Trials       int      // times that it was sent although quarantined
 }
 
 // SuspectStore stores suspects where all gateways see the same ones, until they are deleted.
@@ -36,8 +36,8 @@
 	Save(ctx context.Context, key quarantine.Key, s Suspect) error
 	// Delete removes a suspect; it need not exist.
 	Delete(ctx context.Context, key quarantine.Key) error
-	// CountTrial counts one more trial of a barred suspect if the stored count equals trials. It
-	// reports whether it was counted; after an error that is unknown.
+	// CountTrial counts one more trial of a quarantined suspect if the stored count equals trials.
+	// It reports whether it was counted; after an error that is unknown.
 	CountTrial(ctx context.Context, key quarantine.Key, trials int) (counted bool, err error)
 }
 
@@ -49,8 +49,8 @@
 	// minSuspectsPerSecond is what each gateway of a large fleet may report at least.
 	minSuspectsPerSecond = 4
 	// trialInterval is the time without another crash or trial before an ambiguous request is tried;
-	// by then all gateways have heard of the last one. The fleet may send a barred request three
-	// more times, which leaves room for maxTrials.
+	// by then all gateways have heard of the last one. The fleet may send a quarantined request
+	// three more times, which leaves room for maxTrials.
 	trialInterval = 3 * time.Second
 	maxTrials     = 2
 	// trialStagger delays the gateways one after the other, so that mostly one of them asks the
@@ -68,20 +68,20 @@
 
 // suspectTracker tracks requests during which servers have crashed. It is safe for concurrent use.
 type suspectTracker struct {
-	log          zerolog.Logger
-	peers        *peer.Node
-	address      string        // IP address of this gateway
-	store        SuspectStore  // nil: nothing is stored, and barred requests are not tried
-	fleetSize    func() int    // number of live gateways
-	writerWake   chan struct{} // there is something to write
-	newlyBarred  chan struct{} // a request has been barred
-	suspectCount atomic.Int64  // requests in the registry; if 0, lookups are skipped
+	log              zerolog.Logger
+	peers            *peer.Node
+	address          string        // IP address of this gateway
+	store            SuspectStore  // nil: nothing is stored, and quarantined requests are not tried
+	fleetSize        func() int    // number of live gateways
+	writerWake       chan struct{} // there is something to write
+	newlyQuarantined chan struct{} // a request has been quarantined
+	suspectCount     atomic.Int64  // requests in the registry; if 0, lookups are skipped
 
 	mutex         sync.Mutex
 	registry      *quarantine.Registry
 	recentAnswers quarantine.RecentAnswers      // answered by this gateway
 	ownWrites     map[quarantine.Key]bool       // stored by this gateway
-	trials        map[quarantine.Key]trialState // of barred requests
+	trials        map[quarantine.Key]trialState // of quarantined requests
 	livePeers     map[string]bool               // by address
 	summaries     map[quarantine.Key]string     // descriptions of suspects that this gateway has seen, for requests with two crashes or more
 	pendingWrites map[quarantine.Key]bool       // to be written to the store
@@ -92,12 +92,12 @@
 
 func newSuspectTracker(log zerolog.Logger, address string, fleetSize func() int) *suspectTracker {
 	return &suspectTracker{
-		log: log, address: address, fleetSize: fleetSize, writerWake: make(chan struct{}, 1), newlyBarred: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
+		log: log, address: address, fleetSize: fleetSize, writerWake: make(chan struct{}, 1), newlyQuarantined: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
 		ownWrites: map[quarantine.Key]bool{}, trials: map[quarantine.Key]trialState{}, livePeers: map[string]bool{}, summaries: map[quarantine.Key]string{}, pendingWrites: map[quarantine.Key]bool{}, rewriteAt: map[quarantine.Key]time.Time{},
 	}
 }
 
-// trialState counts, over the fleet, how often a barred request was sent.
+// trialState counts, over the fleet, how often a quarantined request was sent.
 type trialState struct {
 	count    int
 	lastAt   time.Time // when this gateway heard of the last trial, or failed to claim one
@@ -153,16 +153,16 @@
 	if now.Sub(s.windowStart) >= time.Second {
 		s.windowStart, s.reported = now, 0
 	}
-	left := max(maxFleetSuspectsPerSecond/max(s.fleetSize(), 1), minSuspectsPerSecond) - s.reported
+	remaining := max(maxFleetSuspectsPerSecond/max(s.fleetSize(), 1), minSuspectsPerSecond) - s.reported
 	e := peer.Crash{Server: server}
 	for _, k := range repeated {
 		e.Suspects = append(e.Suspects, peer.Key(k))
 	}
 	for _, k := range keys {
-		if left > 0 && !slices.Contains(repeated, k) {
+		if remaining > 0 && !slices.Contains(repeated, k) {
 			e.Suspects = append(e.Suspects, peer.Key(k))
 			s.reported++
-			left--
+			remaining--
 		}
 	}
 	s.peers.PublishCrash(e)
@@ -179,21 +179,21 @@
 		}
 		event.Str("event", "request.barred").Msg("request is barred from all servers")
 		select {
-		case s.newlyBarred <- struct{}{}:
-		default: // the reader looks at all barred requests
+		case s.newlyQuarantined <- struct{}{}:
+		default: // the reader looks at all quarantined requests
 		}
 	}
 	s.suspectCount.Store(int64(s.registry.Len()))
 }
 
 // applyPeerReports applies what a peer reports.
-func (s *suspectTracker) applyPeerReports(now time.Time, ends []peer.Crash, answered []peer.Cleared) {
-	if len(ends)+len(answered) == 0 {
+func (s *suspectTracker) applyPeerReports(now time.Time, crashes []peer.Crash, cleared []peer.Cleared) {
+	if len(crashes)+len(cleared) == 0 {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, e := range ends {
+	for _, e := range crashes {
 		keys := make([]quarantine.Key, 0, len(e.Suspects))
 		for _, k := range e.Suspects {
 			if s.recentAnswers.Contains(now, quarantine.Key(k)) {
@@ -204,7 +204,7 @@
 		}
 		s.reportChanged(s.registry.AddCrash(now, e.Server, keys), e.Server)
 	}
-	for _, a := range answered {
+	for _, a := range cleared {
 		k := quarantine.Key(a.Key)
 		s.registry.Clear(k, a.Servers)
 		if _, repeated := s.registry.Record(k); !repeated && s.ownWrites[k] {
@@ -213,8 +213,9 @@
 	}
 }
 
-// crashCount returns how many servers have crashed during a request, and whether it is barred.
-func (s *suspectTracker) crashCount(key quarantine.Key) (n int, barred bool) {
+// crashCount returns how many servers have crashed during a request, and whether it is
+// quarantined.
+func (s *suspectTracker) crashCount(key quarantine.Key) (n int, quarantined bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.registry.CrashCount(key), s.registry.IsQuarantined(key)
@@ -260,10 +261,10 @@
 	delete(s.livePeers, address)
 }
 
-// trialDue reports whether this gateway may send a barred request once now: all crashes came at
-// one moment, so something else may be their cause. Gateways take turns in an order by rendezvous
-// hashing, which is the same for nearly all of them, including those that have started since and
-// know of the crashes from the store alone.
+// trialDue reports whether this gateway may send a quarantined request once now: all crashes
+// came at one moment, so something else may be their cause. Gateways take turns in an order by
+// rendezvous hashing, which is the same for nearly all of them, including those that have
+// started since and know of the crashes from the store alone.
 func (s *suspectTracker) trialDue(now time.Time, key quarantine.Key) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -287,8 +288,8 @@
 	return min(quiet, now.Sub(known.lastAt)) >= trialInterval+time.Duration(min(rank, maxTrialRank))*trialStagger
 }
 
-// claimTrial claims a trial of a barred request. The store counts the trials, which bounds them
-// over the fleet, whichever gateways have started since.
+// claimTrial claims a trial of a quarantined request. The store counts the trials, which bounds
+// them over the fleet, whichever gateways have started since.
 func (s *suspectTracker) claimTrial(ctx context.Context, key quarantine.Key) bool {
 	s.mutex.Lock()
 	known := s.trials[key]
@@ -317,14 +318,14 @@
 	return true
 }
 
-// isBarred reports whether a request is barred.
-func (s *suspectTracker) isBarred(key quarantine.Key) bool {
-	_, barred := s.crashCount(key)
-	return barred
+// isQuarantined reports whether a request is quarantined.
+func (s *suspectTracker) isQuarantined(key quarantine.Key) bool {
+	_, quarantined := s.crashCount(key)
+	return quarantined
 }
 
-// barredCount returns the number of barred requests.
-func (s *suspectTracker) barredCount() int {
+// quarantinedCount returns the number of quarantined requests.
+func (s *suspectTracker) quarantinedCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.registry.CountQuarantined()
--- a/gateway/suspects_store.go
+++ b/gateway/suspects_store.go
@@ -18,8 +18,8 @@
 	defer s.mutex.Unlock()
 	for k, record := range stored {
 		changed := s.registry.Merge(now, k, record)
-		if known := s.trials[k]; record.Probes != known.count {
-			known.count, known.lastAt = record.Probes, now // fewer: it was deleted and stored again
+		if known := s.trials[k]; record.Trials != known.count {
+			known.count, known.lastAt = record.Trials, now // fewer: it was deleted and stored again
 			s.trials[k] = known
 		}
 		if s.recentAnswers.Contains(now, k) {
@@ -88,31 +88,31 @@
 		return
 	}
 	r, _ := s.registry.Record(key)
-	known := quarantine.StoredRecord{Servers: r.Servers, Simultaneous: r.Simultaneous, Probes: s.trials[key].count}
-	if len(stored.Merge(known).Servers) == len(stored.Servers) && known.Probes <= stored.Probes {
+	known := quarantine.StoredRecord{Servers: r.Servers, Simultaneous: r.Simultaneous, Trials: s.trials[key].count}
+	if len(stored.Merge(known).Servers) == len(stored.Servers) && known.Trials <= stored.Trials {
 		delete(s.rewriteAt, key)
 	}
 }
 
 // setSuspect applies a suspect's stored state.
-func (f *storeWatcher) setSuspect(key quarantine.Key, stored quarantine.StoredRecord) {
-	delete(f.tombstones.suspects, key)
-	f.gateway.suspects.cancelRewriteIfStored(key, stored)
-	f.suspectChanges.add(f.changeRevision, key.String())
-	changed := make(map[quarantine.Key]quarantine.StoredRecord, len(f.suspects)+1)
-	maps.Copy(changed, f.suspects)
+func (w *storeWatcher) setSuspect(key quarantine.Key, stored quarantine.StoredRecord) {
+	delete(w.tombstones.suspects, key)
+	w.gateway.suspects.cancelRewriteIfStored(key, stored)
+	w.suspectChanges.add(w.changeRevision, key.String())
+	changed := make(map[quarantine.Key]quarantine.StoredRecord, len(w.suspects)+1)
+	maps.Copy(changed, w.suspects)
 	changed[key] = stored
-	f.suspects, f.suspectsChanged = changed, true
+	w.suspects, w.suspectsChanged = changed, true
 }
 
 // removeSuspect applies the removal of a suspect from the store.
-func (f *storeWatcher) removeSuspect(key quarantine.Key) {
-	f.tombstones.addSuspect(f.applyTime, key)
-	f.gateway.suspects.cancelRewriteIfStored(key, quarantine.StoredRecord{})
-	f.suspectChanges.add(f.changeRevision, key.String())
-	changed := maps.Clone(f.suspects)
+func (w *storeWatcher) removeSuspect(key quarantine.Key) {
+	w.tombstones.addSuspect(w.applyTime, key)
+	w.gateway.suspects.cancelRewriteIfStored(key, quarantine.StoredRecord{})
+	w.suspectChanges.add(w.changeRevision, key.String())
+	changed := maps.Clone(w.suspects)
 	delete(changed, key)
-	f.suspects, f.suspectsChanged = changed, true
+	w.suspects, w.suspectsChanged = changed, true
 }
 
 func (s *suspectTracker) wakeWriter() {
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -24,36 +24,36 @@
 	var d viewDocument
 	require.NoError(t, json.Unmarshal(raw, &d))
 	change(&d)
-	h := d.peerView(now)
-	h.from = "x"
-	h.snapshot.Configuration = from.view.Load().Configuration
-	to.storeWatcher.applyPeerView(now, h)
+	p := d.peerView(now)
+	p.from = "x"
+	p.snapshot.Configuration = from.view.Load().Configuration
+	to.storeWatcher.applyPeerView(now, p)
 }
 
 func unchanged(*viewDocument) {}
 
-// TestSuspectsInPeerView: a gateway learns of barred requests from a peer's view, whole or partial,
-// and keeps them when a peer's version knows of no suspects.
+// TestSuspectsInPeerView: a gateway learns of quarantined requests from a peer's view, full or
+// partial, and keeps them when a peer's version knows of no suspects.
 func TestSuspectsInPeerView(t *testing.T) {
 	now := time.Now()
 	first := sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Revision: 3, Suspects: map[quarantine.Key]quarantine.StoredRecord{{1}: {Servers: []string{"a", "b", "c"}}}}}
 	from, to := newIdleGateway(t), newIdleGateway(t)
 	from.storeWatcher.applyResult(now, first)
 	transferView(t, now, from, to, unchanged)
-	require.True(t, to.suspects.isBarred(quarantine.Key{1}), "whole view")
+	require.True(t, to.suspects.isQuarantined(quarantine.Key{1}), "full view")
 	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
-		SuspectChanged{Key: quarantine.Key{2}, Record: quarantine.StoredRecord{Servers: []string{"a", "b", "d"}, Simultaneous: true, Probes: 1}}, SuspectRemoved{Key: quarantine.Key{1}},
+		SuspectChanged{Key: quarantine.Key{2}, Record: quarantine.StoredRecord{Servers: []string{"a", "b", "d"}, Simultaneous: true, Trials: 1}}, SuspectRemoved{Key: quarantine.Key{1}},
 	}})
 	transferView(t, now, from, to, func(d *viewDocument) { require.True(t, d.Partial) })
-	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
+	require.True(t, to.suspects.isQuarantined(quarantine.Key{2}))
 	require.Equal(t, from.view.Load().Suspects, to.view.Load().Suspects, "including ambiguous suspects")
-	require.False(t, to.suspects.isBarred(quarantine.Key{1}), "the suspect was removed")
+	require.False(t, to.suspects.isQuarantined(quarantine.Key{1}), "the suspect was removed")
 	from.storeWatcher.applyResult(now, sourceResult{since: 5, revision: 7, changes: []Change{ServerChanged{Server: readyServer("i-1")}}})
 	transferView(t, now, from, to, func(d *viewDocument) {
 		*d = viewDocument{Servers: d.Servers, Revision: d.Revision}
 	})
 	require.Equal(t, []string{"i-1"}, to.serverIDs())
-	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
+	require.True(t, to.suspects.isQuarantined(quarantine.Key{2}))
 }
 
 // faultyStore stores suspects and can be made unreachable.
@@ -62,7 +62,7 @@
 	unreachable bool
 	calls       int
 	saved       map[quarantine.Key]Suspect
-	trials      map[quarantine.Key]int // by barred request
+	trials      map[quarantine.Key]int // by quarantined request
 }
 
 func (f *faultyStore) do(use func()) error {
@@ -138,8 +138,8 @@
 		n, _ := kept()
 		return n == 0
 	}, 5*time.Second, 5*time.Millisecond)
-	_, barred := s.crashCount(quarantine.Key{1})
-	require.False(t, barred)
+	_, quarantined := s.crashCount(quarantine.Key{1})
+	require.False(t, quarantined)
 }
 
 // TestSuspectsFromPeers: peers' reports count, except for requests that this gateway has answered
@@ -153,17 +153,17 @@
 		at := now.Add(time.Duration(n) * time.Second)
 		s.applyPeerReports(at, []peer.Crash{{Server: server, Suspects: []peer.Key{{1}, {2}}}}, nil)
 	}
-	require.True(t, s.isBarred(quarantine.Key{1}))
+	require.True(t, s.isQuarantined(quarantine.Key{1}))
 	n, _ := s.crashCount(quarantine.Key{2})
 	require.Zero(t, n)
 	require.False(t, s.trialDue(now.Add(time.Minute), quarantine.Key{1}), "the crashes did not come at once")
 	s.applyPeerReports(now, nil, []peer.Cleared{{Key: peer.Key{1}, Servers: []string{"i-2"}}})
-	require.False(t, s.isBarred(quarantine.Key{1}))
+	require.False(t, s.isQuarantined(quarantine.Key{1}))
 }
 
-// TestTrialsAreCounted: gateways that bar a request because of simultaneous crashes send it maxTrials
-// times in all, with a pause in between, even if they know the crashes from the store alone or restart
-// in between. None sends it while the store is unreachable.
+// TestTrialsAreCounted: gateways that quarantine a request because of simultaneous crashes send
+// it maxTrials times in all, with a pause in between, even if they know the crashes from the
+// store alone or restart in between. None sends it while the store is unreachable.
 func TestTrialsAreCounted(t *testing.T) {
 	node := newPeerNode(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -171,7 +171,7 @@
 		store := &faultyStore{trials: map[quarantine.Key]int{}}
 		addresses := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 		kept := func() quarantine.StoredRecord {
-			return quarantine.StoredRecord{Servers: []string{"i-1", "i-2", "i-3"}, Simultaneous: true, Probes: store.trials[key]}
+			return quarantine.StoredRecord{Servers: []string{"i-1", "i-2", "i-3"}, Simultaneous: true, Trials: store.trials[key]}
 		}
 		start := func(own string) *suspectTracker {
 			s := newSuspectTracker(zerolog.Nop(), own, func() int { return len(addresses) })
@@ -219,7 +219,7 @@
 		s := newSuspectTracker(zerolog.Nop(), "10.0.0.1", func() int { return 1 })
 		s.store, s.peers = store, node
 		kept := func(trials int, servers ...string) map[quarantine.Key]quarantine.StoredRecord {
-			return map[quarantine.Key]quarantine.StoredRecord{key: {Servers: servers, Simultaneous: true, Probes: trials}}
+			return map[quarantine.Key]quarantine.StoredRecord{key: {Servers: servers, Simultaneous: true, Trials: trials}}
 		}
 		before, after := kept(2, "i-1", "i-2", "i-3"), kept(0, "i-4", "i-5", "i-6")
 		s.applyStored(time.Now(), nil, before, false)
