--- a/operator/operatorpb/operatorpbconnect/operator.connect.go
+++ b/operator/operatorpb/operatorpbconnect/operator.connect.go
@@ -2,8 +2,8 @@
 //
 // Source: operator.proto
 
-// The operators' only way in. Every router serves it; every call needs the
-// operators' token in the Authorization header.
+// The only interface for operators. Every router serves it. Every call requires
+// the operators' token in the Authorization header.
 package operatorpbconnect
 
 import (
@@ -64,11 +64,12 @@
 type OperatorClient interface {
 	// GetConfiguration returns the accepted configuration and its revision.
 	GetConfiguration(context.Context, *connect.Request[operatorpb.GetConfigurationRequest]) (*connect.Response[operatorpb.Configuration], error)
-	// CreateAccount adds a client account and returns its key, once.
+	// CreateAccount adds a client account and returns its key, which
+	// cannot be retrieved later.
 	CreateAccount(context.Context, *connect.Request[operatorpb.CreateAccountRequest]) (*connect.Response[operatorpb.CreateAccountResponse], error)
 	// UpdateAccount changes the share, limits or state of an account.
 	UpdateAccount(context.Context, *connect.Request[operatorpb.UpdateAccountRequest]) (*connect.Response[operatorpb.Changed], error)
-	// RotateKey gives an account a new key; the old one stays valid for a while.
+	// RotateKey gives an account a new key. The old one stays valid for one hour.
 	RotateKey(context.Context, *connect.Request[operatorpb.RotateKeyRequest]) (*connect.Response[operatorpb.CreateAccountResponse], error)
 	// PutPool adds or replaces a pool.
 	PutPool(context.Context, *connect.Request[operatorpb.PutPoolRequest]) (*connect.Response[operatorpb.Changed], error)
@@ -80,9 +81,9 @@
 	DeleteServer(context.Context, *connect.Request[operatorpb.DeleteServerRequest]) (*connect.Response[operatorpb.Changed], error)
 	// PutLimits replaces the fleet's limits.
 	PutLimits(context.Context, *connect.Request[operatorpb.PutLimitsRequest]) (*connect.Response[operatorpb.Changed], error)
-	// Status shows the fleet, as far as the answering router sees it.
+	// Status returns the state of the fleet as seen by the responding router.
 	Status(context.Context, *connect.Request[operatorpb.StatusRequest]) (*connect.Response[operatorpb.StatusResponse], error)
-	// Explain puts together what the fleet recorded about a request or account.
+	// Explain collects the events recorded by the fleet about a request or account.
 	Explain(context.Context, *connect.Request[operatorpb.ExplainRequest]) (*connect.Response[operatorpb.ExplainResponse], error)
 }
 
@@ -240,11 +241,12 @@
 type OperatorHandler interface {
 	// GetConfiguration returns the accepted configuration and its revision.
 	GetConfiguration(context.Context, *connect.Request[operatorpb.GetConfigurationRequest]) (*connect.Response[operatorpb.Configuration], error)
-	// CreateAccount adds a client account and returns its key, once.
+	// CreateAccount adds a client account and returns its key, which
+	// cannot be retrieved later.
 	CreateAccount(context.Context, *connect.Request[operatorpb.CreateAccountRequest]) (*connect.Response[operatorpb.CreateAccountResponse], error)
 	// UpdateAccount changes the share, limits or state of an account.
 	UpdateAccount(context.Context, *connect.Request[operatorpb.UpdateAccountRequest]) (*connect.Response[operatorpb.Changed], error)
-	// RotateKey gives an account a new key; the old one stays valid for a while.
+	// RotateKey gives an account a new key. The old one stays valid for one hour.
 	RotateKey(context.Context, *connect.Request[operatorpb.RotateKeyRequest]) (*connect.Response[operatorpb.CreateAccountResponse], error)
 	// PutPool adds or replaces a pool.
 	PutPool(context.Context, *connect.Request[operatorpb.PutPoolRequest]) (*connect.Response[operatorpb.Changed], error)
@@ -256,9 +258,9 @@
 	DeleteServer(context.Context, *connect.Request[operatorpb.DeleteServerRequest]) (*connect.Response[operatorpb.Changed], error)
 	// PutLimits replaces the fleet's limits.
 	PutLimits(context.Context, *connect.Request[operatorpb.PutLimitsRequest]) (*connect.Response[operatorpb.Changed], error)
-	// Status shows the fleet, as far as the answering router sees it.
+	// Status returns the state of the fleet as seen by the responding router.
 	Status(context.Context, *connect.Request[operatorpb.StatusRequest]) (*connect.Response[operatorpb.StatusResponse], error)
-	// Explain puts together what the fleet recorded about a request or account.
+	// Explain collects the events recorded by the fleet about a request or account.
 	Explain(context.Context, *connect.Request[operatorpb.ExplainRequest]) (*connect.Response[operatorpb.ExplainResponse], error)
 }
 
