--- a/soak/process.go
+++ b/soak/process.go
@@ -90,14 +90,14 @@
 }
 
 // lifetime names the process's present incarnation.
-func (p *process) lifetime() int {
+func (p *process) currentIncarnation() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.incarnation
 }
 
 // mark names the process as it is since its latest pause.
-func (p *process) mark() string {
+func (p *process) epoch() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return fmt.Sprintf("%s/%d/%d", p.name, p.incarnation, p.pauses)
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -15,7 +15,7 @@
 }
 
 // linkCheck is how often a held-back piece looks whether it may go on.
-const linkCheck = 5 * time.Millisecond
+const holdPollInterval = 5 * time.Millisecond
 
 // Proxy is a loopback proxy that misbehaves on demand.
 type Proxy struct {
@@ -24,12 +24,12 @@
 	listener net.Listener
 	link     Link
 	conns    map[net.Conn]bool
-	open     map[*passage]bool
+	open     map[*connection]bool
 	closed   bool
 }
 
 // passage is one connection through a proxy.
-type passage struct{ link Link }
+type connection struct{ link Link }
 
 // NewProxy starts a proxy before a target.
 func NewProxy(target string) (*Proxy, error) {
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{target: target, listener: l, conns: map[net.Conn]bool{}, open: map[*passage]bool{}}
+	p := &Proxy{target: target, listener: l, conns: map[net.Conn]bool{}, open: map[*connection]bool{}}
 	go p.accept(l)
 	return p, nil
 }
@@ -117,29 +117,29 @@
 		if err != nil {
 			return // closed
 		}
-		go p.carry(in)
+		go p.forward(in)
 	}
 }
 
-func (p *Proxy) carry(in net.Conn) {
+func (p *Proxy) forward(in net.Conn) {
 	out, err := net.Dial("tcp4", p.target)
 	if err != nil {
 		in.Close()
 		return
 	}
-	way := &passage{}
-	p.hold(way, in, out, true)
+	way := &connection{}
+	p.track(way, in, out, true)
 	ended := make(chan struct{}, 2)
 	go p.copy(way, out, in, func(l Link) bool { return l.SilentTo }, ended)
 	go p.copy(way, in, out, func(l Link) bool { return l.SilentFrom }, ended)
 	<-ended
 	<-ended
-	p.hold(way, in, out, false)
+	p.track(way, in, out, false)
 	in.Close()
 	out.Close()
 }
 
-func (p *Proxy) hold(way *passage, in, out net.Conn, held bool) {
+func (p *Proxy) track(way *connection, in, out net.Conn, held bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if held {
@@ -157,7 +157,7 @@
 }
 
 // now returns how a connection's bytes are treated.
-func (p *Proxy) now(way *passage) Link {
+func (p *Proxy) currentLink(way *connection) Link {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
@@ -170,16 +170,16 @@
 }
 
 // copy carries bytes one way until either side ends, then passes the end on.
-func (p *Proxy) copy(way *passage, to, from net.Conn, silent func(Link) bool, ended chan<- struct{}) {
+func (p *Proxy) copy(way *connection, to, from net.Conn, silent func(Link) bool, ended chan<- struct{}) {
 	defer func() { ended <- struct{}{} }()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			for silent(p.now(way)) {
-				time.Sleep(linkCheck)
+			for silent(p.currentLink(way)) {
+				time.Sleep(holdPollInterval)
 			}
-			time.Sleep(p.now(way).Delay)
+			time.Sleep(p.currentLink(way).Delay)
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				from.Close()
 				return
--- a/soak/returns.go
+++ b/soak/returns.go
@@ -14,29 +14,29 @@
 // wrote since the copy is lost; what operators and servers wrote they write again.
 
 // writtenAgain is the time in which operators and servers write again what a copy lacks.
-const writtenAgain = 2 * time.Second
+const rewriteWindow = 2 * time.Second
 
 // put writes as operators and servers do.
 func (r *Run) put(key string, value []byte) {
-	r.written.Lock()
-	defer r.written.Unlock()
-	r.truth[key] = value
+	r.writeMutex.Lock()
+	defer r.writeMutex.Unlock()
+	r.written[key] = value
 	r.store.Put(key, value)
 }
 
 // remove removes as operators and servers do.
 func (r *Run) remove(key string) {
-	r.written.Lock()
-	defer r.written.Unlock()
-	delete(r.truth, key)
+	r.writeMutex.Lock()
+	defer r.writeMutex.Unlock()
+	delete(r.written, key)
 	r.store.Remove(key)
 }
 
 // writeAgain puts one key right that differs from what operators and servers have written.
-func (r *Run) writeAgain(key string) {
-	r.written.Lock()
-	defer r.written.Unlock()
-	value, there := r.truth[key]
+func (r *Run) rewrite(key string) {
+	r.writeMutex.Lock()
+	defer r.writeMutex.Unlock()
+	value, there := r.written[key]
 	now, kept := r.store.Get(key)
 	switch {
 	case there && (!kept || !bytes.Equal(value, now)):
@@ -48,34 +48,34 @@
 
 // comeBack lets the store come back from a copy, and operators and servers write again, each
 // key at a moment of its own.
-func (r *Run) comeBack(c platformtest.Copy, random *rand.Rand) {
-	r.written.Lock()
+func (r *Run) restoreCopy(c platformtest.Copy, random *rand.Rand) {
+	r.writeMutex.Lock()
 	r.store.Return(c)
 	keys := map[string]bool{}
-	for key := range r.truth {
+	for key := range r.written {
 		keys[key] = true
 	}
-	r.written.Unlock()
+	r.writeMutex.Unlock()
 	for _, key := range r.store.Keys() {
 		if strings.HasPrefix(key, platform.ServersPrefix) || strings.HasPrefix(key, platform.OperatorsPrefix) {
 			keys[key] = true
 		}
 	}
 	for key := range keys {
-		time.AfterFunc(time.Duration(random.Int64N(int64(writtenAgain))), func() { r.writeAgain(key) })
+		time.AfterFunc(time.Duration(random.Int64N(int64(rewriteWindow))), func() { r.rewrite(key) })
 	}
 }
 
 // away lets the store be away for a moment and come back from a copy that is as old as the
 // trouble lasts.
-func (r *Run) away(random *rand.Rand, times int) (undo func()) {
+func (r *Run) outageAndRestore(random *rand.Rand, times int) (undo func()) {
 	older, seed := r.store.Copy(), random.Uint64()
 	return func() {
 		random := rand.New(rand.NewPCG(r.options.Seed, seed))
 		for range times {
 			r.store.SetFaults(platformtest.Faults{Down: true})
-			time.Sleep(shortest + time.Duration(random.Int64N(int64(longest/2))))
-			r.comeBack(older, random)
+			time.Sleep(minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration/2))))
+			r.restoreCopy(older, random)
 			r.store.SetFaults(platformtest.Faults{})
 		}
 	}
@@ -83,33 +83,33 @@
 
 // returning are the troubles of a store that comes back from a copy. They stand apart, so that a
 // seed without them plays what it always did.
-var returning = []trouble{
-	{"store comes back from a copy", func(r *Run, random *rand.Rand) func() { return r.away(random, 1) }},
-	{"store comes back twice", func(r *Run, random *rand.Rand) func() { return r.away(random, 2) }},
+var restoreFaults = []fault{
+	{"store comes back from a copy", func(r *Run, random *rand.Rand) func() { return r.outageAndRestore(random, 1) }},
+	{"store comes back twice", func(r *Run, random *rand.Rand) func() { return r.outageAndRestore(random, 2) }},
 	{"store comes back without a word", func(r *Run, random *rand.Rand) func() {
 		older, seed := r.store.Copy(), random.Uint64()
-		return func() { r.comeBack(older, rand.New(rand.NewPCG(r.options.Seed, seed))) }
+		return func() { r.restoreCopy(older, rand.New(rand.NewPCG(r.options.Seed, seed))) }
 	}},
 	{"store comes back after a server said that it leaves", func(r *Run, random *rand.Rand) func() {
-		s, undo := r.aServer(random), r.away(random, 1)
+		s, undo := r.randomServer(random), r.outageAndRestore(random, 1)
 		r.announce(s, "draining")
 		return func() {
 			undo()
-			time.Sleep(writtenAgain)
+			time.Sleep(rewriteWindow)
 			r.announce(s, "ready")
 		}
 	}},
 	{"store comes back after a configuration", func(r *Run, random *rand.Rand) func() {
-		undo := r.away(random, 1)
+		undo := r.outageAndRestore(random, 1)
 		r.configure()
 		return undo
 	}},
 	{"store comes back as a gateway starts", func(r *Run, random *rand.Rand) func() {
-		undo, p := r.away(random, 1), r.aGateway(random)
+		undo, p := r.outageAndRestore(random, 1), r.randomGateway(random)
 		p.kill()
 		return func() {
 			undo()
-			r.restart(p)
+			r.restartGateway(p)
 		}
 	}},
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -45,13 +45,13 @@
 
 // Times of a run.
 const (
-	calmBefore = 2 * time.Second        // before the first trouble
-	calmAfter  = 4 * time.Second        // from the last trouble to the last checks
-	inForce    = 2 * time.Second        // a configuration is in force everywhere
-	noNewWork  = 2 * time.Second        // a leaving server gets no new work
-	goesBack   = 250 * time.Millisecond // answers under way when a configuration takes effect
-	longest    = 1500 * time.Millisecond
-	shortest   = 100 * time.Millisecond
+	settleBefore      = 2 * time.Second        // before the first trouble
+	settleAfter       = 4 * time.Second        // from the last trouble to the last checks
+	configPropagation = 2 * time.Second        // a configuration is in force everywhere
+	drainPropagation  = 2 * time.Second        // a leaving server gets no new work
+	inFlightWindow    = 250 * time.Millisecond // answers under way when a configuration takes effect
+	maxFaultDuration  = 1500 * time.Millisecond
+	minFaultDuration  = 100 * time.Millisecond
 )
 
 // Run is one soak of one seed.
@@ -60,16 +60,16 @@
 	random       *rand.Rand // of the troubles; owned by Play
 	store        *platformtest.Store
 	storeAddress string
-	written      sync.Mutex        // of truth, and of writes to the store by operators and servers
-	truth        map[string][]byte // what they have written, by key
+	writeMutex   sync.Mutex        // of truth, and of writes to the store by operators and servers
+	written      map[string][]byte // what they have written, by key
 	servers      []*backend
 	gateways     []*process
-	book         *book
+	recorder     *recorder
 	callers      sync.WaitGroup
 	stop         context.CancelFunc
 	version      int
 	closers      []func()
-	quiet        atomic.Bool // fatal requests wait
+	fatalPaused  atomic.Bool // fatal requests wait
 }
 
 // backend is a stand-in server behind its proxy.
@@ -77,11 +77,11 @@
 	*platformtest.Server
 	proxy *Proxy
 	mutex sync.Mutex
-	ended bool // it takes no connections until it starts again
+	down  bool // it takes no connections until it starts again
 }
 
 // calm is how a sound server behaves.
-var calm = platformtest.Behaviour{
+var healthy = platformtest.Behaviour{
 	Work: 5 * time.Millisecond, Echo: true, Events: streamEvents, Pause: 10 * time.Millisecond, Streams: []string{"/stream/", "/resume/"},
 	Fatal: fatalBodies,
 }
@@ -92,7 +92,7 @@
 // Start starts the stand-ins, the gateways and the callers.
 func Start(o Options) (*Run, error) {
 	o.Gateways, o.Servers, o.Callers = orDefault(o.Gateways, 3), orDefault(o.Servers, 4), orDefault(o.Callers, 12)
-	r := &Run{options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), store: &platformtest.Store{}, truth: map[string][]byte{}, book: newBook()}
+	r := &Run{options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), store: &platformtest.Store{}, written: map[string][]byte{}, recorder: newRecorder()}
 	store := httptest.NewServer(r.store)
 	r.closers = append(r.closers, store.Close)
 	r.storeAddress = strings.TrimPrefix(store.URL, "http://")
@@ -120,12 +120,12 @@
 	r.stop = stop
 	for i := range o.Callers {
 		r.callers.Add(1)
-		go r.call(ctx, i)
+		go r.runCaller(ctx, i)
 	}
-	r.quiet.Store(!o.Early)
+	r.fatalPaused.Store(!o.Early)
 	for i := range o.Fatal {
 		r.callers.Add(1)
-		go r.callFatal(ctx, i)
+		go r.runFatalCaller(ctx, i)
 	}
 	return r, nil
 }
@@ -139,8 +139,8 @@
 
 func (r *Run) addServer(i int) error {
 	s := &platformtest.Server{ID: fmt.Sprintf("i-%d", i), Service: "s", Hall: "hall"}
-	s.Set(calm)
-	h := httptest.NewServer(r.book.watched(s))
+	s.Set(healthy)
+	h := httptest.NewServer(r.recorder.recordRequests(s))
 	r.closers = append(r.closers, h.Close)
 	p, err := NewProxy(strings.TrimPrefix(h.URL, "http://"))
 	if err != nil {
@@ -148,7 +148,7 @@
 	}
 	r.closers = append(r.closers, p.Close)
 	b := &backend{Server: s, proxy: p}
-	s.End = func(body string) { r.endUnder(b, body) }
+	s.End = func(body string) { r.crashServer(b, body) }
 	r.servers = append(r.servers, b)
 	r.announce(b, "ready")
 	return nil
@@ -173,19 +173,19 @@
 
 // Play troubles the fleet for so long, then lets it rest and returns what was broken.
 func (r *Run) Play(d time.Duration) []string {
-	kinds := troubles
+	kinds := baseFaults
 	if r.options.Restarts {
-		kinds = slices.Concat(troubles, restarts)
+		kinds = slices.Concat(baseFaults, restartFaults)
 	}
 	if r.options.Copies {
-		kinds = slices.Concat(kinds, returning, returning, returning)
+		kinds = slices.Concat(kinds, restoreFaults, restoreFaults, restoreFaults)
 	}
 	if r.options.Words {
-		kinds = slices.Concat(kinds, speaking, speaking, speaking, speaking)
+		kinds = slices.Concat(kinds, signalFaults, signalFaults, signalFaults, signalFaults)
 	}
 	defer r.close()
-	time.Sleep(calmBefore)
-	r.quiet.Store(false)
+	time.Sleep(settleBefore)
+	r.fatalPaused.Store(false)
 	var under sync.WaitGroup
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		if r.random.IntN(8) == 0 {
@@ -194,38 +194,38 @@
 			continue
 		}
 		t := kinds[r.random.IntN(len(kinds))]
-		lasts := shortest + time.Duration(r.random.Int64N(int64(longest-shortest)))
-		undo := t.strike(r, r.random)
+		lasts := minFaultDuration + time.Duration(r.random.Int64N(int64(maxFaultDuration-minFaultDuration)))
+		undo := t.inject(r, r.random)
 		under.Add(1)
 		go func() {
 			defer under.Done()
 			time.Sleep(lasts)
 			undo()
 		}()
-		time.Sleep(time.Duration(r.random.Int64N(int64(longest / 3))))
+		time.Sleep(time.Duration(r.random.Int64N(int64(maxFaultDuration / 3))))
 	}
 	under.Wait()
-	time.Sleep(calmAfter)
+	time.Sleep(settleAfter)
 	r.checkRecovery()
 	r.stop()
 	r.callers.Wait()
-	r.book.checkRuns(r.servers)
+	r.recorder.checkRuns(r.servers)
 	r.checkFatal()
-	return r.book.broken()
+	return r.recorder.report()
 }
 
 // plannedStop stops a gateway with nothing else going on: no request may be cut.
 func (r *Run) plannedStop() {
-	r.quiet.Store(true)
-	defer r.quiet.Store(false)
-	time.Sleep(calmAfter) // what earlier troubles broke has ended
+	r.fatalPaused.Store(true)
+	defer r.fatalPaused.Store(false)
+	time.Sleep(settleAfter) // what earlier troubles broke has ended
 	p := r.gateways[r.random.IntN(len(r.gateways))]
-	r.book.planned(p.front, true)
+	r.recorder.setStopping(p.front, true)
 	p.terminate()
 	time.Sleep(time.Second)
-	r.book.planned(p.front, false)
+	r.recorder.setStopping(p.front, false)
 	if err := p.start(); err != nil {
-		r.book.breaks("gateway %s does not start again: %v", p.name, err)
+		r.recorder.violationf("gateway %s does not start again: %v", p.name, err)
 	}
 }
 
@@ -233,31 +233,31 @@
 // configuration and lets a server leave.
 func (r *Run) checkRecovery() {
 	// A server that ends under a request starts again as another lifetime, which does not leave.
-	r.quiet.Store(true)
+	r.fatalPaused.Store(true)
 	for _, p := range r.gateways {
 		if !p.ready() {
-			r.book.breaks("gateway %s is not ready after the trouble", p.name)
+			r.recorder.violationf("gateway %s is not ready after the trouble", p.name)
 		}
 	}
 	r.configure()
 	key := fmt.Sprintf("key-%d", r.version)
-	time.Sleep(inForce)
+	time.Sleep(configPropagation)
 	for _, p := range r.gateways {
-		if status := r.ask(p, key); status != http.StatusOK {
-			r.book.breaks("gateway %s answers %d to a key %s after it was put", p.name, status, inForce)
+		if status := r.probe(p, key); status != http.StatusOK {
+			r.recorder.violationf("gateway %s answers %d to a key %s after it was put", p.name, status, configPropagation)
 		}
 	}
 	leaving := r.servers[0]
 	r.announce(leaving, "draining")
-	time.Sleep(noNewWork)
+	time.Sleep(drainPropagation)
 	before := len(leaving.Runs())
 	for range 5 {
 		for _, p := range r.gateways {
-			r.ask(p, "steady")
+			r.probe(p, "steady")
 		}
 	}
 	if after := len(leaving.Runs()); after != before {
-		r.book.breaks("a leaving server got %d requests", after-before)
+		r.recorder.violationf("a leaving server got %d requests", after-before)
 	}
 }
 
--- a/soak/trouble.go
+++ b/soak/trouble.go
@@ -10,36 +10,38 @@
 )
 
 // trouble is one kind of trouble; strike begins it and returns what ends it.
-type trouble struct {
+type fault struct {
 	name   string
-	strike func(r *Run, random *rand.Rand) (undo func())
+	inject func(r *Run, random *rand.Rand) (undo func())
 }
 
-func (r *Run) aGateway(random *rand.Rand) *process { return r.gateways[random.IntN(len(r.gateways))] }
+func (r *Run) randomGateway(random *rand.Rand) *process {
+	return r.gateways[random.IntN(len(r.gateways))]
+}
 
-func (r *Run) aServer(random *rand.Rand) *backend { return r.servers[random.IntN(len(r.servers))] }
+func (r *Run) randomServer(random *rand.Rand) *backend { return r.servers[random.IntN(len(r.servers))] }
 
 // behaving makes a trouble of a change of a server's behaviour.
-func behaving(change func(b *platformtest.Behaviour)) func(*Run, *rand.Rand) func() {
+func behaviourFault(change func(b *platformtest.Behaviour)) func(*Run, *rand.Rand) func() {
 	return func(r *Run, random *rand.Rand) func() {
-		s, b := r.aServer(random), calm
+		s, b := r.randomServer(random), healthy
 		change(&b)
 		s.Set(b)
-		return func() { s.Set(calm) }
+		return func() { s.Set(healthy) }
 	}
 }
 
 // linked makes a trouble of the link between one gateway and the store, or between all
 // gateways and a server.
-func linked(l Link, store bool) func(*Run, *rand.Rand) func() {
+func linkFault(l Link, store bool) func(*Run, *rand.Rand) func() {
 	return func(r *Run, random *rand.Rand) func() {
 		if store {
-			p := r.aGateway(random).proxy
+			p := r.randomGateway(random).proxy
 			p.Set(l)
 			return func() { p.Set(Link{}) }
 		}
-		s := r.aServer(random)
-		ends := r.book.linkTroubled(s.ID)
+		s := r.randomServer(random)
+		ends := r.recorder.recordLinkFault(s.ID)
 		s.proxy.Set(l)
 		return func() {
 			s.proxy.Set(Link{})
@@ -49,7 +51,7 @@
 }
 
 // storing makes a trouble of the store itself.
-func storing(f platformtest.Faults) func(*Run, *rand.Rand) func() {
+func storeFault(f platformtest.Faults) func(*Run, *rand.Rand) func() {
 	return func(r *Run, _ *rand.Rand) func() {
 		r.store.SetFaults(f)
 		return func() { r.store.SetFaults(platformtest.Faults{}) }
@@ -58,27 +60,27 @@
 
 const slowLink = 150 * time.Millisecond
 
-var troubles = []trouble{
+var baseFaults = []fault{
 	{"gateway pauses", func(r *Run, random *rand.Rand) func() {
-		p := r.aGateway(random)
+		p := r.randomGateway(random)
 		p.signal(syscall.SIGSTOP)
 		return func() { p.signal(syscall.SIGCONT) }
 	}},
 	{"gateway is killed", func(r *Run, random *rand.Rand) func() {
-		p := r.aGateway(random)
+		p := r.randomGateway(random)
 		p.kill()
-		return func() { r.restart(p) }
+		return func() { r.restartGateway(p) }
 	}},
 	{"gateway is stopped", func(r *Run, random *rand.Rand) func() {
-		p := r.aGateway(random)
+		p := r.randomGateway(random)
 		p.signal(syscall.SIGTERM)
 		return func() {
 			p.kill()
-			r.restart(p)
+			r.restartGateway(p)
 		}
 	}},
 	{"settings are read again", func(r *Run, random *rand.Rand) func() {
-		r.aGateway(random).signal(syscall.SIGHUP)
+		r.randomGateway(random).signal(syscall.SIGHUP)
 		return func() {}
 	}},
 	{"configuration changes", func(r *Run, _ *rand.Rand) func() {
@@ -86,111 +88,111 @@
 		return func() {}
 	}},
 	{"server leaves and returns", func(r *Run, random *rand.Rand) func() {
-		s := r.aServer(random)
+		s := r.randomServer(random)
 		r.announce(s, "draining")
 		return func() { r.announce(s, "ready") }
 	}},
 	{"server's entry lapses", func(r *Run, random *rand.Rand) func() {
-		s := r.aServer(random)
+		s := r.randomServer(random)
 		r.remove("servers/" + s.ID)
 		return func() { r.announce(s, "ready") }
 	}},
 	{"server's connections are reset", func(r *Run, random *rand.Rand) func() {
-		r.resetServer(r.aServer(random))
+		r.resetServer(r.randomServer(random))
 		return func() {}
 	}},
 	{"store's connections are reset", func(r *Run, random *rand.Rand) func() {
-		r.aGateway(random).proxy.Reset()
+		r.randomGateway(random).proxy.Reset()
 		return func() {}
 	}},
 	{"server's open connections go silent", func(r *Run, random *rand.Rand) func() {
-		return r.silence(r.aServer(random), true, true)
+		return r.silence(r.randomServer(random), true, true)
 	}},
 	{"server's open connections go silent one way", func(r *Run, random *rand.Rand) func() {
-		return r.silence(r.aServer(random), false, true)
+		return r.silence(r.randomServer(random), false, true)
 	}},
 	{"store's open connections go silent", func(r *Run, random *rand.Rand) func() {
-		r.aGateway(random).proxy.Silence(true, true)
+		r.randomGateway(random).proxy.Silence(true, true)
 		return func() {}
 	}},
-	{"link to a server is slow", linked(Link{Delay: slowLink}, false)},
-	{"link to a server is silent", linked(Link{SilentTo: true, SilentFrom: true}, false)},
-	{"link to a server is cut one way", linked(Link{SilentFrom: true}, false)},
-	{"link to the store is slow", linked(Link{Delay: slowLink}, true)},
-	{"link to the store is silent", linked(Link{SilentTo: true, SilentFrom: true}, true)},
-	{"link to the store is cut one way", linked(Link{SilentTo: true}, true)},
-	{"store is down", storing(platformtest.Faults{Down: true})},
-	{"store is silent", storing(platformtest.Faults{Silent: true})},
-	{"store is slow", storing(platformtest.Faults{Delay: slowLink})},
-	{"store forgets its history", storing(platformtest.Faults{Forgotten: true})},
-	{"server fails", behaving(func(b *platformtest.Behaviour) { b.Status = 500 })},
-	{"server breaks off", behaving(func(b *platformtest.Behaviour) { b.Reset = true })},
-	{"server cuts streams", behaving(func(b *platformtest.Behaviour) { b.CutFrom = 3 })},
-	{"server is full", behaving(func(b *platformtest.Behaviour) { b.Full = true })},
-	{"server is mute", behaving(func(b *platformtest.Behaviour) { b.Silent = true })},
-	{"server is slow", behaving(func(b *platformtest.Behaviour) { b.Work = 400 * time.Millisecond })},
+	{"link to a server is slow", linkFault(Link{Delay: slowLink}, false)},
+	{"link to a server is silent", linkFault(Link{SilentTo: true, SilentFrom: true}, false)},
+	{"link to a server is cut one way", linkFault(Link{SilentFrom: true}, false)},
+	{"link to the store is slow", linkFault(Link{Delay: slowLink}, true)},
+	{"link to the store is silent", linkFault(Link{SilentTo: true, SilentFrom: true}, true)},
+	{"link to the store is cut one way", linkFault(Link{SilentTo: true}, true)},
+	{"store is down", storeFault(platformtest.Faults{Down: true})},
+	{"store is silent", storeFault(platformtest.Faults{Silent: true})},
+	{"store is slow", storeFault(platformtest.Faults{Delay: slowLink})},
+	{"store forgets its history", storeFault(platformtest.Faults{Forgotten: true})},
+	{"server fails", behaviourFault(func(b *platformtest.Behaviour) { b.Status = 500 })},
+	{"server breaks off", behaviourFault(func(b *platformtest.Behaviour) { b.Reset = true })},
+	{"server cuts streams", behaviourFault(func(b *platformtest.Behaviour) { b.CutFrom = 3 })},
+	{"server is full", behaviourFault(func(b *platformtest.Behaviour) { b.Full = true })},
+	{"server is mute", behaviourFault(func(b *platformtest.Behaviour) { b.Silent = true })},
+	{"server is slow", behaviourFault(func(b *platformtest.Behaviour) { b.Work = 400 * time.Millisecond })},
 }
 
 // resetServer breaks the connections to a server.
 func (r *Run) resetServer(s *backend) {
-	r.book.linkTroubled(s.ID)()
+	r.recorder.recordLinkFault(s.ID)()
 	s.proxy.Reset()
 }
 
 // silence lets the open connections to a server go silent for good; answers on them are lost
 // until the last of their requests is given up.
 func (r *Run) silence(s *backend, to, from bool) (undo func()) {
-	ends := r.book.linkTroubled(s.ID)
+	ends := r.recorder.recordLinkFault(s.ID)
 	time.AfterFunc(callerDeadline, ends)
 	s.proxy.Silence(to, from)
 	return func() {}
 }
 
-func (r *Run) restart(p *process) {
+func (r *Run) restartGateway(p *process) {
 	if err := p.start(); err != nil {
-		r.book.breaks("gateway %s does not start again: %v", p.name, err)
+		r.recorder.violationf("gateway %s does not start again: %v", p.name, err)
 	}
 }
 
 // restarts are the troubles of servers that start again and of entries of other writers. They
 // stand apart, so that a seed without them plays what it always did.
-var restarts = []trouble{
+var restartFaults = []fault{
 	{"server starts again at once", func(r *Run, random *rand.Rand) func() {
-		r.startAgain(r.aServer(random), drawBorn(random))
+		r.crashAndRestart(r.randomServer(random), randomStartTime(random))
 		return func() {}
 	}},
 	{"server starts again twice", func(r *Run, random *rand.Rand) func() {
-		s, second := r.aServer(random), drawBorn(random)
-		r.startAgain(s, drawBorn(random))
-		return func() { r.startAgain(s, second) }
+		s, second := r.randomServer(random), randomStartTime(random)
+		r.crashAndRestart(s, randomStartTime(random))
+		return func() { r.crashAndRestart(s, second) }
 	}},
 	{"server starts again after its entry lapsed", func(r *Run, random *rand.Rand) func() {
-		s, born := r.aServer(random), drawBorn(random)
+		s, born := r.randomServer(random), randomStartTime(random)
 		s.proxy.Reset()
 		r.remove("servers/" + s.ID)
-		return func() { r.startAgain(s, born) }
+		return func() { r.crashAndRestart(s, born) }
 	}},
 	{"server starts again while the store is down", func(r *Run, random *rand.Rand) func() {
 		r.store.SetFaults(platformtest.Faults{Down: true})
-		r.startAgain(r.aServer(random), drawBorn(random))
+		r.crashAndRestart(r.randomServer(random), randomStartTime(random))
 		return func() { r.store.SetFaults(platformtest.Faults{}) }
 	}},
 	{"server's entry is spoilt", func(r *Run, random *rand.Rand) func() {
-		s := r.aServer(random)
-		r.put("servers/"+s.ID, spoilt[random.IntN(len(spoilt))])
+		s := r.randomServer(random)
+		r.put("servers/"+s.ID, malformedEntries[random.IntN(len(malformedEntries))])
 		return func() { r.announce(s, "ready") }
 	}},
 	{"others write entries", func(r *Run, random *rand.Rand) func() {
-		for i := range spoilt {
-			r.put(fmt.Sprintf("servers/other-%d", i), spoilt[i])
+		for i := range malformedEntries {
+			r.put(fmt.Sprintf("servers/other-%d", i), malformedEntries[i])
 		}
-		gone := fmt.Sprintf("servers/other-%d", random.IntN(len(spoilt)))
+		gone := fmt.Sprintf("servers/other-%d", random.IntN(len(malformedEntries)))
 		return func() { r.remove(gone) }
 	}},
 }
 
 // spoilt are entries that no server writes.
-var spoilt = [][]byte{
+var malformedEntries = [][]byte{
 	nil,
 	[]byte("\xff\x00"),
 	[]byte(`{"service":"s","zone":"z","capacity":64,"state":"ready"}`),
@@ -202,13 +204,13 @@
 
 // drawBorn draws when a server starts, in milliseconds: its host's clock may have been set
 // back by up to an hour.
-func drawBorn(random *rand.Rand) int64 {
+func randomStartTime(random *rand.Rand) int64 {
 	const anHour = 3_600_000
 	return time.Now().UnixMilli() - random.Int64N(anHour)
 }
 
 // startAgain lets a server crash and start again under its ID.
-func (r *Run) startAgain(s *backend, born int64) {
+func (r *Run) crashAndRestart(s *backend, born int64) {
 	s.proxy.Reset()
 	s.StartAgain(born)
 	r.announce(s, "ready")
--- a/soak/words.go
+++ b/soak/words.go
@@ -17,11 +17,11 @@
 const (
 	// Once a gateway has passed on that a server leaves, requests that callers send it later
 	// than this reach that server no more.
-	leavingBound = 2 * time.Second
+	leavingGrace = 2 * time.Second
 	// Of a rest that a server has asked a gateway for, the first part is for requests on their
 	// way; so many may reach it in the rest of the time.
-	restBound  = 500 * time.Millisecond
-	mostInRest = 2
+	backoffGrace     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
 // The headers by which requests and answers are told apart.
@@ -32,11 +32,11 @@
 )
 
 // words is what servers have said, and what has reached them.
-type words struct {
+type serverSignals struct {
 	arrivals []arrival
 	leaving  map[sender]time.Time // when a gateway first passed on that a server leaves
-	rests    []askedRest
-	links    []linkTrouble
+	backoffs []backoffRequest
+	links    []linkFaultPeriod
 }
 
 // sender is a gateway's process, without a pause since, and a server's lifetime.
@@ -48,65 +48,65 @@
 	sent time.Time // by its caller
 }
 
-type askedRest struct {
+type backoffRequest struct {
 	sender
 	at    time.Time
 	until time.Time
 }
 
 // linkTrouble is a time in which answers of a server may have been held back or lost.
-type linkTrouble struct {
+type linkFaultPeriod struct {
 	server   string
 	from, to time.Time
 }
 
 // arrived takes down that a request has reached a server.
-func (w *words) arrived(s sender, r *http.Request) {
+func (w *serverSignals) recordArrival(s sender, r *http.Request) {
 	// A time that can't be read is that of no caller of these tests.
 	sent, _ := time.Parse(time.RFC3339Nano, r.Header.Get(sentMark))
 	w.arrivals = append(w.arrivals, arrival{s, time.Now(), sent})
 }
 
 // turnedAway takes down that a server has asked for rest.
-func (w *words) turnedAway(s sender, status int, after string) {
+func (w *serverSignals) recordBackoff(s sender, status int, after string) {
 	seconds, err := strconv.ParseFloat(after, 64)
 	if status != http.StatusServiceUnavailable || err != nil {
 		return
 	}
 	now := time.Now()
-	w.rests = append(w.rests, askedRest{s, now, now.Add(time.Duration(seconds * float64(time.Second)))})
+	w.backoffs = append(w.backoffs, backoffRequest{s, now, now.Add(time.Duration(seconds * float64(time.Second)))})
 }
 
 // passedOn takes down that a gateway has passed on that a server leaves.
-func (w *words) passedOn(s sender) {
+func (w *serverSignals) recordLeaving(s sender) {
 	if w.leaving[s].IsZero() {
 		w.leaving[s] = time.Now()
 	}
 }
 
 // check returns what was broken.
-func (w *words) check() []string {
+func (w *serverSignals) check() []string {
 	var faults []string
 	late := map[sender]int{}
 	for _, a := range w.arrivals {
-		if said, known := w.leaving[a.sender]; known && a.sent.Sub(said) > leavingBound {
+		if said, known := w.leaving[a.sender]; known && a.sent.Sub(said) > leavingGrace {
 			late[a.sender]++
 		}
 	}
 	for s, n := range late {
-		faults = append(faults, fmt.Sprintf("%s sent %d requests to %s, %s after it had passed on that it leaves", s.gateway, n, s.lifetime, leavingBound))
+		faults = append(faults, fmt.Sprintf("%s sent %d requests to %s, %s after it had passed on that it leaves", s.gateway, n, s.lifetime, leavingGrace))
 	}
-	for _, r := range w.rests {
-		if w.troubled(r) {
+	for _, r := range w.backoffs {
+		if w.maybeLost(r) {
 			continue
 		}
 		n := 0
 		for _, a := range w.arrivals {
-			if a.sender == r.sender && a.at.After(r.at.Add(restBound)) && a.at.Before(r.until) {
+			if a.sender == r.sender && a.at.After(r.at.Add(backoffGrace)) && a.at.Before(r.until) {
 				n++
 			}
 		}
-		if n > mostInRest {
+		if n > maxDuringBackoff {
 			faults = append(faults, fmt.Sprintf("%s sent %d requests to %s, which had asked it for %s of rest", r.gateway, n, r.lifetime, r.until.Sub(r.at)))
 		}
 	}
@@ -114,9 +114,9 @@
 }
 
 // troubled tells whether the answer that asked for a rest may not have arrived.
-func (w *words) troubled(r askedRest) bool {
+func (w *serverSignals) maybeLost(r backoffRequest) bool {
 	for _, l := range w.links {
-		if l.server == serverOf(r.lifetime) && r.at.Before(l.to.Add(restBound)) && r.until.After(l.from) {
+		if l.server == serverOf(r.lifetime) && r.at.Before(l.to.Add(backoffGrace)) && r.until.After(l.from) {
 			return true
 		}
 	}
@@ -137,12 +137,12 @@
 
 // linkTroubled takes down that a server's link is in trouble from now on; the returned function
 // ends that.
-func (b *book) linkTroubled(server string) (ends func()) {
+func (b *recorder) recordLinkFault(server string) (ends func()) {
 	from := time.Now()
 	note := func(to time.Time) {
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
-		b.words.links = append(b.words.links, linkTrouble{server, from, to})
+		b.signals.links = append(b.signals.links, linkFaultPeriod{server, from, to})
 	}
 	note(from)
 	return func() { note(time.Now()) }
@@ -150,31 +150,31 @@
 
 // speaking are the troubles of what servers say. They stand apart, so that a seed without them
 // plays what it always did.
-var speaking = []trouble{
+var signalFaults = []fault{
 	{"server says that it leaves", func(r *Run, random *rand.Rand) func() {
-		return r.sayLeaving(r.aServer(random), drawBorn(random))
+		return r.announceLeaving(r.randomServer(random), randomStartTime(random))
 	}},
 	{"server says that it leaves while the store is down", func(r *Run, random *rand.Rand) func() {
 		r.store.SetFaults(platformtest.Faults{Down: true})
-		undo := r.sayLeaving(r.aServer(random), drawBorn(random))
+		undo := r.announceLeaving(r.randomServer(random), randomStartTime(random))
 		return func() {
 			r.store.SetFaults(platformtest.Faults{})
 			undo()
 		}
 	}},
 	{"server asks for rest", func(r *Run, random *rand.Rand) func() {
-		return askRest(r.aServer(random), random)
+		return requestBackoff(r.randomServer(random), random)
 	}},
 	{"server asks for rest as busy", func(r *Run, random *rand.Rand) func() {
-		s, b := r.aServer(random), calm
+		s, b := r.randomServer(random), healthy
 		b.Full, b.Refusal, b.Rest = true, http.StatusTooManyRequests, "1"
 		s.Set(b)
-		return func() { s.Set(calm) }
+		return func() { s.Set(healthy) }
 	}},
 	{"all servers ask for rest", func(r *Run, random *rand.Rand) func() {
 		var undo []func()
 		for _, s := range r.servers {
-			undo = append(undo, askRest(s, random))
+			undo = append(undo, requestBackoff(s, random))
 		}
 		return func() {
 			for _, u := range undo {
@@ -186,21 +186,21 @@
 
 // sayLeaving lets a server say in its answers that it leaves, and then start again; before that
 // it serves on for longer than the bound, so that what comes too late is seen.
-func (r *Run) sayLeaving(s *backend, born int64) (undo func()) {
-	b := calm
+func (r *Run) announceLeaving(s *backend, born int64) (undo func()) {
+	b := healthy
 	b.Leaving = true
 	s.Set(b)
 	return func() {
-		time.Sleep(leavingBound)
-		s.Set(calm)
-		r.startAgain(s, born)
+		time.Sleep(leavingGrace)
+		s.Set(healthy)
+		r.crashAndRestart(s, born)
 	}
 }
 
 // askRest lets a server turn requests away and ask for rest.
-func askRest(s *backend, random *rand.Rand) (undo func()) {
-	b := calm
+func requestBackoff(s *backend, random *rand.Rand) (undo func()) {
+	b := healthy
 	b.Full, b.Rest = true, []string{"0.7", "1", "2"}[random.IntN(3)]
 	s.Set(b)
-	return func() { s.Set(calm) }
+	return func() { s.Set(healthy) }
 }
