--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -127,12 +127,12 @@
 	for _, places := range []int{2, 4, 8, 16} {
 		var r *experiment.Result
 		bubbletest.Run(t, func(t *testing.T) {
-			s := experiment.Even(experiment.Design, experiment.Size{Routers: 3, Models: 9, Length: time.Minute})
+			s := experiment.Even(experiment.Design, experiment.Size{Routers: 3, Models: 9, Duration: time.Minute})
 			s.Slots = places
 			r = experiment.Run(t, s)
 		})
 		const nodes = 12
-		points = append(points, capacity.Point{X: float64(r.Requests), Y: r.Control * nodes * time.Minute.Seconds()})
+		points = append(points, capacity.Point{X: float64(r.Requests), Y: r.ControlRate * nodes * time.Minute.Seconds()})
 	}
 	return points
 }
@@ -141,7 +141,7 @@
 func control(t *testing.T, accounts, routers, servers int) float64 {
 	var r *experiment.Result
 	bubbletest.Run(t, func(t *testing.T) {
-		z := experiment.Size{Routers: routers, Models: servers, Length: time.Minute}
+		z := experiment.Size{Routers: routers, Models: servers, Duration: time.Minute}
 		s := experiment.Even(experiment.Design, z)
 		s.Clients = nil
 		var all []int
@@ -150,23 +150,23 @@
 		}
 		for a := range accounts {
 			s.Clients = append(s.Clients, experiment.Client{Account: fmt.Sprintf("a-%02d", a), Routers: all,
-				Callers: max(1, 24*servers/accounts/routers), Least: 50, Most: 800, Input: 2000, Wrong: 3})
+				Callers: max(1, 24*servers/accounts/routers), MinTokens: 50, MaxTokens: 800, PromptBytes: 2000, HintError: 3})
 		}
 		r = experiment.Run(t, s)
 	})
-	return r.Control
+	return r.ControlRate
 }
 
 // gossipBytes is what an idle fleet of so many routers exchanges, a router.
 func gossipBytes(t *testing.T, routers int) float64 {
 	var r *experiment.Result
 	bubbletest.Run(t, func(t *testing.T) {
-		s := experiment.Scenario{Name: "gossip", Way: experiment.Design, Routers: routers, Models: 1, Slots: 1,
-			Clients: []experiment.Client{{Account: "idle", Routers: []int{0}, Callers: 1, Least: 1, Most: 1, Think: time.Hour}},
-			Warm:    10 * time.Second, Length: time.Minute}
+		s := experiment.Scenario{Name: "gossip", Strategy: experiment.Design, Routers: routers, Models: 1, Slots: 1,
+			Clients: []experiment.Client{{Account: "idle", Routers: []int{0}, Callers: 1, MinTokens: 1, MaxTokens: 1, Think: time.Hour}},
+			Warmup:    10 * time.Second, Duration: time.Minute}
 		r = experiment.Run(t, s)
 	})
-	return r.Control
+	return r.ControlRate
 }
 
 func book(accounts, waiting int) (*fair.Tracker, []fair.Total, []fair.Candidate) {
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -29,7 +29,7 @@
 )
 
 // Way is a way to dispatch that is measured.
-type Way struct {
+type Strategy struct {
 	Name     string
 	Policy   fair.Policy
 	Queueing router.Queueing
@@ -37,27 +37,27 @@
 
 // The ways: the design, its variants, and the baselines.
 var (
-	Design     = Way{"design", fair.Corrected, router.LateBinding}
-	StaleTotal = Way{"least fleet total", fair.Uncorrected, router.LateBinding}
-	AgentAlone = Way{"fair at each agent", fair.LocalOnly, router.LateBinding}
-	RouterFair = Way{"fair at each router", fair.Unordered, router.RouterFair}
-	FirstCome  = Way{"first come first served", fair.Unordered, router.FirstCome}
+	Design      = Strategy{"design", fair.Corrected, router.LateBinding}
+	Uncorrected = Strategy{"least fleet total", fair.Uncorrected, router.LateBinding}
+	AgentFair   = Strategy{"fair at each agent", fair.LocalOnly, router.LateBinding}
+	RouterFair  = Strategy{"fair at each router", fair.Unordered, router.RouterFair}
+	FirstCome   = Strategy{"first come first served", fair.Unordered, router.FirstCome}
 )
 
 // Client is a group of callers of one account that each keep one request open.
 type Client struct {
-	Account string
-	Routers []int   // the routers it uses
-	Callers int     // at each of them
-	Least   int     // tokens of the shortest answer
-	Most    int     // tokens of the longest answer
-	Input   int     // bytes of prompt
-	Wrong   float64 // hints are wrong by up to this factor either way; 0: right
-	Urgent  bool
-	Pool    string
-	Think   time.Duration // mean pause between two requests; 0: none
-	From    time.Duration // when it begins
-	Until   time.Duration // when it ends; 0: with the run
+	Account     string
+	Routers     []int   // the routers it uses
+	Callers     int     // at each of them
+	MinTokens   int     // tokens of the shortest answer
+	MaxTokens   int     // tokens of the longest answer
+	PromptBytes int     // bytes of prompt
+	HintError   float64 // hints are wrong by up to this factor either way; 0: right
+	Urgent      bool
+	Pool        string
+	Think       time.Duration // mean pause between two requests; 0: none
+	From        time.Duration // when it begins
+	Until       time.Duration // when it ends; 0: with the run
 }
 
 // Fault is something that happens to the fleet while it runs.
@@ -69,7 +69,7 @@
 // Scenario describes one run.
 type Scenario struct {
 	Name     string
-	Way      Way
+	Strategy Strategy
 	Routers  int
 	Models   int
 	Slots    int
@@ -79,8 +79,8 @@
 	Clients  []Client
 	Pools    func(server int) []string
 	Faults   []Fault
-	Warm     time.Duration // before measuring begins
-	Length   time.Duration // of the measurement
+	Warmup   time.Duration // before measuring begins
+	Duration time.Duration // of the measurement
 	Compare  []string      // accounts whose gap is measured; nil: all
 	Seed     uint64
 	Limits   config.Limits
@@ -89,20 +89,20 @@
 
 // Result is what a run measured.
 type Result struct {
-	Scenario    Scenario
-	Gap         float64 // largest difference in service divided by share, weighted tokens
-	Relative    float64 // Gap over the mean service of the accounts compared
-	Utilisation float64 // of the places of all servers
-	Control     float64 // bytes a second, mean over nodes
-	ControlMost float64 // bytes a second, of the busiest node
-	Overhead    float64 // bytes a second and node of all that is no body or answer, framing included
-	Violations  int     // times an agent saw its bound broken
-	Requests    int
-	Failed      int // requests without their whole answer
-	Service     map[string]float64
-	Waits       map[string][]time.Duration // by account, urgent ones by account and UrgentMark
-	Series      []Sample
-	Bound       float64
+	Scenario       Scenario
+	Gap            float64 // largest difference in service divided by share, weighted tokens
+	RelativeGap    float64 // Gap over the mean service of the accounts compared
+	Utilisation    float64 // of the places of all servers
+	ControlRate    float64 // bytes a second, mean over nodes
+	MaxControlRate float64 // bytes a second, of the busiest node
+	OverheadRate   float64 // bytes a second and node of all that is no body or answer, framing included
+	Violations     int     // times an agent saw its bound broken
+	Requests       int
+	Failed         int // requests without their whole answer
+	Service        map[string]float64
+	Waits          map[string][]time.Duration // by account, urgent ones by account and UrgentMark
+	Samples        []Sample
+	Bound          float64
 }
 
 // Sample is the state at one moment of the measurement.
@@ -113,9 +113,9 @@
 }
 
 // UrgentMark follows an account's name where its urgent requests are meant.
-const UrgentMark = "!urgent"
+const UrgentSuffix = "!urgent"
 
-const sampleEvery = time.Second
+const sampleInterval = time.Second
 
 // Run starts a fleet, lets the clients work, and measures.
 func Run(t testing.TB, s Scenario) *Result {
@@ -123,8 +123,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
 	e.launch(ctx, &callers)
-	e.faults(ctx, &callers)
-	time.Sleep(s.Warm)
+	e.injectFaults(ctx, &callers)
+	time.Sleep(s.Warmup)
 	e.measure()
 	stop()
 	callers.Wait()
@@ -133,13 +133,13 @@
 }
 
 type run struct {
-	scenario Scenario
-	fleet    *fleettest.Fleet
-	result   *Result
-	mutex    sync.Mutex
-	begun    time.Time
-	weights  config.Limits
-	payload  uint64 // bytes of bodies and answers
+	scenario     Scenario
+	fleet        *fleettest.Fleet
+	result       *Result
+	mutex        sync.Mutex
+	startedAt    time.Time
+	weights      config.Limits
+	payloadBytes uint64 // bytes of bodies and answers
 }
 
 func newRun(t testing.TB, s Scenario) *run {
@@ -153,10 +153,10 @@
 	}
 	e.fleet = fleettest.Start(t, fleettest.Options{
 		Routers: s.Routers, Models: s.Models, Slots: s.Slots, Degree: s.Degree, Interval: s.Interval,
-		Policy: s.Way.Policy, Queueing: s.Way.Queueing, Accounts: s.accounts(), Pools: s.Pools, Limits: s.Limits,
+		Policy: s.Strategy.Policy, Queueing: s.Strategy.Queueing, Accounts: s.accounts(), Pools: s.Pools, Limits: s.Limits,
 		Model: enginetest.ModelOptions{Burst: s.Burst}, Metrics: e,
 	})
-	e.begun = time.Now()
+	e.startedAt = time.Now()
 	return e
 }
 
@@ -175,12 +175,12 @@
 func (e *run) Request(account, _, outcome, _ string, urgent bool, wait, _ time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if since := time.Since(e.begun); since < e.scenario.Warm || since >= e.scenario.Warm+e.scenario.Length {
+	if since := time.Since(e.startedAt); since < e.scenario.Warmup || since >= e.scenario.Warmup+e.scenario.Duration {
 		return
 	}
 	e.result.Requests++
 	if urgent {
-		account += UrgentMark
+		account += UrgentSuffix
 	}
 	e.result.Waits[account] = append(e.result.Waits[account], wait)
 	if outcome != "ran" {
@@ -198,31 +198,31 @@
 			for range c.Callers {
 				n++
 				random := rand.New(rand.NewPCG(e.scenario.Seed, n))
-				callers.Go(func() { e.call(ctx, c, at, random) })
+				callers.Go(func() { e.runCaller(ctx, c, at, random) })
 			}
 		}
 	}
 }
 
 // refusedPause is how long a caller waits after a refusal.
-const refusedPause = time.Second
+const refusalDelay = time.Second
 
-func (e *run) call(ctx context.Context, c Client, at int, random *rand.Rand) {
+func (e *run) runCaller(ctx context.Context, c Client, at int, random *rand.Rand) {
 	if !sleep(ctx, c.From+time.Duration(random.Int64N(int64(time.Second)))) {
 		return
 	}
 	for ctx.Err() == nil {
-		if c.Until > 0 && time.Since(e.begun) > c.Until {
+		if c.Until > 0 && time.Since(e.startedAt) > c.Until {
 			return
 		}
-		tokens := c.Least + random.IntN(c.Most-c.Least+1)
+		tokens := c.MinTokens + random.IntN(c.MaxTokens-c.MinTokens+1)
 		call := fleettest.Call{
-			Router: at, Account: c.Account, Pool: c.Pool, Urgent: c.Urgent, Input: c.Input,
-			Tokens: tokens, Hint: hint(tokens, c.Wrong, random), ID: fmt.Sprintf("%s-%d", c.Account, random.Uint64()),
+			Router: at, Account: c.Account, Pool: c.Pool, Urgent: c.Urgent, PromptBytes: c.PromptBytes,
+			Tokens: tokens, MaxTokens: hint(tokens, c.HintError, random), ID: fmt.Sprintf("%s-%d", c.Account, random.Uint64()),
 		}
 		a := e.fleet.Do(ctx, call)
-		e.carried(a)
-		if len(a.Body) == 0 && !sleep(ctx, refusedPause) {
+		e.addPayload(a)
+		if len(a.Body) == 0 && !sleep(ctx, refusalDelay) {
 			return
 		}
 		if c.Think > 0 && !sleep(ctx, time.Duration(random.ExpFloat64()*float64(c.Think))) {
@@ -232,16 +232,16 @@
 }
 
 // carried counts the bytes of a request's body and answer.
-func (e *run) carried(a fleettest.Answer) {
+func (e *run) addPayload(a fleettest.Answer) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.payload += uint64(a.Sent + len(a.Body))
+	e.payloadBytes += uint64(a.RequestBytes + len(a.Body))
 }
 
-func (e *run) payloadNow() uint64 {
+func (e *run) payloadTotal() uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.payload
+	return e.payloadBytes
 }
 
 func hint(tokens int, wrong float64, random *rand.Rand) int {
@@ -252,7 +252,7 @@
 	return max(1, int(float64(tokens)*factor))
 }
 
-func (e *run) faults(ctx context.Context, callers *sync.WaitGroup) {
+func (e *run) injectFaults(ctx context.Context, callers *sync.WaitGroup) {
 	for _, f := range e.scenario.Faults {
 		callers.Go(func() {
 			if sleep(ctx, f.At) {
@@ -266,35 +266,35 @@
 func (e *run) measure() {
 	start := e.service()
 	startBusy := e.busy()
-	startControl := e.control()
-	startSent, startPayload := e.fleet.Network.Sent(), e.payloadNow()
+	startControl := e.controlBytes()
+	startSent, startPayload := e.fleet.Network.SentBytes(), e.payloadTotal()
 	lastBusy, last := startBusy, time.Now()
 	begun := last
-	for time.Since(begun) < e.scenario.Length {
-		time.Sleep(sampleEvery)
+	for time.Since(begun) < e.scenario.Duration {
+		time.Sleep(sampleInterval)
 		busy, now := e.busy(), time.Now()
-		gap, _ := e.gap(start, e.service())
+		gap, _ := e.serviceGap(start, e.service())
 		e.result.Gap = max(e.result.Gap, gap)
-		e.result.Series = append(e.result.Series, Sample{
-			At: now.Sub(begun), Gap: gap, Utilisation: (busy - lastBusy).Seconds() / now.Sub(last).Seconds() / e.places(),
+		e.result.Samples = append(e.result.Samples, Sample{
+			At: now.Sub(begun), Gap: gap, Utilisation: (busy - lastBusy).Seconds() / now.Sub(last).Seconds() / e.slots(),
 		})
 		lastBusy, last = busy, now
 	}
 	end := e.service()
 	length := time.Since(begun)
-	e.result.Utilisation = (e.busy() - startBusy).Seconds() / length.Seconds() / e.places()
-	_, mean := e.gap(start, end)
-	e.result.Relative = e.result.Gap / mean
+	e.result.Utilisation = (e.busy() - startBusy).Seconds() / length.Seconds() / e.slots()
+	_, mean := e.serviceGap(start, end)
+	e.result.RelativeGap = e.result.Gap / mean
 	for a, v := range end {
 		e.result.Service[a] = v - start[a]
 	}
-	overhead := float64(e.fleet.Network.Sent()-startSent) - float64(e.payloadNow()-startPayload)
-	e.result.Overhead = overhead / length.Seconds() / float64(len(e.fleet.Routers)+len(e.fleet.Agents))
-	e.controlRates(startControl, e.control(), length)
-	e.bounds(length)
+	overhead := float64(e.fleet.Network.SentBytes()-startSent) - float64(e.payloadTotal()-startPayload)
+	e.result.OverheadRate = overhead / length.Seconds() / float64(len(e.fleet.Routers)+len(e.fleet.Agents))
+	e.controlRates(startControl, e.controlBytes(), length)
+	e.checkBounds(length)
 }
 
-func (e *run) places() float64 {
+func (e *run) slots() float64 {
 	return float64(len(e.fleet.Agents) * e.fleet.Options.Slots)
 }
 
@@ -321,7 +321,7 @@
 	return sum
 }
 
-func (e *run) gap(start, end map[string]float64) (gap, mean float64) {
+func (e *run) serviceGap(start, end map[string]float64) (gap, mean float64) {
 	least, most := math.Inf(1), math.Inf(-1)
 	n := 0.0
 	for a, v := range end {
@@ -339,7 +339,7 @@
 	return most - least, math.Max(mean/n, 1)
 }
 
-func (e *run) control() map[string]uint64 {
+func (e *run) controlBytes() map[string]uint64 {
 	bytes := map[string]uint64{}
 	for _, r := range e.fleet.Routers {
 		if r.Node != nil {
@@ -362,16 +362,16 @@
 		}
 		rate := float64(b-start[name]) / length.Seconds()
 		sum += rate
-		e.result.ControlMost = math.Max(e.result.ControlMost, rate)
+		e.result.MaxControlRate = math.Max(e.result.MaxControlRate, rate)
 	}
-	e.result.Control = sum / float64(len(end))
+	e.result.ControlRate = sum / float64(len(end))
 }
 
 // bounds reads the agents' own checks and works out the stated bound.
-func (e *run) bounds(length time.Duration) {
+func (e *run) checkBounds(length time.Duration) {
 	largest, least := 0.0, math.Inf(1)
 	for _, c := range e.scenario.Clients {
-		largest = math.Max(largest, float64(c.Most)+float64(c.Input)/16)
+		largest = math.Max(largest, float64(c.MaxTokens)+float64(c.PromptBytes)/16)
 		least = math.Min(least, float64(max(1, e.scenario.Shares[c.Account])))
 	}
 	total := 0.0
@@ -383,7 +383,7 @@
 		interval = 2 * time.Second
 	}
 	e.result.Bound = fair.GapBound{
-		MaxCost: largest, Slots: e.places(), ServiceRate: total / length.Seconds(), TotalsAge: 3 * interval.Seconds(),
+		MaxCost: largest, Slots: e.slots(), ServiceRate: total / length.Seconds(), TotalsAge: 3 * interval.Seconds(),
 		UrgentCredit: float64(e.weights.UrgentCredit), MinShare: least,
 	}.Value()
 	for _, a := range e.fleet.Agents {
@@ -405,14 +405,14 @@
 
 // Print writes the figures of a run, a line each.
 func (r *Result) Print(w io.Writer) {
-	name := r.Scenario.Name + "/" + r.Scenario.Way.Name
+	name := r.Scenario.Name + "/" + r.Scenario.Strategy.Name
 	fmt.Fprintf(w, "figure gap %q %.0f weighted-tokens\n", name, r.Gap)
-	fmt.Fprintf(w, "figure gap-of-mean-service %q %.3f ratio\n", name, r.Relative)
+	fmt.Fprintf(w, "figure gap-of-mean-service %q %.3f ratio\n", name, r.RelativeGap)
 	fmt.Fprintf(w, "figure bound %q %.0f weighted-tokens\n", name, r.Bound)
 	fmt.Fprintf(w, "figure utilisation %q %.4f ratio\n", name, r.Utilisation)
-	fmt.Fprintf(w, "figure control %q %.0f B/s/node\n", name, r.Control)
-	fmt.Fprintf(w, "figure control-most %q %.0f B/s\n", name, r.ControlMost)
-	fmt.Fprintf(w, "figure overhead %q %.0f B/s/node\n", name, r.Overhead)
+	fmt.Fprintf(w, "figure control %q %.0f B/s/node\n", name, r.ControlRate)
+	fmt.Fprintf(w, "figure control-most %q %.0f B/s\n", name, r.MaxControlRate)
+	fmt.Fprintf(w, "figure overhead %q %.0f B/s/node\n", name, r.OverheadRate)
 	fmt.Fprintf(w, "figure requests %q %d requests\n", name, r.Requests)
 	fmt.Fprintf(w, "figure failed %q %d requests\n", name, r.Failed)
 	fmt.Fprintf(w, "figure bound-violations %q %d times\n", name, r.Violations)
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -20,7 +20,7 @@
 )
 
 // length is how long a run of this call measures.
-func length() time.Duration {
+func duration() time.Duration {
 	if *full {
 		return time.Duration(*minutes) * time.Minute
 	}
@@ -38,12 +38,12 @@
 // comparable is how long runs are whose utilisation is compared within 0.01: what is in
 // flight at the ends of a run of 40 s moves it by 0.02 either way (0.988 to 1.027 in seven
 // runs of one way).
-const comparable = 160 * time.Second
+const comparisonDuration = 160 * time.Second
 
 // TestUnevenAgainstBaselines holds the design to its targets where accounts are
 // spread unevenly: a fifth of per-router fairness's gap, full use, the bound.
 func TestUnevenAgainstBaselines(t *testing.T) {
-	z := experiment.Today(max(length(), comparable))
+	z := experiment.CurrentSize(max(duration(), comparisonDuration))
 	design := measure(t, experiment.Uneven(experiment.Design, z))
 	perRouter := measure(t, experiment.Uneven(experiment.RouterFair, z))
 	firstCome := measure(t, experiment.Uneven(experiment.FirstCome, z))
@@ -53,7 +53,7 @@
 	require.Zero(t, design.Failed)
 	require.GreaterOrEqual(t, design.Utilisation, 0.98)
 	require.GreaterOrEqual(t, design.Utilisation, firstCome.Utilisation-0.01)
-	require.LessOrEqual(t, design.Overhead, 2000.0)
+	require.LessOrEqual(t, design.OverheadRate, 2000.0)
 }
 
 // TestScenarios runs every scenario under the design and holds it to the bound and
@@ -61,8 +61,8 @@
 func TestScenarios(t *testing.T) {
 	if !*full {
 		for _, s := range []experiment.Scenario{
-			experiment.Restarts(experiment.Design, experiment.Today(length())),
-			experiment.Overlap(experiment.Design, experiment.Today(length())),
+			experiment.Restarts(experiment.Design, experiment.CurrentSize(duration())),
+			experiment.Overlap(experiment.Design, experiment.CurrentSize(duration())),
 		} {
 			t.Run(s.Name, func(t *testing.T) {
 				r := measure(t, s)
@@ -72,8 +72,8 @@
 		}
 		return
 	}
-	for _, way := range []experiment.Way{experiment.Design, experiment.RouterFair, experiment.FirstCome} {
-		for _, s := range experiment.All(way, experiment.Today(length())) {
+	for _, way := range []experiment.Strategy{experiment.Design, experiment.RouterFair, experiment.FirstCome} {
+		for _, s := range experiment.All(way, experiment.CurrentSize(duration())) {
 			t.Run(way.Name+"/"+s.Name, func(t *testing.T) {
 				r := measure(t, s)
 				printWaits(r)
@@ -89,7 +89,7 @@
 func printWaits(r *experiment.Result) {
 	var plain, urgent []time.Duration
 	for account, waits := range r.Waits {
-		if len(account) > len(experiment.UrgentMark) && account[len(account)-len(experiment.UrgentMark):] == experiment.UrgentMark {
+		if len(account) > len(experiment.UrgentSuffix) && account[len(account)-len(experiment.UrgentSuffix):] == experiment.UrgentSuffix {
 			urgent = append(urgent, waits...)
 			continue
 		}
@@ -98,9 +98,9 @@
 		}
 	}
 	const high = 99
-	fmt.Printf("figure wait-p99 %q %.3f s\n", r.Scenario.Name+"/"+r.Scenario.Way.Name, experiment.Percentile(plain, high).Seconds())
+	fmt.Printf("figure wait-p99 %q %.3f s\n", r.Scenario.Name+"/"+r.Scenario.Strategy.Name, experiment.Percentile(plain, high).Seconds())
 	if len(urgent) > 0 {
-		fmt.Printf("figure wait-p99-urgent %q %.3f s\n", r.Scenario.Name+"/"+r.Scenario.Way.Name, experiment.Percentile(urgent, high).Seconds())
+		fmt.Printf("figure wait-p99-urgent %q %.3f s\n", r.Scenario.Name+"/"+r.Scenario.Strategy.Name, experiment.Percentile(urgent, high).Seconds())
 	}
 }
 
@@ -114,7 +114,7 @@
 		{Routers: 3, Models: 18}, {Routers: 12, Models: 18}, {Routers: 48, Models: 18},
 		{Routers: 12, Models: 18, Degree: 6}, {Routers: 48, Models: 18, Degree: 6},
 	} {
-		z.Length = length()
+		z.Duration = duration()
 		t.Run(fmt.Sprintf("%d routers degree %d", z.Routers, z.Degree), func(t *testing.T) {
 			sum := 0.0
 			for seed := range uint64(*sizeSeeds) {
@@ -131,8 +131,8 @@
 // TestAllUrgentGainsOnlyItsCredit has one account mark all it asks urgent; it may
 // be ahead of the others' mean by the credit and what is in flight, not more.
 func TestAllUrgentGainsOnlyItsCredit(t *testing.T) {
-	s := experiment.AllUrgent(experiment.Design, experiment.Today(length()))
-	s.Warm = time.Second // what it borrows at the very start counts too
+	s := experiment.AllUrgent(experiment.Design, experiment.CurrentSize(duration()))
+	s.Warmup = time.Second // what it borrows at the very start counts too
 	r := measure(t, s)
 	mean, n := 0.0, 0.0
 	marked := s.Clients[4].Account
@@ -156,10 +156,10 @@
 		t.Log("pictures are drawn with -plots only")
 		return
 	}
-	z := experiment.Today(2 * time.Minute)
-	for _, scenario := range []func(experiment.Way, experiment.Size) experiment.Scenario{experiment.Uneven, experiment.Partition} {
+	z := experiment.CurrentSize(2 * time.Minute)
+	for _, scenario := range []func(experiment.Strategy, experiment.Size) experiment.Scenario{experiment.Uneven, experiment.Partition} {
 		var runs []*experiment.Result
-		for _, way := range []experiment.Way{experiment.Design, experiment.RouterFair, experiment.FirstCome} {
+		for _, way := range []experiment.Strategy{experiment.Design, experiment.RouterFair, experiment.FirstCome} {
 			runs = append(runs, measure(t, scenario(way, z)))
 		}
 		name := runs[0].Scenario.Name
--- a/experiment/plot.go
+++ b/experiment/plot.go
@@ -24,11 +24,11 @@
 	p.Legend.Top = true
 	var lines []any
 	for _, r := range runs {
-		points := make(plotter.XYs, len(r.Series))
-		for i, s := range r.Series {
+		points := make(plotter.XYs, len(r.Samples))
+		for i, s := range r.Samples {
 			points[i] = plotter.XY{X: s.At.Seconds(), Y: value(s)}
 		}
-		lines = append(lines, r.Scenario.Way.Name, points)
+		lines = append(lines, r.Scenario.Strategy.Name, points)
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
 		return errors.Wrapf(err, "experiment: plot %s", title)
--- a/fleettest/chunks_test.go
+++ b/fleettest/chunks_test.go
@@ -26,7 +26,7 @@
 
 // falseAgent takes the first agent's place and answers every attempt with the
 // pieces given.
-func falseAgent(t *testing.T, f *fleettest.Fleet, pieces []*wirepb.Piece) {
+func fakeAgent(t *testing.T, f *fleettest.Fleet, pieces []*wirepb.Piece) {
 	f.CrashAgent(f.Agents[0])
 	l := f.Network.Listen(f.Agents[0].Name)
 	t.Cleanup(func() { l.Close() })
@@ -36,12 +36,12 @@
 			if err != nil {
 				return
 			}
-			go serveFalsely(c, pieces)
+			go serveFake(c, pieces)
 		}
 	}()
 }
 
-func serveFalsely(c net.Conn, pieces []*wirepb.Piece) {
+func serveFake(c net.Conn, pieces []*wirepb.Piece) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p, err := wire.Accept(ctx, c, &wirepb.Hello{Node: "model-000", Incarnation: "false", Hall: "hall-1"})
@@ -76,9 +76,9 @@
 func answerOf(t *testing.T, pieces ...*wirepb.Piece) (a fleettest.Answer) {
 	bubbletest.Run(t, func(t *testing.T) {
 		f := fleettest.Start(t, fleettest.Options{Routers: 1, Models: 1, Halls: 1})
-		falseAgent(t, f, pieces)
+		fakeAgent(t, f, pieces)
 		time.Sleep(10 * time.Second)
-		a = f.Do(context.Background(), fleettest.Call{Account: "solo", Tokens: 1, NoRepeat: true, Deadline: 20 * time.Second})
+		a = f.Do(context.Background(), fleettest.Call{Account: "solo", Tokens: 1, NonRepeatable: true, Deadline: 20 * time.Second})
 		f.Network.Crash("router-00")
 	})
 	return a
--- a/fleettest/config_test.go
+++ b/fleettest/config_test.go
@@ -16,7 +16,7 @@
 
 // inForce is how long an accepted change may take to be in force everywhere after
 // the last fault has ended (source: the users' letter).
-const inForce = 18 * time.Second
+const propagationBound = 18 * time.Second
 
 // watchRevisions asserts that no node's revision steps back until stop is called.
 func watchRevisions(t testing.TB, f *fleettest.Fleet) (stop func()) {
@@ -66,7 +66,7 @@
 					if !ok {
 						require.IsType(t, config.Indeterminate{}, o)
 					} else {
-						requireInForce(t, f, accepted.Document.Revision)
+						requireRevision(t, f, accepted.Document.Revision)
 					}
 					stop()
 				})
@@ -75,8 +75,8 @@
 	}
 }
 
-func requireInForce(t testing.TB, f *fleettest.Fleet, revision uint64) {
-	end := time.Now().Add(inForce)
+func requireRevision(t testing.TB, f *fleettest.Fleet, revision uint64) {
+	end := time.Now().Add(propagationBound)
 	for {
 		behind := 0
 		for _, r := range f.Revisions() {
@@ -102,11 +102,11 @@
 			return nil
 		}).(config.Accepted)
 		require.True(t, ok)
-		requireInForce(t, f, o.Document.Revision)
+		requireRevision(t, f, o.Document.Revision)
 		f.Platform.SetFaults(kvtest.Faults{Down: true})
 		f.CrashAgent(f.Agents[0])
 		f.StartAgent(f.Agents[0])
-		requireInForce(t, f, o.Document.Revision)
+		requireRevision(t, f, o.Document.Revision)
 	})
 }
 
@@ -128,16 +128,16 @@
 		share(2)
 		older := f.Platform.Snapshot()
 		lost := share(3)
-		requireInForce(t, f, lost)
+		requireRevision(t, f, lost)
 		f.Platform.RestoreSnapshot(older)
-		time.Sleep(inForce)
+		time.Sleep(propagationBound)
 		store := config.Store{KV: f.Platform}
 		d, _, err := store.Load(t.Context())
 		require.NoError(t, err)
 		require.Equal(t, lost, d.Revision, "the service has it again")
 		next := share(4)
 		require.Equal(t, lost+1, next)
-		requireInForce(t, f, next)
+		requireRevision(t, f, next)
 	})
 }
 
--- a/fleettest/faults.go
+++ b/fleettest/faults.go
@@ -15,46 +15,46 @@
 // is between them.
 type Fault struct {
 	Name    string
-	Strike  func(*Fleet)
+	Inject  func(*Fleet)
 	Recover func(*Fleet) // nil: it ends by itself
 	// Lasts is how long it lasts before Recover.
-	Lasts time.Duration
+	Duration time.Duration
 	// Router says that the caller's own router is struck: the caller may see
 	// nothing at all.
-	Router bool
+	HitsCallerRouter bool
 }
 
 const (
-	short = 3 * time.Second
-	long  = time.Minute
+	shortFault = 3 * time.Second
+	longFault  = time.Minute
 )
 
 // Faults are the faults of the matrix, in the order of its page.
 var Faults = []Fault{
-	{Name: "agent crashes and restarts with no state", Strike: restartFirstAgent},
-	{Name: "agent crashes and stays down", Strike: crashFirstAgent, Recover: startFirstAgent, Lasts: long},
-	{Name: "agent paused shortly", Strike: freeze("model-000"), Recover: thaw("model-000"), Lasts: short},
-	{Name: "agent paused long", Strike: freeze("model-000"), Recover: thaw("model-000"), Lasts: long},
-	{Name: "router paused shortly", Strike: freeze("router-00"), Recover: thaw("router-00"), Lasts: short},
-	{Name: "router paused long", Strike: freeze("router-00"), Recover: thaw("router-00"), Lasts: long},
-	{Name: "router crashes and restarts with no state", Strike: restartFirstRouter, Router: true},
-	{Name: "connection between router and agent broken", Strike: func(f *Fleet) { f.Network.Break("router-00", "model-000") }},
-	{Name: "router and agent cut off both ways, shortly", Strike: cut("router-00", "model-000"), Recover: heal, Lasts: short},
-	{Name: "router and agent cut off both ways, long", Strike: cut("router-00", "model-000"), Recover: heal, Lasts: long},
-	{Name: "router cut off towards the agent", Strike: cutOneWay("router-00", "model-000"), Recover: heal, Lasts: long},
-	{Name: "agent cut off towards the router", Strike: cutOneWay("model-000", "router-00"), Recover: heal, Lasts: long},
-	{Name: "halls cut off from each other", Strike: cut("hall-1", "hall-2"), Recover: heal, Lasts: long},
-	{Name: "server refuses connections", Strike: serverDown(true), Recover: serverDown(false), Lasts: short},
-	{Name: "server answers with errors", Strike: model(enginetest.ModelFaults{Refuse: true}), Recover: model(enginetest.ModelFaults{}), Lasts: short},
-	{Name: "server breaks off its answers", Strike: model(enginetest.ModelFaults{BreakAfter: 1}), Recover: model(enginetest.ModelFaults{}), Lasts: short},
-	{Name: "server takes calls and never answers", Strike: model(enginetest.ModelFaults{Silent: true}), Recover: model(enginetest.ModelFaults{}), Lasts: short},
-	{Name: "server is ten times slower", Strike: model(enginetest.ModelFaults{Slower: 10}), Recover: model(enginetest.ModelFaults{}), Lasts: short},
-	{Name: "platform's service is down long", Strike: service(kvtest.Faults{Down: true}), Recover: service(kvtest.Faults{}), Lasts: long},
-	{Name: "platform's service is slow", Strike: service(kvtest.Faults{Delay: time.Second}), Recover: service(kvtest.Faults{}), Lasts: long},
-	{Name: "live list drops the agent", Strike: func(f *Fleet) { f.Platform.RemoveHost("model-000") }, Recover: listFirstAgent, Lasts: long},
-	{Name: "live list drops the other routers", Strike: func(f *Fleet) { f.Platform.RemoveHost("router-01") }, Recover: listSecondRouter, Lasts: long},
-	{Name: "operator marks the server leaving", Strike: leaving(true), Recover: leaving(false), Lasts: short},
-	{Name: "operators race each other", Strike: race},
+	{Name: "agent crashes and restarts with no state", Inject: restartFirstAgent},
+	{Name: "agent crashes and stays down", Inject: crashFirstAgent, Recover: startFirstAgent, Duration: longFault},
+	{Name: "agent paused shortly", Inject: freeze("model-000"), Recover: thaw("model-000"), Duration: shortFault},
+	{Name: "agent paused long", Inject: freeze("model-000"), Recover: thaw("model-000"), Duration: longFault},
+	{Name: "router paused shortly", Inject: freeze("router-00"), Recover: thaw("router-00"), Duration: shortFault},
+	{Name: "router paused long", Inject: freeze("router-00"), Recover: thaw("router-00"), Duration: longFault},
+	{Name: "router crashes and restarts with no state", Inject: restartFirstRouter, HitsCallerRouter: true},
+	{Name: "connection between router and agent broken", Inject: func(f *Fleet) { f.Network.CloseConns("router-00", "model-000") }},
+	{Name: "router and agent cut off both ways, shortly", Inject: cut("router-00", "model-000"), Recover: heal, Duration: shortFault},
+	{Name: "router and agent cut off both ways, long", Inject: cut("router-00", "model-000"), Recover: heal, Duration: longFault},
+	{Name: "router cut off towards the agent", Inject: cutOneWay("router-00", "model-000"), Recover: heal, Duration: longFault},
+	{Name: "agent cut off towards the router", Inject: cutOneWay("model-000", "router-00"), Recover: heal, Duration: longFault},
+	{Name: "halls cut off from each other", Inject: cut("hall-1", "hall-2"), Recover: heal, Duration: longFault},
+	{Name: "server refuses connections", Inject: serverDown(true), Recover: serverDown(false), Duration: shortFault},
+	{Name: "server answers with errors", Inject: modelFaults(enginetest.ModelFaults{Refuse: true}), Recover: modelFaults(enginetest.ModelFaults{}), Duration: shortFault},
+	{Name: "server breaks off its answers", Inject: modelFaults(enginetest.ModelFaults{BreakAfter: 1}), Recover: modelFaults(enginetest.ModelFaults{}), Duration: shortFault},
+	{Name: "server takes calls and never answers", Inject: modelFaults(enginetest.ModelFaults{Silent: true}), Recover: modelFaults(enginetest.ModelFaults{}), Duration: shortFault},
+	{Name: "server is ten times slower", Inject: modelFaults(enginetest.ModelFaults{Slower: 10}), Recover: modelFaults(enginetest.ModelFaults{}), Duration: shortFault},
+	{Name: "platform's service is down long", Inject: platformFaults(kvtest.Faults{Down: true}), Recover: platformFaults(kvtest.Faults{}), Duration: longFault},
+	{Name: "platform's service is slow", Inject: platformFaults(kvtest.Faults{Delay: time.Second}), Recover: platformFaults(kvtest.Faults{}), Duration: longFault},
+	{Name: "live list drops the agent", Inject: func(f *Fleet) { f.Platform.RemoveHost("model-000") }, Recover: listFirstAgent, Duration: longFault},
+	{Name: "live list drops the other routers", Inject: func(f *Fleet) { f.Platform.RemoveHost("router-01") }, Recover: listSecondRouter, Duration: longFault},
+	{Name: "operator marks the server leaving", Inject: markLeaving(true), Recover: markLeaving(false), Duration: shortFault},
+	{Name: "operators race each other", Inject: raceOperators},
 }
 
 func restartFirstAgent(f *Fleet) {
@@ -93,11 +93,11 @@
 	return func(f *Fleet) { f.Agents[0].Server.(*enginetest.Direct).SetDown(down) }
 }
 
-func model(m enginetest.ModelFaults) func(*Fleet) {
+func modelFaults(m enginetest.ModelFaults) func(*Fleet) {
 	return func(f *Fleet) { f.Agents[0].Model.SetFaults(m) }
 }
 
-func service(s kvtest.Faults) func(*Fleet) {
+func platformFaults(s kvtest.Faults) func(*Fleet) {
 	return func(f *Fleet) { f.Platform.SetFaults(s) }
 }
 
@@ -111,7 +111,7 @@
 	f.Platform.SetHost(kv.Host{Name: r.Name, Role: kv.Router, Hall: r.Hall, Address: r.Name})
 }
 
-func leaving(on bool) func(*Fleet) {
+func markLeaving(on bool) func(*Fleet) {
 	return func(f *Fleet) {
 		f.Propose(func(d *config.Document) error {
 			d.Servers[0].Leaving = on
@@ -121,7 +121,7 @@
 }
 
 // race has four operators change the same account at once.
-func race(f *Fleet) {
+func raceOperators(f *Fleet) {
 	for i := range 4 {
 		go f.Propose(func(d *config.Document) error {
 			d.Accounts[0].Share = uint32(i + 1)
@@ -140,12 +140,12 @@
 
 // Run strikes with a fault and recovers from it; it returns when it is over.
 func (x Fault) Run(ctx context.Context, f *Fleet) {
-	x.Strike(f)
+	x.Inject(f)
 	if x.Recover == nil {
 		return
 	}
 	select {
-	case <-time.After(x.Lasts):
+	case <-time.After(x.Duration):
 	case <-ctx.Done():
 	}
 	x.Recover(f)
--- a/fleettest/fleet.go
+++ b/fleettest/fleet.go
@@ -29,7 +29,7 @@
 	ModelPool   = "small"
 	ServicePool = "booking"
 	// TallyHeader carries the account to the servers' stand-ins.
-	TallyHeader = "X-Account"
+	AccountHeader = "X-Account"
 )
 
 // Options set up a fleet. Zero values mean the defaults named.
@@ -83,9 +83,9 @@
 	Routers  []*Router
 	Agents   []*Agent
 
-	test testing.TB
-	ctx  context.Context
-	end  context.CancelFunc
+	test   testing.TB
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
 // Router is a router of the fleet; Node is nil while it is stopped.
@@ -114,7 +114,7 @@
 func Start(t testing.TB, o Options) *Fleet {
 	o = o.withDefaults()
 	ctx, end := context.WithCancel(context.Background())
-	f := &Fleet{Options: o, Network: NewNetwork(o.Latency), Platform: &kvtest.Service{}, test: t, ctx: ctx, end: end}
+	f := &Fleet{Options: o, Network: NewNetwork(o.Latency), Platform: &kvtest.Service{}, test: t, ctx: ctx, cancel: end}
 	f.configure()
 	for i := range o.Models + o.Services {
 		f.addAgent(i)
@@ -122,7 +122,7 @@
 	for i := range o.Routers {
 		name := fmt.Sprintf("router-%02d", i)
 		r := &Router{Name: name, Hall: f.hall(i)}
-		f.Network.Place(name, r.Hall)
+		f.Network.SetHall(name, r.Hall)
 		f.Routers = append(f.Routers, r)
 		f.Platform.SetHost(kv.Host{Name: name, Role: kv.Router, Hall: r.Hall, Address: name})
 	}
@@ -181,7 +181,7 @@
 		m := f.Options.Model
 		m.Models = f.Options.Pools(i)
 		m.Slots = f.Options.Slots
-		m.TallyHeader = TallyHeader
+		m.TallyHeader = AccountHeader
 		a.Model = enginetest.NewModel(m)
 		a.Server = &enginetest.Direct{Handler: a.Model}
 	} else {
@@ -189,19 +189,19 @@
 		a.Service = &enginetest.Service{}
 		a.Server = &enginetest.Direct{Handler: a.Service}
 	}
-	f.Network.Place(a.Name, a.Hall)
+	f.Network.SetHall(a.Name, a.Hall)
 	f.Agents = append(f.Agents, a)
 	f.StartAgent(a)
 	f.Platform.SetHost(kv.Host{Name: a.Name, Role: kv.Agent, Hall: a.Hall, Address: a.Name})
 }
 
-const recordsKept = 4096
+const recordCapacity = 4096
 
 // StartAgent starts an agent's process anew, with no state.
 func (f *Fleet) StartAgent(a *Agent) {
 	node, err := agent.New(agent.Options{
 		Name: a.Name, Hall: a.Hall, Engine: a.Server, Listener: f.Network.Listen(a.Name), Slots: f.Options.Slots,
-		Interval: f.Options.Interval, Policy: f.Options.Policy, Log: f.Options.Log, Records: explain.NewLog(a.Name, recordsKept),
+		Interval: f.Options.Interval, Policy: f.Options.Policy, Log: f.Options.Log, Records: explain.NewLog(a.Name, recordCapacity),
 	})
 	require.NoError(f.test, err)
 	ctx, stop := context.WithCancel(f.ctx)
@@ -216,7 +216,7 @@
 	node, err := router.New(router.Options{
 		Name: r.Name, Hall: r.Hall, Address: r.Name, KV: f.Platform, Directory: f.Platform,
 		Dial: f.Network.Dialer(r.Name), Listener: f.Network.Listen(r.Name), Degree: f.Options.Degree,
-		Interval: f.Options.Interval, Queueing: f.Options.Queueing, Log: f.Options.Log, Records: explain.NewLog(r.Name, recordsKept),
+		Interval: f.Options.Interval, Queueing: f.Options.Queueing, Log: f.Options.Log, Records: explain.NewLog(r.Name, recordCapacity),
 		Metrics: f.Options.Metrics,
 	})
 	require.NoError(f.test, err)
@@ -262,11 +262,11 @@
 }
 
 // readyTime is how long a fleet may take to be connected.
-const readyTime = time.Minute
+const readyTimeout = time.Minute
 
 // WaitReady waits until every running router is connected to its agents.
 func (f *Fleet) WaitReady() {
-	end := time.Now().Add(readyTime)
+	end := time.Now().Add(readyTimeout)
 	for _, r := range f.Routers {
 		for r.running() != nil && !f.ready(r.running()) {
 			require.True(f.test, time.Now().Before(end), "%s is not ready", r.Name)
@@ -285,7 +285,7 @@
 
 // Stop ends all processes.
 func (f *Fleet) Stop() {
-	f.end()
+	f.cancel()
 	for _, r := range f.Routers {
 		if r.Node != nil {
 			<-r.done
@@ -302,28 +302,28 @@
 
 // Call describes one request.
 type Call struct {
-	Router   int
-	Account  string
-	Pool     string // ModelPool
-	Urgent   bool
-	NoRepeat bool
-	Key      string
-	Input    int           // bytes of prompt
-	Tokens   int           // the answer's true length
-	Hint     int           // the caller's max_tokens; 0: Tokens
-	Deadline time.Duration // 10 minutes
-	ID       string
+	Router         int
+	Account        string
+	Pool           string // ModelPool
+	Urgent         bool
+	NonRepeatable  bool
+	IdempotencyKey string
+	PromptBytes    int           // bytes of prompt
+	Tokens         int           // the answer's true length
+	MaxTokens      int           // the caller's max_tokens; 0: Tokens
+	Deadline       time.Duration // 10 minutes
+	ID             string
 }
 
 // Answer is what the caller of a request saw.
 type Answer struct {
-	ID      string
-	Outcome attempt.Outcome
-	Status  int
-	Body    []byte
-	Sent    int           // bytes of the request's body
-	First   time.Duration // until the first byte
-	Total   time.Duration
+	ID           string
+	Outcome      attempt.Outcome
+	Status       int
+	Body         []byte
+	RequestBytes int           // bytes of the request's body
+	FirstByte    time.Duration // until the first byte
+	Total        time.Duration
 }
 
 var idMutex sync.Mutex
@@ -344,10 +344,10 @@
 		return Answer{Outcome: attempt.NotExecuted{Reason: "the router is down"}}
 	}
 	q := f.request(c)
-	s := &sink{begun: time.Now()}
-	a := Answer{ID: q.ID, Sent: len(q.Content)}
+	s := &sink{startedAt: time.Now()}
+	a := Answer{ID: q.ID, RequestBytes: len(q.Content)}
 	a.Outcome = node.Serve(ctx, q, s)
-	a.Status, a.Body, a.First, a.Total = s.status, s.body, s.first, time.Since(s.begun)
+	a.Status, a.Body, a.FirstByte, a.Total = s.status, s.body, s.first, time.Since(s.startedAt)
 	return a
 }
 
@@ -361,8 +361,8 @@
 	if c.ID == "" {
 		c.ID = newID()
 	}
-	if c.Hint == 0 {
-		c.Hint = c.Tokens
+	if c.MaxTokens == 0 {
+		c.MaxTokens = c.Tokens
 	}
 	id := uint32(0)
 	for i, a := range f.Options.Accounts {
@@ -371,9 +371,9 @@
 		}
 	}
 	q := &router.Request{
-		ID: c.ID, Account: c.Account, AccountID: id, Pool: c.Pool, Urgent: c.Urgent, Repeatable: !c.NoRepeat, IdempotencyKey: c.Key,
+		ID: c.ID, Account: c.Account, AccountID: id, Pool: c.Pool, Urgent: c.Urgent, Repeatable: !c.NonRepeatable, IdempotencyKey: c.IdempotencyKey,
 		Deadline: time.Now().Add(c.Deadline), Method: http.MethodPost, Path: "/v1/chat/completions",
-		Headers: []*wirepb.Header{{Name: TallyHeader, Value: c.Account}}, MaxWaiting: 1 << 20,
+		Headers: []*wirepb.Header{{Name: AccountHeader, Value: c.Account}}, MaxWaiting: 1 << 20,
 	}
 	if c.Pool == ServicePool {
 		q.Path = "/call"
@@ -381,8 +381,8 @@
 		return q
 	}
 	q.Content = fmt.Appendf(nil, `{"model":%q,"stream":true,"max_tokens":%d,"x_actual_tokens":%d,"stream_options":{"include_usage":true},"prompt":"%s"}`,
-		c.Pool, c.Hint, c.Tokens, padding(c.Input))
-	q.Estimate = float64(len(q.Content))/16 + float64(c.Hint)
+		c.Pool, c.MaxTokens, c.Tokens, padding(c.PromptBytes))
+	q.Estimate = float64(len(q.Content))/16 + float64(c.MaxTokens)
 	return q
 }
 
@@ -396,16 +396,16 @@
 
 // sink collects an answer.
 type sink struct {
-	begun  time.Time
-	first  time.Duration
-	status int
-	body   []byte
+	startedAt time.Time
+	first     time.Duration
+	status    int
+	body      []byte
 }
 
 // Head implements router.Sink.
 func (s *sink) Head(status int, _ []*wirepb.Header) {
 	s.status = status
-	s.first = time.Since(s.begun)
+	s.first = time.Since(s.startedAt)
 }
 
 // Write implements router.Sink.
@@ -431,6 +431,6 @@
 }
 
 // ListLeaving has the live list tell that an agent's host is leaving.
-func (f *Fleet) ListLeaving(a *Agent) {
+func (f *Fleet) SetHostLeaving(a *Agent) {
 	f.Platform.SetHost(kv.Host{Name: a.Name, Role: kv.Agent, Hall: a.Hall, Address: a.Name, Leaving: true})
 }
--- a/fleettest/matrix_test.go
+++ b/fleettest/matrix_test.go
@@ -72,7 +72,7 @@
 }
 
 // checkPromises holds an answer to what must always hold.
-func checkPromises(t testing.TB, f *fleettest.Fleet, c fleettest.Call, a fleettest.Answer) {
+func checkGuarantees(t testing.TB, f *fleettest.Fleet, c fleettest.Call, a fleettest.Answer) {
 	runs := 0
 	for _, g := range f.Agents {
 		if g.Model != nil {
@@ -81,7 +81,7 @@
 			runs += g.Service.Runs()[a.ID]
 		}
 	}
-	if c.NoRepeat {
+	if c.NonRepeatable {
 		require.LessOrEqual(t, runs, 1, "a request that may not be repeated ran %d times", runs)
 	}
 	if _, notRun := a.Outcome.(attempt.NotExecuted); notRun {
@@ -105,12 +105,12 @@
 
 // call is one row's request.
 func call(noRepeat bool) fleettest.Call {
-	return fleettest.Call{Account: "solo", Tokens: answerTokens, Input: 50, NoRepeat: noRepeat, Deadline: callDeadline}
+	return fleettest.Call{Account: "solo", Tokens: answerTokens, PromptBytes: 50, NonRepeatable: noRepeat, Deadline: callDeadline}
 }
 
 // runWith sends a request and strikes with faults at the times given, counted from
 // its sending.
-func runWith(t testing.TB, f *fleettest.Fleet, c fleettest.Call, strikes map[time.Duration]fleettest.Fault) fleettest.Answer {
+func runWithFaults(t testing.TB, f *fleettest.Fleet, c fleettest.Call, strikes map[time.Duration]fleettest.Fault) fleettest.Answer {
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{}, len(strikes))
 	for at, x := range strikes {
@@ -175,13 +175,13 @@
 					bubbletest.Run(t, func(t *testing.T) {
 						f := matrixFleet(t)
 						c := call(noRepeat)
-						a := runWith(t, f, c, map[time.Duration]fleettest.Fault{s.at: x})
+						a := runWithFaults(t, f, c, map[time.Duration]fleettest.Fault{s.at: x})
 						text := outcomeText(a)
-						if x.Router && text == "not run" {
+						if x.HitsCallerRouter && text == "not run" {
 							text = "connection broken"
 							a.Outcome = attempt.Unknown{}
 						}
-						checkPromises(t, f, c, a)
+						checkGuarantees(t, f, c, a)
 						requireRecovery(t, f)
 						if noRepeat {
 							r.notRepeatable = text
--- a/fleettest/network.go
+++ b/fleettest/network.go
@@ -51,7 +51,7 @@
 }
 
 // Place tells in which hall a node stands; cuts name nodes or halls.
-func (n *Network) Place(node, hall string) {
+func (n *Network) SetHall(node, hall string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.halls[node] = hall
@@ -121,25 +121,27 @@
 }
 
 // CutOneWay stops delivery from one node or hall to another.
-func (n *Network) CutOneWay(from, to string) { n.change(func() { n.cut[[2]string{from, to}] = true }) }
+func (n *Network) CutOneWay(from, to string) {
+	n.applyFault(func() { n.cut[[2]string{from, to}] = true })
+}
 
 // Heal ends all cuts and freezes.
 func (n *Network) Heal() {
-	n.change(func() {
+	n.applyFault(func() {
 		clear(n.cut)
 		clear(n.frozen)
 	})
 }
 
 // Freeze stops delivery from and to a node, as when its process is paused.
-func (n *Network) Freeze(node string) { n.change(func() { n.frozen[node] = true }) }
+func (n *Network) Freeze(node string) { n.applyFault(func() { n.frozen[node] = true }) }
 
 // Thaw ends a freeze; what was held back arrives.
-func (n *Network) Thaw(node string) { n.change(func() { delete(n.frozen, node) }) }
+func (n *Network) Thaw(node string) { n.applyFault(func() { delete(n.frozen, node) }) }
 
 // Break closes every connection between two nodes.
-func (n *Network) Break(a, b string) {
-	for _, c := range n.between(func(c *conn) bool {
+func (n *Network) CloseConns(a, b string) {
+	for _, c := range n.matchingConns(func(c *conn) bool {
 		return (c.local == a && c.remote == b) || (c.local == b && c.remote == a)
 	}) {
 		c.Close()
@@ -147,7 +149,7 @@
 }
 
 // Sent returns the bytes that all nodes have sent.
-func (n *Network) Sent() uint64 {
+func (n *Network) SentBytes() uint64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	sum := uint64(0)
@@ -157,7 +159,7 @@
 	return sum
 }
 
-func (n *Network) count(node string, b int) {
+func (n *Network) addSent(node string, b int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.bytes[node] += uint64(b)
@@ -165,12 +167,12 @@
 
 // Crash closes every connection of a node at once.
 func (n *Network) Crash(node string) {
-	for _, c := range n.between(func(c *conn) bool { return c.local == node || c.remote == node }) {
+	for _, c := range n.matchingConns(func(c *conn) bool { return c.local == node || c.remote == node }) {
 		c.Close()
 	}
 }
 
-func (n *Network) between(match func(*conn) bool) []*conn {
+func (n *Network) matchingConns(match func(*conn) bool) []*conn {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	var list []*conn
@@ -183,7 +185,7 @@
 }
 
 // change applies a fault and wakes all readers.
-func (n *Network) change(f func()) {
+func (n *Network) applyFault(f func()) {
 	n.mutex.Lock()
 	f()
 	var all []*conn
@@ -294,7 +296,7 @@
 	from, to string
 	mutex    sync.Mutex
 	packets  []packet
-	held     int
+	buffered int
 	last     time.Time // when the packet read last arrived
 	closed   bool
 	progress chan struct{} // closed and replaced at every change
@@ -312,10 +314,10 @@
 func (s *stream) wake() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.changed()
+	s.signal()
 }
 
-func (s *stream) changed() {
+func (s *stream) signal() {
 	close(s.progress)
 	s.progress = make(chan struct{})
 }
@@ -324,13 +326,13 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closed = true
-	s.changed()
+	s.signal()
 }
 
 func (s *stream) write(p []byte) (int, error) {
-	s.network.count(s.from, len(p))
+	s.network.addSent(s.from, len(p))
 	s.mutex.Lock()
-	for s.held > windowBytes && !s.closed {
+	for s.buffered > windowBytes && !s.closed {
 		progress := s.progress
 		s.mutex.Unlock()
 		<-progress
@@ -341,8 +343,8 @@
 		return 0, io.ErrClosedPipe
 	}
 	s.packets = append(s.packets, packet{bytes: append([]byte(nil), p...), at: time.Now().Add(s.network.Latency)})
-	s.held += len(p)
-	s.changed()
+	s.buffered += len(p)
+	s.signal()
 	return len(p), nil
 }
 
@@ -362,7 +364,7 @@
 		if len(s.packets) > 0 && (!blocked || begun) {
 			wait = time.Until(s.packets[0].at)
 			if wait <= 0 {
-				n := s.take(p)
+				n := s.consume(p)
 				s.mutex.Unlock()
 				return n, nil
 			}
@@ -381,14 +383,14 @@
 	}
 }
 
-func (s *stream) take(p []byte) int {
+func (s *stream) consume(p []byte) int {
 	s.last = s.packets[0].at
 	n := copy(p, s.packets[0].bytes)
-	s.held -= n
+	s.buffered -= n
 	s.packets[0].bytes = s.packets[0].bytes[n:]
 	if len(s.packets[0].bytes) == 0 {
 		s.packets = s.packets[1:]
 	}
-	s.changed()
+	s.signal()
 	return n
 }
--- a/fleettest/pairs_test.go
+++ b/fleettest/pairs_test.go
@@ -11,7 +11,7 @@
 )
 
 // secondAfter is how long after the first fault of a pair the second strikes.
-const secondAfter = 200 * time.Millisecond
+const secondFaultDelay = 200 * time.Millisecond
 
 // TestPairsOfFaults strikes with every pair of faults, one of them twice included,
 // where they can meet in one request.
@@ -27,11 +27,11 @@
 					bubbletest.Run(t, func(t *testing.T) {
 						f := matrixFleet(t)
 						c := call(noRepeat)
-						a := runWith(t, f, c, map[time.Duration]fleettest.Fault{s.at: x, s.at + secondAfter: y})
-						if _, notRun := a.Outcome.(attempt.NotExecuted); notRun && (x.Router || y.Router) {
+						a := runWithFaults(t, f, c, map[time.Duration]fleettest.Fault{s.at: x, s.at + secondFaultDelay: y})
+						if _, notRun := a.Outcome.(attempt.NotExecuted); notRun && (x.HitsCallerRouter || y.HitsCallerRouter) {
 							a.Outcome = attempt.Unknown{} // the caller's connection broke: it saw nothing
 						}
-						checkPromises(t, f, c, a)
+						checkGuarantees(t, f, c, a)
 						requireRecovery(t, f)
 					})
 				})
--- a/fleettest/path_test.go
+++ b/fleettest/path_test.go
@@ -21,7 +21,7 @@
 		require.Contains(t, string(a.Body), "t19 ")
 		require.Contains(t, string(a.Body), "[DONE]")
 
-		b := f.Do(context.Background(), fleettest.Call{Account: "solo", Pool: fleettest.ServicePool, NoRepeat: true})
+		b := f.Do(context.Background(), fleettest.Call{Account: "solo", Pool: fleettest.ServicePool, NonRepeatable: true})
 		require.Equal(t, attempt.Executed{Complete: true}, b.Outcome)
 		require.Equal(t, 1, f.Agents[3].Service.Runs()[b.ID])
 	})
--- a/fleettest/random_test.go
+++ b/fleettest/random_test.go
@@ -26,14 +26,14 @@
 )
 
 // keptSeeds found violations once and are run for ever after.
-var keptSeeds = []uint64{}
+var regressionSeeds = []uint64{}
 
 // tally counts what a randomised run saw.
 type tally struct {
-	mutex    sync.Mutex
-	outcomes map[string]int
-	faults   int
-	repeated int // answers of a caller's retry under its idempotency key
+	mutex        sync.Mutex
+	outcomes     map[string]int
+	faults       int
+	keyedRetries int // answers of a caller's retry under its idempotency key
 }
 
 // TestRandomised runs random callers through random faults, several at once.
@@ -42,7 +42,7 @@
 		seed := *firstSeed + i
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { randomRun(t, seed) })
 	}
-	for _, seed := range keptSeeds {
+	for _, seed := range regressionSeeds {
 		t.Run(fmt.Sprintf("kept seed %d", seed), func(t *testing.T) { randomRun(t, seed) })
 	}
 }
@@ -69,13 +69,13 @@
 		stop()
 		f.Network.Heal()
 		requireRecovery(t, f)
-		t.Logf("figure randomised seed %d: %s virtual, %d faults, outcomes %v, retries under a key %d", seed, *simulated, sum.faults, sum.outcomes, sum.repeated)
+		t.Logf("figure randomised seed %d: %s virtual, %d faults, outcomes %v, retries under a key %d", seed, *simulated, sum.faults, sum.outcomes, sum.keyedRetries)
 	})
 }
 
 // timedKey returns a version 7 UUID of the bubble's clock. The library's own
 // generator never goes back in time, from one bubble to the next either.
-func timedKey(random *rand.Rand) string {
+func newKey(random *rand.Rand) string {
 	var u uuid.UUID
 	for i := range u {
 		u[i] = byte(random.Uint32())
@@ -101,7 +101,7 @@
 		}
 		x := fleettest.Faults[random.IntN(len(fleettest.Faults))]
 		sum.faults++
-		if x.Router {
+		if x.HitsCallerRouter {
 			x.Run(ctx, f) // one process is not crashed twice at once
 			continue
 		}
@@ -117,15 +117,15 @@
 		c.Account = []string{"solo", "other"}[random.IntN(2)]
 		c.Urgent = random.IntN(4) == 0
 		if random.IntN(3) == 0 {
-			c.Pool, c.NoRepeat = fleettest.ServicePool, true
+			c.Pool, c.NonRepeatable = fleettest.ServicePool, true
 		}
-		if c.NoRepeat && random.IntN(2) == 0 {
-			c.Key = timedKey(random)
+		if c.NonRepeatable && random.IntN(2) == 0 {
+			c.IdempotencyKey = newKey(random)
 		}
 		first := f.Do(context.Background(), c)
-		checkPromises(t, f, c, first)
+		checkGuarantees(t, f, c, first)
 		sum.count(first)
-		if c.Key != "" {
+		if c.IdempotencyKey != "" {
 			retryUnderKey(t, f, c, first, random, sum)
 		}
 		time.Sleep(time.Duration(random.Int64N(int64(2 * time.Second))))
@@ -137,7 +137,7 @@
 func retryUnderKey(t *testing.T, f *fleettest.Fleet, c fleettest.Call, first fleettest.Answer, random *rand.Rand, sum *tally) {
 	c.Router = 1 + random.IntN(2)
 	second := f.Do(context.Background(), c)
-	checkPromises(t, f, c, fleettest.Answer{ID: first.ID, Outcome: attempt.Unknown{}})
+	checkGuarantees(t, f, c, fleettest.Answer{ID: first.ID, Outcome: attempt.Unknown{}})
 	runs := 0
 	for _, g := range f.Agents {
 		var counts map[string]int
@@ -151,7 +151,7 @@
 	require.LessOrEqual(t, runs, 1, "a caller's retry under its key ran again")
 	sum.mutex.Lock()
 	defer sum.mutex.Unlock()
-	sum.repeated++
+	sum.keyedRetries++
 }
 
 func (s *tally) count(a fleettest.Answer) {
--- a/fleettest/stop_test.go
+++ b/fleettest/stop_test.go
@@ -41,7 +41,7 @@
 					}()
 					a := f.Do(context.Background(), call(true))
 					require.Equal(t, attempt.Executed{Complete: true}, a.Outcome, "cut off by a planned stop")
-					checkPromises(t, f, call(true), a)
+					checkGuarantees(t, f, call(true), a)
 					if drained := <-stopping; drained != nil {
 						<-drained
 					}
@@ -54,7 +54,7 @@
 // leavingBound is how long after an accepted change a server that is leaving may
 // still get new work; the change itself may take 18 s to reach a node that lost
 // touch (docs/operators/stops.md).
-const leavingBound = 3 * time.Second
+const newWorkBound = 3 * time.Second
 
 // TestLeavingServerGetsNoNewWork keeps a fleet busy and marks a server leaving, or
 // stops its agent, and measures until when it got new work.
@@ -70,7 +70,7 @@
 			})
 		}},
 		{"by its agent", func(f *fleettest.Fleet) { f.Agents[0].Node.Drain() }},
-		{"by the live list", func(f *fleettest.Fleet) { f.ListLeaving(f.Agents[0]) }},
+		{"by the live list", func(f *fleettest.Fleet) { f.SetHostLeaving(f.Agents[0]) }},
 	}
 	for _, way := range ways {
 		t.Run(way.name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 				t.Logf("figure last-new-work-after-leaving %q %.2f s", way.name, last.Seconds())
 				cancel()
 				time.Sleep(time.Minute)
-				require.LessOrEqual(t, last, leavingBound)
+				require.LessOrEqual(t, last, newWorkBound)
 			})
 		})
 	}
