--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -163,7 +163,7 @@
 	bubbletest.Run(t, func(t *testing.T) {
 		s := experiment.Scenario{Name: "gossip", Strategy: experiment.Design, Routers: routers, Models: 1, Slots: 1,
 			Clients: []experiment.Client{{Account: "idle", Routers: []int{0}, Callers: 1, MinTokens: 1, MaxTokens: 1, Think: time.Hour}},
-			Warmup:    10 * time.Second, Duration: time.Minute}
+			Warmup:  10 * time.Second, Duration: time.Minute}
 		r = experiment.Run(t, s)
 	})
 	return r.ControlRate
