--- a/soak/book.go
+++ b/soak/book.go
@@ -14,20 +14,21 @@
 	"opalbridge.dev/platform"
 )
 
-// book holds what callers saw, and what was broken.
+// recorder records what callers and servers observe, and the violations found.
 type recorder struct {
 	mutex      sync.Mutex
 	sent       map[string]string          // kind of each request
-	refused    map[string]bool            // requests that were answered as not run
-	stopping   map[string]bool            // fronts of gateways in a planned stop without other trouble
-	highest    map[string]acceptedVersion // newest key accepted, by gateway and incarnation
+	refused    map[string]bool            // requests that were answered as not executed
+	stopping   map[string]bool            // caller addresses of gateways in a planned stop with no other fault active
+	highest    map[string]acceptedVersion // newest version accepted, by gateway and incarnation
 	violations []string
 	served     int
-	fatal      map[string]*fatalHistory // by body
+	fatal      map[string]*fatalHistory // by request body
 	signals    serverSignals
 }
 
-// seen is when a gateway was first seen to accept a version's key.
+// acceptedVersion is the newest version whose key a gateway has accepted, and when that was
+// first observed.
 type acceptedVersion struct {
 	version int
 	at      time.Time
@@ -37,53 +38,56 @@
 	return &recorder{sent: map[string]string{}, refused: map[string]bool{}, stopping: map[string]bool{}, highest: map[string]acceptedVersion{}, fatal: map[string]*fatalHistory{}, signals: serverSignals{leaving: map[sender]time.Time{}}}
 }
 
+// violationf records a violation with the current time.
 func (b *recorder) violationf(format string, a ...any) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.violations = append(b.violations, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, a...))
 }
 
+// report returns all violations, including those of the server signals.
 func (b *recorder) report() []string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.violations = append(b.violations, b.signals.check()...)
 	if b.served == 0 {
-		return append(b.violations, "nothing was served")
+		return append(b.violations, "no request was answered with status 200")
 	}
 	return slices.Clone(b.violations)
 }
 
-func (b *recorder) setStopping(front string, begins bool) {
+// setStopping records whether the gateway at front is in a planned stop.
+func (b *recorder) setStopping(front string, stopping bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.stopping[front] = begins
+	b.stopping[front] = stopping
 }
 
-// answered takes down an answer and checks what it says by itself.
-func (b *recorder) recordAnswer(id, kind, front string, status int, body string, broken error, planned bool) {
+// recordAnswer records an answer and checks it against what its request must return.
+func (b *recorder) recordAnswer(id, kind, front string, status int, body string, readErr error, planned bool) {
 	want := expected(kind, id)
 	switch {
-	case broken != nil && planned:
-		b.violationf("planned stop of %s cut %s request %s: %v", front, kind, id, broken)
-	case broken != nil && !strings.HasPrefix(want, body):
-		b.violationf("%s request %s got other bytes before it was cut: %q", kind, id, body)
-	case broken == nil && status == http.StatusOK && body != want:
-		b.violationf("%s request %s got another body: %q", kind, id, body)
+	case readErr != nil && planned:
+		b.violationf("planned stop of %s cut %s request %s: %v", front, kind, id, readErr)
+	case readErr != nil && !strings.HasPrefix(want, body):
+		b.violationf("%s request %s got unexpected bytes before it was cut: %q", kind, id, body)
+	case readErr == nil && status == http.StatusOK && body != want:
+		b.violationf("%s request %s got an unexpected body: %q", kind, id, body)
 	case status == http.StatusUnauthorized || status == http.StatusNotFound:
-		b.violationf("%s request %s with the steady key got %d", kind, id, status)
+		b.violationf("%s request %s with the permanent key got status %d", kind, id, status)
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if broken == nil && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests) {
+	if readErr == nil && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests) {
 		b.refused[id] = true
 	}
-	if broken == nil && status == http.StatusOK {
+	if readErr == nil && status == http.StatusOK {
 		b.served++
 	}
 }
 
-// accepted takes down that a gateway accepted a version's key in a request sent at a
-// time, and checks that it has not stepped back.
+// recordAccepted records that a gateway accepted a version's key in a request sent at the
+// given time, and checks that the gateway has not reverted to an older version.
 func (b *recorder) recordAccepted(gateway string, version int, sent time.Time) {
 	b.mutex.Lock()
 	high := b.highest[gateway]
@@ -92,11 +96,11 @@
 	}
 	b.mutex.Unlock()
 	if version < high.version && sent.Sub(high.at) > inFlightWindow {
-		b.violationf("%s accepted version %d, and %s later version %d", gateway, high.version, sent.Sub(high.at), version)
+		b.violationf("%s accepted version %d and, %s later, version %d", gateway, high.version, sent.Sub(high.at), version)
 	}
 }
 
-// checkRuns compares what ran with what callers were told.
+// checkRuns compares the executions on the servers with what callers were told.
 func (b *recorder) checkRuns(servers []*backend) {
 	runs := map[string]int{}
 	for _, s := range servers {
@@ -112,18 +116,19 @@
 		once := kind == "once" || kind == "stream"
 		switch {
 		case !known:
-			b.violationf("request %s ran and nobody sent it", id)
+			b.violationf("request %s ran but was never sent", id)
 		case once && n > 1:
 			b.violationf("%s request %s ran %d times", kind, id, n)
 		case once && b.refused[id]:
-			b.violationf("%s request %s ran and was answered as not run", kind, id)
+			b.violationf("%s request %s ran but was answered as not executed", kind, id)
 		}
 	}
 }
 
+// kinds are the kinds of requests; each has a route of its own.
 var kinds = []string{"once", "many", "stream", "resume"}
 
-// expected is the whole body of a request's answer.
+// expected returns the complete body of a request's answer.
 func expected(kind, id string) string {
 	if kind != "stream" && kind != "resume" {
 		return id
@@ -135,7 +140,7 @@
 	return b.String()
 }
 
-// call sends requests until ctx ends, on connections that are kept.
+// runCaller sends requests over persistent connections until ctx ends.
 func (r *Run) runCaller(ctx context.Context, caller int) {
 	defer r.callers.Done()
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(caller)+100))
@@ -152,7 +157,7 @@
 	}
 }
 
-// one sends a request with the steady key and takes its answer down.
+// sendSteady sends a request with the key of every version and records its answer.
 func (r *Run) sendSteady(client *http.Client, p *process, id, kind string) {
 	r.recorder.mutex.Lock()
 	r.recorder.sent[id] = kind
@@ -160,7 +165,7 @@
 	r.recorder.mutex.Unlock()
 	status, body, err := r.send(client, p, "/"+kind+"/", id, "steady", defaultBody)
 	if status == 0 {
-		return // no answer: nothing is promised
+		return // nothing is guaranteed without an answer
 	}
 	r.recorder.mutex.Lock()
 	planned = planned || r.recorder.stopping[p.front]
@@ -168,7 +173,7 @@
 	r.recorder.recordAnswer(id, kind, p.front, status, body, err, planned)
 }
 
-// look asks with the key of one of the latest versions.
+// probeVersion sends a request with the key of one of the latest versions.
 func (r *Run) probeVersion(client *http.Client, p *process, id string, random *rand.Rand) {
 	r.recorder.mutex.Lock()
 	r.recorder.sent[id] = "many"
@@ -184,7 +189,7 @@
 // callerDeadline is shorter than the routes' longest timeout.
 const callerDeadline = 3500 * time.Millisecond
 
-// newest is the newest version that any gateway was seen to accept.
+// newestVersion returns the newest version that any gateway has accepted.
 func (b *recorder) newestVersion() int {
 	n := 0
 	for _, s := range b.highest {
@@ -193,7 +198,7 @@
 	return n
 }
 
-// ask sends a request that may repeat with a key and returns its status.
+// probe sends an idempotent request with the given key and returns its status.
 func (r *Run) probe(p *process, key string) int {
 	id := fmt.Sprintf("ask-%s-%d", p.name, time.Now().UnixNano())
 	r.recorder.mutex.Lock()
@@ -204,17 +209,17 @@
 	return status
 }
 
-// usualBody is what callers ask.
+// defaultBody is the request body of regular callers.
 const defaultBody = "hello"
 
-// send sends one request; status 0: no answer came, an error beside a status: it broke
-// off.
-func (r *Run) send(client *http.Client, p *process, path, id, key, question string) (status int, body string, err error) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+p.front+path, strings.NewReader(question))
+// send sends one request. Status 0 means that no answer arrived; an error beside a nonzero
+// status means that the body was cut.
+func (r *Run) send(client *http.Client, p *process, path, id, key, payload string) (status int, body string, err error) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+p.front+path, strings.NewReader(payload))
 	if err != nil {
 		return 0, "", err
 	}
-	request.GetBody = nil // it must not be sent again by itself
+	request.GetBody = nil // the transport must not retry by itself
 	request.Host = "h"
 	platform.SetCaller(request.Header, id, key, callerDeadline)
 	from := p.epoch()
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -15,27 +15,28 @@
 	"opalbridge.dev/platform/platformtest"
 )
 
-// This file plays requests that end each server which runs them. They come again and again,
-// each on a route of its own, while all other troubles go on; the server is back after a
-// moment, under its ID with another start, or as another one.
+// This file generates fatal requests: each server that executes one crashes. They are sent
+// repeatedly, each on a route of its own, while all other faults go on. A crashed server
+// restarts after a short time with the same ID, at another address and with a new start time.
 
 const (
-	// Once three servers have ended and the news had this long, such a request reaches
-	// servers so often more.
+	// Once three servers have crashed and quarantineDelay has passed for the gateways to learn
+	// of it, a fatal request reaches servers at most maxLateFatal more times.
 	quarantineDelay = 3 * time.Second
 	maxLateFatal    = 3
-	fatalInterval   = 120 * time.Millisecond // and a draw of as much, between two tries
+	fatalInterval   = 120 * time.Millisecond // between two sends, plus a random delay of up to as much
 )
 
-// fatalBodies are the questions of such requests, one for each kind of route.
+// fatalBodies are the bodies of fatal requests, one for each kind of route.
 var fatalBodies = []string{"fatal once", "fatal many", "fatal stream", "fatal resume"}
 
-// fatalities is what one of them has done.
+// fatalHistory records the arrivals and crashes of one fatal request.
 type fatalHistory struct {
-	arrived []time.Time // at servers
-	ends    []time.Time // of servers
+	arrived []time.Time // arrivals at servers
+	crashes []time.Time // crashes of servers
 }
 
+// historyOf returns the history of a fatal request; the caller holds b.mutex.
 func (b *recorder) historyOf(body string) *fatalHistory {
 	f := b.fatal[body]
 	if f == nil {
@@ -45,7 +46,8 @@
 	return f
 }
 
-// watched takes down which requests arrive at a server, and when it asks for rest.
+// recordRequests wraps a server and records the requests that arrive and the backoffs that it
+// asks for.
 func (b *recorder) recordRequests(server *platformtest.Server) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s := sender{r.Header.Get(gatewayMark), lifetimeOf(server.ID, server.Born())}
@@ -69,7 +71,7 @@
 	})
 }
 
-// restWatcher takes down the refusals that ask for rest.
+// backoffRecorder records refusals with a Retry-After header.
 type backoffRecorder struct {
 	http.ResponseWriter
 	recorder *recorder
@@ -89,7 +91,7 @@
 // Flush implements http.Flusher.
 func (w *backoffRecorder) Flush() { w.ResponseWriter.(http.Flusher).Flush() }
 
-// callFatal sends one of the fatal requests until ctx ends.
+// runFatalCaller sends one of the fatal requests until ctx ends.
 func (r *Run) runFatalCaller(ctx context.Context, i int) {
 	defer r.callers.Done()
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(i)+500))
@@ -97,7 +99,7 @@
 	for n := 0; ctx.Err() == nil; n++ {
 		time.Sleep(fatalInterval + time.Duration(random.Int64N(int64(fatalInterval))))
 		if r.fatalPaused.Load() {
-			continue // what ends with a server is not cut by a planned stop
+			continue // an answer cut by a server crash must not count against a planned stop
 		}
 		id := fmt.Sprintf("f%d-%d", i, n)
 		r.recorder.mutex.Lock()
@@ -113,7 +115,7 @@
 	}
 }
 
-// endUnder ends a server under a request; it starts again after a while.
+// crashServer crashes a server that executes a fatal request and schedules its restart.
 func (r *Run) crashServer(b *backend, body string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -124,16 +126,17 @@
 	b.proxy.Refuse()
 	r.recorder.mutex.Lock()
 	f := r.recorder.historyOf(body)
-	f.ends = append(f.ends, time.Now())
+	f.crashes = append(f.crashes, time.Now())
 	r.recorder.mutex.Unlock()
 	time.AfterFunc(maxFaultDuration/3, func() { r.recoverServer(b) })
 }
 
+// recoverServer restarts a server that has crashed.
 func (r *Run) recoverServer(b *backend) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if err := b.proxy.Reopen(); err != nil {
-		r.recorder.violationf("server %s does not start again: %v", b.ID, err)
+		r.recorder.violationf("server %s failed to restart: %v", b.ID, err)
 		return
 	}
 	b.down = false
@@ -141,42 +144,43 @@
 	r.announce(b, "ready")
 }
 
-// checkFatal checks the bound on each of them, and that nothing else is barred.
+// checkFatal checks that each fatal request was stopped in time and that no other request is
+// quarantined.
 func (r *Run) checkFatal() {
 	fatal := map[string]bool{}
 	for i, body := range fatalBodies[:r.options.Fatal] {
 		key := quarantine.KeyOf(quarantine.Request{Account: "t1", Method: http.MethodPost, Host: "h", Target: "/" + kinds[i] + "/", Body: []byte(body)})
 		fatal[key.String()] = true
-		if ends, late := r.recorder.lateArrivals(body); late > maxLateFatal {
-			r.recorder.violationf("%q reached servers %d times, %s after three had ended under it; %d in all", body, late, quarantineDelay, ends)
+		if crashes, late := r.recorder.lateArrivals(body); late > maxLateFatal {
+			r.recorder.violationf("%q reached servers %d times later than %s after it had crashed three; it crashed %d in all", body, late, quarantineDelay, crashes)
 		}
 	}
 	suspects := platform.Suspects{Store: &platform.Store{Address: r.storeAddress}}
-	kept, err := suspects.List(context.Background())
+	records, err := suspects.List(context.Background())
 	if err != nil {
-		r.recorder.violationf("what is kept of suspects can't be read: %v", err)
+		r.recorder.violationf("failed to read the stored suspects: %v", err)
 	}
-	for key, k := range kept {
+	for key, k := range records {
 		if len(k.Servers) >= quarantine.CrashThreshold && !fatal[key.String()] {
-			r.recorder.violationf("%s is barred and ended no server: %s", key, k.Asks)
+			r.recorder.violationf("%s is quarantined but crashed no server: %s", key, k.Asks)
 		}
 	}
 }
 
-// late returns how many servers have ended under a request, and how often it arrived at
-// servers when the news of the third end had been told.
-func (b *recorder) lateArrivals(body string) (ends, late int) {
+// lateArrivals returns how many servers a fatal request has crashed, and how often it arrived at
+// servers later than quarantineDelay after the third crash.
+func (b *recorder) lateArrivals(body string) (crashes, late int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	f := b.historyOf(body)
-	if len(f.ends) < quarantine.CrashThreshold {
-		return len(f.ends), 0
+	if len(f.crashes) < quarantine.CrashThreshold {
+		return len(f.crashes), 0
 	}
-	known := f.ends[quarantine.CrashThreshold-1].Add(quarantineDelay)
+	known := f.crashes[quarantine.CrashThreshold-1].Add(quarantineDelay)
 	for _, at := range f.arrived {
 		if at.After(known) {
 			late++
 		}
 	}
-	return len(f.ends), late
+	return len(f.crashes), late
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -14,21 +14,21 @@
 	"opalbridge.dev/platform/platformtest"
 )
 
-// process is one gateway as a separate process, which is started again and again.
+// process is one gateway, run as a separate operating system process that is restarted.
 type process struct {
 	name     string
 	front    string
-	address  string // of readiness
+	address  string // of the readiness listener
 	settings string // file
 	binary   string
 	log      *os.File
-	proxy    *Proxy // before the store
+	proxy    *Proxy // between the gateway and the store
 
 	mutex       sync.Mutex
 	command     *exec.Cmd
-	ended       chan struct{} // closed when the command has ended
+	ended       chan struct{} // closed when the command has exited
 	incarnation int
-	pauses      int // of the present process
+	pauses      int // of the current incarnation
 }
 
 func newProcess(o Options, i, port int, store string) (*process, error) {
@@ -54,7 +54,7 @@
 	return p, err
 }
 
-// start starts the process if it does not run.
+// start starts the process unless it is running.
 func (p *process) start() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -68,7 +68,7 @@
 	}
 	ended := make(chan struct{})
 	go func() {
-		_ = c.Wait() // a killed process ends with an error
+		_ = c.Wait() // a killed process returns an error
 		close(ended)
 	}()
 	p.command, p.ended = c, ended
@@ -89,14 +89,15 @@
 	}
 }
 
-// lifetime names the process's present incarnation.
+// currentIncarnation returns the number of the current incarnation.
 func (p *process) currentIncarnation() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.incarnation
 }
 
-// mark names the process as it is since its latest pause.
+// epoch identifies the current incarnation since its latest pause. Signals of
+// servers are checked within one epoch only.
 func (p *process) epoch() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -110,17 +111,17 @@
 		p.pauses++
 	}
 	if p.running() {
-		_ = p.command.Process.Signal(s) // it may have ended just now
+		_ = p.command.Process.Signal(s) // it may have exited meanwhile
 	}
 }
 
-// kill ends the process at once and waits for its end.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	p.wait()
 }
 
-// terminate asks the process to stop and waits for its end.
+// terminate asks the process to shut down and waits until it has exited.
 func (p *process) terminate() {
 	p.signal(syscall.SIGTERM)
 	p.wait()
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Link is how a proxy treats the bytes that pass it.
+// Link describes the faults that a proxy applies to its traffic.
 type Link struct {
-	Delay      time.Duration // of each piece, both ways
-	SilentTo   bool          // bytes to the target are held back
-	SilentFrom bool          // bytes from the target are held back
+	Delay      time.Duration // of each read, in both directions
+	SilentTo   bool          // bytes to the target are withheld
+	SilentFrom bool          // bytes from the target are withheld
 }
 
-// linkCheck is how often a held-back piece looks whether it may go on.
+// holdPollInterval is the interval at which withheld data checks whether it may proceed.
 const holdPollInterval = 5 * time.Millisecond
 
-// Proxy is a loopback proxy that misbehaves on demand.
+// Proxy is a loopback TCP proxy with fault injection.
 type Proxy struct {
 	target   string
 	mutex    sync.Mutex
@@ -28,10 +28,10 @@
 	closed   bool
 }
 
-// passage is one connection through a proxy.
+// connection is one connection through a proxy, with the faults that apply to it alone.
 type connection struct{ link Link }
 
-// NewProxy starts a proxy before a target.
+// NewProxy starts a proxy that forwards to target.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -42,14 +42,14 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.listener.Addr().String()
 }
 
-// Refuse breaks all connections and lets the proxy take no more.
+// Refuse resets all connections and refuses new ones.
 func (p *Proxy) Refuse() {
 	p.mutex.Lock()
 	p.listener.Close()
@@ -57,7 +57,7 @@
 	p.Reset()
 }
 
-// Reopen lets the proxy take connections again, at another address.
+// Reopen accepts connections again, at another address.
 func (p *Proxy) Reopen() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -73,27 +73,27 @@
 	return nil
 }
 
-// Set replaces the treatment of bytes.
+// Set replaces the faults that apply to all connections.
 func (p *Proxy) Set(l Link) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.link = l
 }
 
-// Reset breaks all connections.
+// Reset resets all connections.
 func (p *Proxy) Reset() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for c := range p.conns {
 		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // the peer sees a reset, not an end
+			_ = t.SetLinger(0) // close with RST instead of FIN
 		}
 		c.Close()
 	}
 }
 
-// Silence holds back for good what passes the connections that are open now; new ones
-// work.
+// Silence permanently withholds the traffic of the connections that are open now; new
+// connections are not affected.
 func (p *Proxy) Silence(to, from bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close closes the proxy and its connections.
 func (p *Proxy) Close() {
 	p.mutex.Lock()
 	p.closed = true
@@ -115,7 +115,7 @@
 	for {
 		in, err := l.Accept()
 		if err != nil {
-			return // closed
+			return // the listener is closed
 		}
 		go p.forward(in)
 	}
@@ -127,28 +127,28 @@
 		in.Close()
 		return
 	}
-	way := &connection{}
-	p.track(way, in, out, true)
-	ended := make(chan struct{}, 2)
-	go p.copy(way, out, in, func(l Link) bool { return l.SilentTo }, ended)
-	go p.copy(way, in, out, func(l Link) bool { return l.SilentFrom }, ended)
-	<-ended
-	<-ended
-	p.track(way, in, out, false)
+	conn := &connection{}
+	p.track(conn, in, out, true)
+	done := make(chan struct{}, 2)
+	go p.copy(conn, out, in, func(l Link) bool { return l.SilentTo }, done)
+	go p.copy(conn, in, out, func(l Link) bool { return l.SilentFrom }, done)
+	<-done
+	<-done
+	p.track(conn, in, out, false)
 	in.Close()
 	out.Close()
 }
 
-func (p *Proxy) track(way *connection, in, out net.Conn, held bool) {
+func (p *Proxy) track(conn *connection, in, out net.Conn, active bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if held {
-		p.open[way] = true
+	if active {
+		p.open[conn] = true
 	} else {
-		delete(p.open, way)
+		delete(p.open, conn)
 	}
 	for _, c := range []net.Conn{in, out} {
-		if held {
+		if active {
 			p.conns[c] = true
 		} else {
 			delete(p.conns, c)
@@ -156,30 +156,30 @@
 	}
 }
 
-// now returns how a connection's bytes are treated.
-func (p *Proxy) currentLink(way *connection) Link {
+// currentLink returns the faults that apply to a connection now.
+func (p *Proxy) currentLink(conn *connection) Link {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
 		return Link{}
 	}
 	l := p.link
-	l.SilentTo = l.SilentTo || way.link.SilentTo
-	l.SilentFrom = l.SilentFrom || way.link.SilentFrom
+	l.SilentTo = l.SilentTo || conn.link.SilentTo
+	l.SilentFrom = l.SilentFrom || conn.link.SilentFrom
 	return l
 }
 
-// copy carries bytes one way until either side ends, then passes the end on.
-func (p *Proxy) copy(way *connection, to, from net.Conn, silent func(Link) bool, ended chan<- struct{}) {
-	defer func() { ended <- struct{}{} }()
+// copy forwards bytes in one direction until either side closes, then forwards the close.
+func (p *Proxy) copy(conn *connection, to, from net.Conn, silent func(Link) bool, done chan<- struct{}) {
+	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			for silent(p.currentLink(way)) {
+			for silent(p.currentLink(conn)) {
 				time.Sleep(holdPollInterval)
 			}
-			time.Sleep(p.currentLink(way).Delay)
+			time.Sleep(p.currentLink(conn).Delay)
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				from.Close()
 				return
--- a/soak/returns.go
+++ b/soak/returns.go
@@ -10,13 +10,13 @@
 	"opalbridge.dev/platform/platformtest"
 )
 
-// This file plays a store that comes back from a copy, beside all other troubles. What gateways
-// wrote since the copy is lost; what operators and servers wrote they write again.
+// This file generates restores of the store from an older copy, in addition to all other faults.
+// What gateways wrote since the copy is lost; operators and servers rewrite their entries.
 
-// writtenAgain is the time in which operators and servers write again what a copy lacks.
+// rewriteWindow is the time within which operators and servers rewrite what a copy lacks.
 const rewriteWindow = 2 * time.Second
 
-// put writes as operators and servers do.
+// put writes a key as an operator or server does.
 func (r *Run) put(key string, value []byte) {
 	r.writeMutex.Lock()
 	defer r.writeMutex.Unlock()
@@ -24,7 +24,7 @@
 	r.store.Put(key, value)
 }
 
-// remove removes as operators and servers do.
+// remove removes a key as an operator or server does.
 func (r *Run) remove(key string) {
 	r.writeMutex.Lock()
 	defer r.writeMutex.Unlock()
@@ -32,22 +32,22 @@
 	r.store.Remove(key)
 }
 
-// writeAgain puts one key right that differs from what operators and servers have written.
+// rewrite restores one key to what operators and servers have last written.
 func (r *Run) rewrite(key string) {
 	r.writeMutex.Lock()
 	defer r.writeMutex.Unlock()
-	value, there := r.written[key]
-	now, kept := r.store.Get(key)
+	value, exists := r.written[key]
+	current, stored := r.store.Get(key)
 	switch {
-	case there && (!kept || !bytes.Equal(value, now)):
+	case exists && (!stored || !bytes.Equal(value, current)):
 		r.store.Put(key, value)
-	case !there && kept:
+	case !exists && stored:
 		r.store.Remove(key)
 	}
 }
 
-// comeBack lets the store come back from a copy, and operators and servers write again, each
-// key at a moment of its own.
+// restoreCopy restores the store from a copy and has operators and servers rewrite their
+// entries, each key after a random delay of its own.
 func (r *Run) restoreCopy(c platformtest.Copy, random *rand.Rand) {
 	r.writeMutex.Lock()
 	r.store.Return(c)
@@ -66,8 +66,8 @@
 	}
 }
 
-// away lets the store be away for a moment and come back from a copy that is as old as the
-// trouble lasts.
+// outageAndRestore copies the store now. Its undo takes the store down for a short time and
+// restores it from the copy, the given number of times.
 func (r *Run) outageAndRestore(random *rand.Rand, times int) (undo func()) {
 	older, seed := r.store.Copy(), random.Uint64()
 	return func() {
@@ -81,8 +81,8 @@
 	}
 }
 
-// returning are the troubles of a store that comes back from a copy. They stand apart, so that a
-// seed without them plays what it always did.
+// restoreFaults are the faults of a store that is restored from a copy. They are kept apart from
+// baseFaults so that a seed without them draws the same faults as before.
 var restoreFaults = []fault{
 	{"store comes back from a copy", func(r *Run, random *rand.Rand) func() { return r.outageAndRestore(random, 1) }},
 	{"store comes back twice", func(r *Run, random *rand.Rand) func() { return r.outageAndRestore(random, 2) }},
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,15 +1,15 @@
-// Package soak plays random trouble on a fleet of real processes and checks, from what
-// callers and backend servers see, that the promises hold meanwhile.
+// Package soak injects random faults into a fleet of real processes and checks, from what
+// callers and backend servers observe, that the guarantees hold meanwhile.
 //
 // # Usage
 //
 //	r, err := soak.Start(soak.Options{Seed: 7, Binary: "target/opalbridge", Dir: dir})
-//	faults := r.Play(10 * time.Second)
+//	violations := r.Play(10 * time.Second)
 //
 // The gateways are separate processes that are paused, killed, stopped and restarted by
-// signals. The store and the backend servers are stand-ins in this process; what the
-// gateways say to them passes proxies that delay, hold back one way and reset. Troubles
-// come in series and overlap. The gateways' datagrams among themselves are not touched.
+// signals. The store and the backend servers are fakes in this process; the gateways reach
+// them through proxies that delay data, withhold it in one direction and reset connections.
+// Faults follow each other and overlap. The datagrams between gateways are not disturbed.
 package soak
 
 import (
@@ -28,7 +28,7 @@
 	"opalbridge.dev/platform/platformtest"
 )
 
-// Options set up a Run.
+// Options configure a Run.
 type Options struct {
 	Seed     uint64
 	Binary   string // the opalbridge command
@@ -36,32 +36,32 @@
 	Gateways int    // 0: 3
 	Servers  int    // 0: 4
 	Callers  int    // 0: 12
-	Restarts bool   // servers start again under their ID as well, and others write entries
-	Fatal    int    // requests that end each server which runs them and come again and again; at most as many as there are kinds of routes
-	Early    bool   // these begin with the gateways, not after the calm
-	Copies   bool   // the store comes back from copies as well
-	Words    bool   // servers say in answers that they leave, and ask for rest, as well
+	Restarts bool   // also restart servers with the same ID and write entries of other writers
+	Fatal    int    // fatal requests, each of which crashes every server that executes it and is sent repeatedly; at most one for each kind of route
+	Early    bool   // fatal requests start with the gateways, not after settleBefore
+	Copies   bool   // also restore the store from copies
+	Words    bool   // servers also announce in answers that they are leaving, and ask for backoff
 }
 
 // Times of a run.
 const (
-	settleBefore      = 2 * time.Second        // before the first trouble
-	settleAfter       = 4 * time.Second        // from the last trouble to the last checks
-	configPropagation = 2 * time.Second        // a configuration is in force everywhere
-	drainPropagation  = 2 * time.Second        // a leaving server gets no new work
-	inFlightWindow    = 250 * time.Millisecond // answers under way when a configuration takes effect
+	settleBefore      = 2 * time.Second        // before the first fault
+	settleAfter       = 4 * time.Second        // from the last fault to the final checks
+	configPropagation = 2 * time.Second        // until a configuration is in force at every gateway
+	drainPropagation  = 2 * time.Second        // until a draining server gets no new requests
+	inFlightWindow    = 250 * time.Millisecond // for answers in flight when a configuration takes effect
 	maxFaultDuration  = 1500 * time.Millisecond
 	minFaultDuration  = 100 * time.Millisecond
 )
 
-// Run is one soak of one seed.
+// Run is a soak test run with one seed.
 type Run struct {
 	options      Options
-	random       *rand.Rand // of the troubles; owned by Play
+	random       *rand.Rand // draws the faults; owned by Play
 	store        *platformtest.Store
 	storeAddress string
-	writeMutex   sync.Mutex        // of truth, and of writes to the store by operators and servers
-	written      map[string][]byte // what they have written, by key
+	writeMutex   sync.Mutex        // guards written, and writes to the store by operators and servers
+	written      map[string][]byte // what operators and servers have written, by key
 	servers      []*backend
 	gateways     []*process
 	recorder     *recorder
@@ -69,27 +69,27 @@
 	stop         context.CancelFunc
 	version      int
 	closers      []func()
-	fatalPaused  atomic.Bool // fatal requests wait
+	fatalPaused  atomic.Bool // no fatal requests are sent
 }
 
-// backend is a stand-in server behind its proxy.
+// backend is a fake server behind its proxy.
 type backend struct {
 	*platformtest.Server
 	proxy *Proxy
 	mutex sync.Mutex
-	down  bool // it takes no connections until it starts again
+	down  bool // it refuses connections until it restarts
 }
 
-// calm is how a sound server behaves.
+// healthy is the behaviour of a server without faults.
 var healthy = platformtest.Behaviour{
 	Work: 5 * time.Millisecond, Echo: true, Events: streamEvents, Pause: 10 * time.Millisecond, Streams: []string{"/stream/", "/resume/"},
 	Fatal: fatalBodies,
 }
 
-// streamEvents is how many events a stream has.
+// streamEvents is the number of events of a stream.
 const streamEvents = 8
 
-// Start starts the stand-ins, the gateways and the callers.
+// Start starts the fakes, the gateways and the callers.
 func Start(o Options) (*Run, error) {
 	o.Gateways, o.Servers, o.Callers = orDefault(o.Gateways, 3), orDefault(o.Servers, 4), orDefault(o.Callers, 12)
 	r := &Run{options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), store: &platformtest.Store{}, written: map[string][]byte{}, recorder: newRecorder()}
@@ -130,9 +130,9 @@
 	return r, nil
 }
 
-func orDefault(n, otherwise int) int {
+func orDefault(n, value int) int {
 	if n == 0 {
-		return otherwise
+		return value
 	}
 	return n
 }
@@ -158,8 +158,8 @@
 	r.put(platform.ServersPrefix+b.ID, b.Entry(b.proxy.Address(), state))
 }
 
-// configure puts the next configuration: the key "steady" is in all of them, another
-// one only in this version.
+// configure writes the next version of the configuration. The key "steady" is in every
+// version, and one other key is in this version only.
 func (r *Run) configure() {
 	r.version++
 	r.put(platform.ConfigurationKey, fmt.Appendf(nil, `{"version":%d,"routes":[
@@ -171,40 +171,40 @@
  "tenants":[{"name":"t1","api_keys":["steady","key-%d"]}]}`, r.version, r.version))
 }
 
-// Play troubles the fleet for so long, then lets it rest and returns what was broken.
+// Play injects faults for the duration d, lets the fleet settle, and returns the violations.
 func (r *Run) Play(d time.Duration) []string {
-	kinds := baseFaults
+	faults := baseFaults
 	if r.options.Restarts {
-		kinds = slices.Concat(baseFaults, restartFaults)
+		faults = slices.Concat(baseFaults, restartFaults)
 	}
 	if r.options.Copies {
-		kinds = slices.Concat(kinds, restoreFaults, restoreFaults, restoreFaults)
+		faults = slices.Concat(faults, restoreFaults, restoreFaults, restoreFaults)
 	}
 	if r.options.Words {
-		kinds = slices.Concat(kinds, signalFaults, signalFaults, signalFaults, signalFaults)
+		faults = slices.Concat(faults, signalFaults, signalFaults, signalFaults, signalFaults)
 	}
 	defer r.close()
 	time.Sleep(settleBefore)
 	r.fatalPaused.Store(false)
-	var under sync.WaitGroup
+	var active sync.WaitGroup
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		if r.random.IntN(8) == 0 {
-			under.Wait() // a planned stop is judged only without other trouble
+			active.Wait() // a planned stop is checked only without other faults
 			r.plannedStop()
 			continue
 		}
-		t := kinds[r.random.IntN(len(kinds))]
-		lasts := minFaultDuration + time.Duration(r.random.Int64N(int64(maxFaultDuration-minFaultDuration)))
-		undo := t.inject(r, r.random)
-		under.Add(1)
+		f := faults[r.random.IntN(len(faults))]
+		length := minFaultDuration + time.Duration(r.random.Int64N(int64(maxFaultDuration-minFaultDuration)))
+		undo := f.inject(r, r.random)
+		active.Add(1)
 		go func() {
-			defer under.Done()
-			time.Sleep(lasts)
+			defer active.Done()
+			time.Sleep(length)
 			undo()
 		}()
 		time.Sleep(time.Duration(r.random.Int64N(int64(maxFaultDuration / 3))))
 	}
-	under.Wait()
+	active.Wait()
 	time.Sleep(settleAfter)
 	r.checkRecovery()
 	r.stop()
@@ -214,29 +214,29 @@
 	return r.recorder.report()
 }
 
-// plannedStop stops a gateway with nothing else going on: no request may be cut.
+// plannedStop stops and restarts a gateway with no other fault active: no request may be cut.
 func (r *Run) plannedStop() {
 	r.fatalPaused.Store(true)
 	defer r.fatalPaused.Store(false)
-	time.Sleep(settleAfter) // what earlier troubles broke has ended
+	time.Sleep(settleAfter) // until requests that earlier faults broke have ended
 	p := r.gateways[r.random.IntN(len(r.gateways))]
 	r.recorder.setStopping(p.front, true)
 	p.terminate()
 	time.Sleep(time.Second)
 	r.recorder.setStopping(p.front, false)
 	if err := p.start(); err != nil {
-		r.recorder.violationf("gateway %s does not start again: %v", p.name, err)
+		r.recorder.violationf("gateway %s failed to restart: %v", p.name, err)
 	}
 }
 
-// checkRecovery checks, after the trouble, that the fleet serves, takes a new
-// configuration and lets a server leave.
+// checkRecovery checks, after the faults, that the fleet is ready, applies a new
+// configuration and drains a server.
 func (r *Run) checkRecovery() {
-	// A server that ends under a request starts again as another lifetime, which does not leave.
+	// A server that crashes restarts with a new lifetime, which is not draining.
 	r.fatalPaused.Store(true)
 	for _, p := range r.gateways {
 		if !p.ready() {
-			r.recorder.violationf("gateway %s is not ready after the trouble", p.name)
+			r.recorder.violationf("gateway %s is not ready after the faults", p.name)
 		}
 	}
 	r.configure()
@@ -244,20 +244,20 @@
 	time.Sleep(configPropagation)
 	for _, p := range r.gateways {
 		if status := r.probe(p, key); status != http.StatusOK {
-			r.recorder.violationf("gateway %s answers %d to a key %s after it was put", p.name, status, configPropagation)
+			r.recorder.violationf("gateway %s answers %d to a key %s after it was written", p.name, status, configPropagation)
 		}
 	}
-	leaving := r.servers[0]
-	r.announce(leaving, "draining")
+	draining := r.servers[0]
+	r.announce(draining, "draining")
 	time.Sleep(drainPropagation)
-	before := len(leaving.Runs())
+	before := len(draining.Runs())
 	for range 5 {
 		for _, p := range r.gateways {
 			r.probe(p, "steady")
 		}
 	}
-	if after := len(leaving.Runs()); after != before {
-		r.recorder.violationf("a leaving server got %d requests", after-before)
+	if after := len(draining.Runs()); after != before {
+		r.recorder.violationf("a draining server got %d requests", after-before)
 	}
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -15,27 +15,27 @@
 )
 
 var (
-	seeds    = flag.Int("seeds", 1, "seeds to play")
+	seeds    = flag.Int("seeds", 1, "number of seeds to run")
 	first    = flag.Uint64("first", 1, "first seed")
-	plays    = flag.Duration("plays", 6*time.Second, "trouble of each seed")
-	fresh    = flag.Bool("fresh", false, "seeds begin at the time of day")
-	fatal    = flag.Int("fatal", 0, "requests that end servers, up to 4")
-	early    = flag.Bool("early", false, "requests that end servers begin with the gateways")
-	restarts = flag.Bool("restarts", false, "servers start again under their ID, and others write entries")
-	copies   = flag.Bool("copies", false, "the store comes back from copies")
-	words    = flag.Bool("words", false, "servers say in answers that they leave, and ask for rest")
-	logs     = flag.String("logs", "", "folder that keeps the gateways' logs")
+	plays    = flag.Duration("plays", 6*time.Second, "duration of the faults of each seed")
+	fresh    = flag.Bool("fresh", false, "take the first seed from the current time")
+	fatal    = flag.Int("fatal", 0, "number of requests that crash servers, up to 4")
+	early    = flag.Bool("early", false, "start requests that crash servers together with the gateways")
+	restarts = flag.Bool("restarts", false, "also restart servers with the same ID and write entries of other writers")
+	copies   = flag.Bool("copies", false, "also restore the store from copies")
+	words    = flag.Bool("words", false, "servers also announce in answers that they are leaving, and ask for backoff")
+	logs     = flag.String("logs", "", "directory that keeps the gateways' logs")
 )
 
-// failed are the seeds that ever failed, each with its cause.
+// failed are the seeds that have failed, each with its cause.
 var failed = []struct {
 	seed  uint64
 	cause string
 }{
-	{2040, "open: a gateway was not ready after the trouble, once, beside four other runs; likely one of them had taken its port while it was down, as free ports were then looked for"},
+	{2040, "open: with four other runs on the machine, a gateway was once not ready after the faults; probably one of the other runs took its port while it was down, because they chose free ports by searching"},
 }
 
-// build makes the command that is soaked.
+// build builds the opalbridge command.
 func build(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "opalbridge")
@@ -56,7 +56,7 @@
 	require.Empty(t, r.Play(*plays), "seed %d", o.Seed)
 }
 
-// TestSoak plays a few seeds in CI; by hand, with -seeds 50 or -fresh, many more.
+// TestSoak runs a few seeds in CI; run it with -seeds 50 or -fresh for more.
 func TestSoak(t *testing.T) {
 	binary, from := build(t), *first
 	if *fresh {
@@ -85,25 +85,25 @@
 	play(t, build(t), soak.Options{Seed: 4000, Restarts: true})
 }
 
-// TestSoakFatal plays a seed with requests that end servers.
+// TestSoakFatal runs a seed with requests that crash servers.
 func TestSoakFatal(t *testing.T) {
 	play(t, build(t), soak.Options{Seed: 6000, Restarts: true, Fatal: 4})
 }
 
-// TestSoakWords plays a seed with servers that say that they leave, and that ask for rest.
+// TestSoakWords runs a seed with servers that announce that they are leaving or ask for backoff.
 func TestSoakWords(t *testing.T) {
 	play(t, build(t), soak.Options{Seed: 7000, Restarts: true, Words: true})
 }
 
-// TestSoakCopies plays a seed with a store that comes back from copies.
+// TestSoakCopies runs a seed with a store that is restored from copies.
 func TestSoakCopies(t *testing.T) {
 	play(t, build(t), soak.Options{Seed: 8000, Restarts: true, Copies: true})
 }
 
-// TestSoakFatalEarly plays the seeds that failed when such requests began with the gateways:
-// all servers end before anything was answered, so a question that all callers ask is barred,
-// and what should set it free fails: the servers of its tries end by chance, or the gateways
-// whose turn it is have started since.
+// TestSoakFatalEarly runs seeds that failed when requests that crash servers start together with
+// the gateways. All servers crash before anything is answered, so a request that all callers send
+// is quarantined. The probes that should release it then fail: their servers crash by chance, or
+// the gateways whose turn it is to probe have restarted.
 func TestSoakFatalEarly(t *testing.T) {
 	binary := build(t)
 	for _, seed := range []uint64{6000, 6110, 6115, 6117} {
--- a/soak/trouble.go
+++ b/soak/trouble.go
@@ -9,7 +9,7 @@
 	"opalbridge.dev/platform/platformtest"
 )
 
-// trouble is one kind of trouble; strike begins it and returns what ends it.
+// fault is one kind of fault; inject begins it and returns a function that ends it.
 type fault struct {
 	name   string
 	inject func(r *Run, random *rand.Rand) (undo func())
@@ -21,7 +21,7 @@
 
 func (r *Run) randomServer(random *rand.Rand) *backend { return r.servers[random.IntN(len(r.servers))] }
 
-// behaving makes a trouble of a change of a server's behaviour.
+// behaviourFault returns a fault that changes the behaviour of a random server.
 func behaviourFault(change func(b *platformtest.Behaviour)) func(*Run, *rand.Rand) func() {
 	return func(r *Run, random *rand.Rand) func() {
 		s, b := r.randomServer(random), healthy
@@ -31,8 +31,8 @@
 	}
 }
 
-// linked makes a trouble of the link between one gateway and the store, or between all
-// gateways and a server.
+// linkFault returns a fault of the link between a random gateway and the store, or between all
+// gateways and a random server.
 func linkFault(l Link, store bool) func(*Run, *rand.Rand) func() {
 	return func(r *Run, random *rand.Rand) func() {
 		if store {
@@ -41,16 +41,16 @@
 			return func() { p.Set(Link{}) }
 		}
 		s := r.randomServer(random)
-		ends := r.recorder.recordLinkFault(s.ID)
+		endFault := r.recorder.recordLinkFault(s.ID)
 		s.proxy.Set(l)
 		return func() {
 			s.proxy.Set(Link{})
-			ends()
+			endFault()
 		}
 	}
 }
 
-// storing makes a trouble of the store itself.
+// storeFault returns a fault of the store itself.
 func storeFault(f platformtest.Faults) func(*Run, *rand.Rand) func() {
 	return func(r *Run, _ *rand.Rand) func() {
 		r.store.SetFaults(f)
@@ -133,29 +133,29 @@
 	{"server is slow", behaviourFault(func(b *platformtest.Behaviour) { b.Work = 400 * time.Millisecond })},
 }
 
-// resetServer breaks the connections to a server.
+// resetServer resets the connections to a server.
 func (r *Run) resetServer(s *backend) {
 	r.recorder.recordLinkFault(s.ID)()
 	s.proxy.Reset()
 }
 
-// silence lets the open connections to a server go silent for good; answers on them are lost
-// until the last of their requests is given up.
+// silence withholds the traffic of the open connections to a server permanently. Answers on them
+// are lost until the last of their requests reaches its deadline.
 func (r *Run) silence(s *backend, to, from bool) (undo func()) {
-	ends := r.recorder.recordLinkFault(s.ID)
-	time.AfterFunc(callerDeadline, ends)
+	endFault := r.recorder.recordLinkFault(s.ID)
+	time.AfterFunc(callerDeadline, endFault)
 	s.proxy.Silence(to, from)
 	return func() {}
 }
 
 func (r *Run) restartGateway(p *process) {
 	if err := p.start(); err != nil {
-		r.recorder.violationf("gateway %s does not start again: %v", p.name, err)
+		r.recorder.violationf("gateway %s failed to restart: %v", p.name, err)
 	}
 }
 
-// restarts are the troubles of servers that start again and of entries of other writers. They
-// stand apart, so that a seed without them plays what it always did.
+// restartFaults are the faults of servers that restart and of entries of other writers. They are
+// kept apart from baseFaults so that a seed without them draws the same faults as before.
 var restartFaults = []fault{
 	{"server starts again at once", func(r *Run, random *rand.Rand) func() {
 		r.crashAndRestart(r.randomServer(random), randomStartTime(random))
@@ -186,12 +186,12 @@
 		for i := range malformedEntries {
 			r.put(fmt.Sprintf("servers/other-%d", i), malformedEntries[i])
 		}
-		gone := fmt.Sprintf("servers/other-%d", random.IntN(len(malformedEntries)))
-		return func() { r.remove(gone) }
+		removed := fmt.Sprintf("servers/other-%d", random.IntN(len(malformedEntries)))
+		return func() { r.remove(removed) }
 	}},
 }
 
-// spoilt are entries that no server writes.
+// malformedEntries are entries that no server writes.
 var malformedEntries = [][]byte{
 	nil,
 	[]byte("\xff\x00"),
@@ -202,14 +202,14 @@
 	[]byte(`{"service":"s","addr":"127.0.0.1:9","zone":"z","capacity":64,"state":"asleep"}`),
 }
 
-// drawBorn draws when a server starts, in milliseconds: its host's clock may have been set
-// back by up to an hour.
+// randomStartTime draws the start time of a server, in milliseconds. The clock of its host may
+// have been set back by up to an hour.
 func randomStartTime(random *rand.Rand) int64 {
-	const anHour = 3_600_000
-	return time.Now().UnixMilli() - random.Int64N(anHour)
+	const hour = 3_600_000
+	return time.Now().UnixMilli() - random.Int64N(hour)
 }
 
-// startAgain lets a server crash and start again under its ID.
+// crashAndRestart crashes a server and restarts it with the same ID.
 func (r *Run) crashAndRestart(s *backend, born int64) {
 	s.proxy.Reset()
 	s.StartAgain(born)
--- a/soak/words.go
+++ b/soak/words.go
@@ -10,64 +10,66 @@
 	"opalbridge.dev/platform/platformtest"
 )
 
-// This file plays servers that say in their answers that they leave, and servers that turn
-// requests away and ask for rest, beside all other troubles. What reaches them afterwards is
-// taken down by the gateway that sent it: its process, and how often that was paused.
+// This file generates servers that announce in their answers that they are leaving, and servers
+// that refuse requests and ask for backoff, in addition to all other faults. The requests that
+// reach them afterwards are recorded by the epoch of the gateway that sent them.
 
 const (
-	// Once a gateway has passed on that a server leaves, requests that callers send it later
-	// than this reach that server no more.
+	// Requests that callers send to a gateway more than leavingGrace after it has forwarded a
+	// server's leaving announcement must not reach that server.
 	leavingGrace = 2 * time.Second
-	// Of a rest that a server has asked a gateway for, the first part is for requests on their
-	// way; so many may reach it in the rest of the time.
+	// The first backoffGrace of a backoff that a server has asked a gateway for is for requests in
+	// flight. At most maxDuringBackoff requests may reach the server in the remaining time.
 	backoffGrace     = 500 * time.Millisecond
 	maxDuringBackoff = 2
 )
 
-// The headers by which requests and answers are told apart.
+// Headers that identify the sender and the receiver of a request.
 const (
 	gatewayMark  = "Gateway-Mark"
 	sentMark     = "Sent-Mark"
 	lifetimeMark = "Lifetime-Mark"
 )
 
-// words is what servers have said, and what has reached them.
+// serverSignals records what servers have announced, and the requests that reached them.
 type serverSignals struct {
 	arrivals []arrival
-	leaving  map[sender]time.Time // when a gateway first passed on that a server leaves
+	leaving  map[sender]time.Time // when a gateway first forwarded that a server is leaving
 	backoffs []backoffRequest
 	links    []linkFaultPeriod
 }
 
-// sender is a gateway's process, without a pause since, and a server's lifetime.
+// sender is the epoch of a gateway and the lifetime of a server that it sends to.
 type sender struct{ gateway, lifetime string }
 
+// arrival is a request that has reached a server.
 type arrival struct {
 	sender
 	at   time.Time
-	sent time.Time // by its caller
+	sent time.Time // by the caller
 }
 
+// backoffRequest is a backoff that a server has asked a gateway for.
 type backoffRequest struct {
 	sender
 	at    time.Time
 	until time.Time
 }
 
-// linkTrouble is a time in which answers of a server may have been held back or lost.
+// linkFaultPeriod is a period in which answers of a server may have been delayed or lost.
 type linkFaultPeriod struct {
 	server   string
 	from, to time.Time
 }
 
-// arrived takes down that a request has reached a server.
+// recordArrival records that a request has reached a server.
 func (w *serverSignals) recordArrival(s sender, r *http.Request) {
-	// A time that can't be read is that of no caller of these tests.
+	// A request without a valid time was not sent by a caller of these tests.
 	sent, _ := time.Parse(time.RFC3339Nano, r.Header.Get(sentMark))
 	w.arrivals = append(w.arrivals, arrival{s, time.Now(), sent})
 }
 
-// turnedAway takes down that a server has asked for rest.
+// recordBackoff records that a server has asked for backoff.
 func (w *serverSignals) recordBackoff(s sender, status int, after string) {
 	seconds, err := strconv.ParseFloat(after, 64)
 	if status != http.StatusServiceUnavailable || err != nil {
@@ -77,24 +79,24 @@
 	w.backoffs = append(w.backoffs, backoffRequest{s, now, now.Add(time.Duration(seconds * float64(time.Second)))})
 }
 
-// passedOn takes down that a gateway has passed on that a server leaves.
+// recordLeaving records that a gateway has forwarded a server's leaving announcement.
 func (w *serverSignals) recordLeaving(s sender) {
 	if w.leaving[s].IsZero() {
 		w.leaving[s] = time.Now()
 	}
 }
 
-// check returns what was broken.
+// check returns the violations.
 func (w *serverSignals) check() []string {
-	var faults []string
+	var violations []string
 	late := map[sender]int{}
 	for _, a := range w.arrivals {
-		if said, known := w.leaving[a.sender]; known && a.sent.Sub(said) > leavingGrace {
+		if announced, known := w.leaving[a.sender]; known && a.sent.Sub(announced) > leavingGrace {
 			late[a.sender]++
 		}
 	}
 	for s, n := range late {
-		faults = append(faults, fmt.Sprintf("%s sent %d requests to %s, %s after it had passed on that it leaves", s.gateway, n, s.lifetime, leavingGrace))
+		violations = append(violations, fmt.Sprintf("%s sent %d requests to %s more than %s after forwarding that it is leaving", s.gateway, n, s.lifetime, leavingGrace))
 	}
 	for _, r := range w.backoffs {
 		if w.maybeLost(r) {
@@ -107,13 +109,13 @@
 			}
 		}
 		if n > maxDuringBackoff {
-			faults = append(faults, fmt.Sprintf("%s sent %d requests to %s, which had asked it for %s of rest", r.gateway, n, r.lifetime, r.until.Sub(r.at)))
+			violations = append(violations, fmt.Sprintf("%s sent %d requests to %s, which had asked it for a backoff of %s", r.gateway, n, r.lifetime, r.until.Sub(r.at)))
 		}
 	}
-	return faults
+	return violations
 }
 
-// troubled tells whether the answer that asked for a rest may not have arrived.
+// maybeLost reports whether the answer that asked for a backoff may not have arrived.
 func (w *serverSignals) maybeLost(r backoffRequest) bool {
 	for _, l := range w.links {
 		if l.server == serverOf(r.lifetime) && r.at.Before(l.to.Add(backoffGrace)) && r.until.After(l.from) {
@@ -123,9 +125,10 @@
 	return false
 }
 
-// lifetimeOf names a server's lifetime.
+// lifetimeOf returns the identifier of a server's lifetime: its ID and start time.
 func lifetimeOf(server string, born int64) string { return fmt.Sprintf("%s@%d", server, born) }
 
+// serverOf returns the server ID of a lifetime.
 func serverOf(lifetime string) string {
 	for i := range lifetime {
 		if lifetime[i] == '@' {
@@ -135,21 +138,21 @@
 	return lifetime
 }
 
-// linkTroubled takes down that a server's link is in trouble from now on; the returned function
-// ends that.
-func (b *recorder) recordLinkFault(server string) (ends func()) {
+// recordLinkFault records that the link of a server is faulty from now on, until the returned
+// function is called.
+func (b *recorder) recordLinkFault(server string) (end func()) {
 	from := time.Now()
-	note := func(to time.Time) {
+	record := func(to time.Time) {
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
 		b.signals.links = append(b.signals.links, linkFaultPeriod{server, from, to})
 	}
-	note(from)
-	return func() { note(time.Now()) }
+	record(from)
+	return func() { record(time.Now()) }
 }
 
-// speaking are the troubles of what servers say. They stand apart, so that a seed without them
-// plays what it always did.
+// signalFaults are the faults of what servers announce. They are kept apart from baseFaults so
+// that a seed without them draws the same faults as before.
 var signalFaults = []fault{
 	{"server says that it leaves", func(r *Run, random *rand.Rand) func() {
 		return r.announceLeaving(r.randomServer(random), randomStartTime(random))
@@ -184,8 +187,8 @@
 	}},
 }
 
-// sayLeaving lets a server say in its answers that it leaves, and then start again; before that
-// it serves on for longer than the bound, so that what comes too late is seen.
+// announceLeaving has a server announce in its answers that it is leaving, and later restart.
+// Before the restart it serves for longer than leavingGrace, so that late requests are recorded.
 func (r *Run) announceLeaving(s *backend, born int64) (undo func()) {
 	b := healthy
 	b.Leaving = true
@@ -197,7 +200,7 @@
 	}
 }
 
-// askRest lets a server turn requests away and ask for rest.
+// requestBackoff has a server refuse requests and ask for backoff.
 func requestBackoff(s *backend, random *rand.Rand) (undo func()) {
 	b := healthy
 	b.Full, b.Rest = true, []string{"0.7", "1", "2"}[random.IntN(3)]
