--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment measures the fleet's policy: real routers and agents against
-// stand-ins, in virtual time, under a described workload.
+// Package experiment measures the scheduling policy of a fleet: real routers and agents with
+// fake servers, in virtual time, under a given workload.
 //
 // # Usage
 //
@@ -7,7 +7,7 @@
 //	r.Print(os.Stdout)
 //
 // Run must be called inside a bubble of testing/synctest. Costs are in weighted
-// tokens, as the servers' stand-ins count them, not as the agents believe.
+// tokens, as the fake servers count them, not as the agents estimate them.
 package experiment
 
 import (
@@ -28,14 +28,14 @@
 	"opalbridge.dev/router"
 )
 
-// Way is a way to dispatch that is measured.
+// Strategy is a dispatch strategy to measure.
 type Strategy struct {
 	Name     string
 	Policy   fair.Policy
 	Queueing router.Queueing
 }
 
-// The ways: the design, its variants, and the baselines.
+// The strategies: the design, its variants, and the baselines.
 var (
 	Design      = Strategy{"design", fair.Corrected, router.LateBinding}
 	Uncorrected = Strategy{"least fleet total", fair.Uncorrected, router.LateBinding}
@@ -44,29 +44,29 @@
 	FirstCome   = Strategy{"first come first served", fair.Unordered, router.FirstCome}
 )
 
-// Client is a group of callers of one account that each keep one request open.
+// Client is a group of callers of one account, each with one request open at a time.
 type Client struct {
 	Account     string
-	Routers     []int   // the routers it uses
-	Callers     int     // at each of them
-	MinTokens   int     // tokens of the shortest answer
-	MaxTokens   int     // tokens of the longest answer
-	PromptBytes int     // bytes of prompt
-	HintError   float64 // hints are wrong by up to this factor either way; 0: right
+	Routers     []int   // indexes of the routers it uses
+	Callers     int     // at each router
+	MinTokens   int     // of the shortest answer
+	MaxTokens   int     // of the longest answer
+	PromptBytes int     // length of the prompt
+	HintError   float64 // cost hints are off by up to this factor, too high or too low; 0: exact
 	Urgent      bool
 	Pool        string
-	Think       time.Duration // mean pause between two requests; 0: none
-	From        time.Duration // when it begins
-	Until       time.Duration // when it ends; 0: with the run
+	Think       time.Duration // mean think time between two requests; 0: none
+	From        time.Duration // when it starts
+	Until       time.Duration // when it stops; 0: at the end of the run
 }
 
-// Fault is something that happens to the fleet while it runs.
+// Fault is an event injected into the fleet during a run.
 type Fault struct {
 	At time.Duration
 	Do func(*fleettest.Fleet)
 }
 
-// Scenario describes one run.
+// Scenario describes the fleet and the workload of one run.
 type Scenario struct {
 	Name     string
 	Strategy Strategy
@@ -75,49 +75,49 @@
 	Slots    int
 	Degree   int
 	Interval time.Duration
-	Shares   map[string]uint32 // of accounts whose share is not one
+	Shares   map[string]uint32 // by account; 1 if missing
 	Clients  []Client
 	Pools    func(server int) []string
 	Faults   []Fault
-	Warmup   time.Duration // before measuring begins
+	Warmup   time.Duration // before the measurement starts
 	Duration time.Duration // of the measurement
-	Compare  []string      // accounts whose gap is measured; nil: all
+	Compare  []string      // accounts that the gap is measured between; nil: all
 	Seed     uint64
 	Limits   config.Limits
 	Burst    int
 }
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Scenario       Scenario
 	Gap            float64 // largest difference in service divided by share, weighted tokens
-	RelativeGap    float64 // Gap over the mean service of the accounts compared
-	Utilisation    float64 // of the places of all servers
-	ControlRate    float64 // bytes a second, mean over nodes
-	MaxControlRate float64 // bytes a second, of the busiest node
-	OverheadRate   float64 // bytes a second and node of all that is no body or answer, framing included
-	Violations     int     // times an agent saw its bound broken
+	RelativeGap    float64 // Gap divided by the mean service of the accounts compared
+	Utilisation    float64 // of the slots of all servers
+	ControlRate    float64 // control traffic in bytes a second, mean over nodes
+	MaxControlRate float64 // control traffic in bytes a second, of the busiest node
+	OverheadRate   float64 // bytes a second per node other than request and answer bodies, including framing
+	Violations     int     // times an agent found its fairness bound violated
 	Requests       int
-	Failed         int // requests without their whole answer
+	Failed         int // requests without a complete answer
 	Service        map[string]float64
-	Waits          map[string][]time.Duration // by account, urgent ones by account and UrgentMark
+	Waits          map[string][]time.Duration // queue times by account; of urgent requests by account and UrgentSuffix
 	Samples        []Sample
 	Bound          float64
 }
 
-// Sample is the state at one moment of the measurement.
+// Sample is the state at one time of the measurement.
 type Sample struct {
 	At          time.Duration
 	Gap         float64
-	Utilisation float64 // since the sample before
+	Utilisation float64 // since the previous sample
 }
 
-// UrgentMark follows an account's name where its urgent requests are meant.
+// UrgentSuffix is appended to an account's name in Result.Waits for its urgent requests.
 const UrgentSuffix = "!urgent"
 
 const sampleInterval = time.Second
 
-// Run starts a fleet, lets the clients work, and measures.
+// Run starts a fleet and its clients, and measures them.
 func Run(t testing.TB, s Scenario) *Result {
 	e := newRun(t, s)
 	ctx, stop := context.WithCancel(context.Background())
@@ -139,7 +139,7 @@
 	mutex        sync.Mutex
 	startedAt    time.Time
 	weights      config.Limits
-	payloadBytes uint64 // bytes of bodies and answers
+	payloadBytes uint64 // of request and answer bodies
 }
 
 func newRun(t testing.TB, s Scenario) *run {
@@ -204,7 +204,7 @@
 	}
 }
 
-// refusedPause is how long a caller waits after a refusal.
+// refusalDelay is the delay of a caller after a refusal.
 const refusalDelay = time.Second
 
 func (e *run) runCaller(ctx context.Context, c Client, at int, random *rand.Rand) {
@@ -231,7 +231,7 @@
 	}
 }
 
-// carried counts the bytes of a request's body and answer.
+// addPayload counts the body bytes of a request and its answer.
 func (e *run) addPayload(a fleettest.Answer) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -262,7 +262,7 @@
 	}
 }
 
-// measure samples the servers' own counts once a second.
+// measure samples the servers' own counters once every sampleInterval.
 func (e *run) measure() {
 	start := e.service()
 	startBusy := e.busy()
@@ -307,7 +307,7 @@
 	return sum
 }
 
-// service returns what each account was served, divided by its share.
+// service returns the weighted tokens served to each account, divided by its share.
 func (e *run) service() map[string]float64 {
 	const thousand = 1000
 	sum := map[string]float64{}
@@ -322,21 +322,21 @@
 }
 
 func (e *run) serviceGap(start, end map[string]float64) (gap, mean float64) {
-	least, most := math.Inf(1), math.Inf(-1)
+	lowest, highest := math.Inf(1), math.Inf(-1)
 	n := 0.0
 	for a, v := range end {
 		if e.scenario.Compare != nil && !slices.Contains(e.scenario.Compare, a) {
 			continue
 		}
-		got := v - start[a]
-		least, most = math.Min(least, got), math.Max(most, got)
-		mean += got
+		served := v - start[a]
+		lowest, highest = math.Min(lowest, served), math.Max(highest, served)
+		mean += served
 		n++
 	}
 	if n == 0 {
 		return 0, 1
 	}
-	return most - least, math.Max(mean/n, 1)
+	return highest - lowest, math.Max(mean/n, 1)
 }
 
 func (e *run) controlBytes() map[string]uint64 {
@@ -358,7 +358,7 @@
 	sum := 0.0
 	for name, b := range end {
 		if b < start[name] {
-			continue // it was restarted
+			continue // the node was restarted
 		}
 		rate := float64(b-start[name]) / length.Seconds()
 		sum += rate
@@ -367,12 +367,13 @@
 	e.result.ControlRate = sum / float64(len(end))
 }
 
-// bounds reads the agents' own checks and works out the stated bound.
+// checkBounds computes the theoretical bound of the gap and counts the violations that the agents
+// detected themselves.
 func (e *run) checkBounds(length time.Duration) {
-	largest, least := 0.0, math.Inf(1)
+	largest, minShare := 0.0, math.Inf(1)
 	for _, c := range e.scenario.Clients {
 		largest = math.Max(largest, float64(c.MaxTokens)+float64(c.PromptBytes)/16)
-		least = math.Min(least, float64(max(1, e.scenario.Shares[c.Account])))
+		minShare = math.Min(minShare, float64(max(1, e.scenario.Shares[c.Account])))
 	}
 	total := 0.0
 	for a, v := range e.result.Service {
@@ -384,7 +385,7 @@
 	}
 	e.result.Bound = fair.GapBound{
 		MaxCost: largest, Slots: e.slots(), ServiceRate: total / length.Seconds(), TotalsAge: 3 * interval.Seconds(),
-		UrgentCredit: float64(e.weights.UrgentCredit), MinShare: least,
+		UrgentCredit: float64(e.weights.UrgentCredit), MinShare: minShare,
 	}.Value()
 	for _, a := range e.fleet.Agents {
 		if a.Node != nil {
@@ -393,17 +394,17 @@
 	}
 }
 
-// Percentile returns the given percentile of some waits.
+// Percentile returns the given percentile of waits.
 func Percentile(waits []time.Duration, percent float64) time.Duration {
 	if len(waits) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(waits))
-	at := int(math.Ceil(percent/100*float64(len(sorted)))) - 1
-	return sorted[max(0, min(at, len(sorted)-1))]
+	i := int(math.Ceil(percent/100*float64(len(sorted)))) - 1
+	return sorted[max(0, min(i, len(sorted)-1))]
 }
 
-// Print writes the figures of a run, a line each.
+// Print writes the figures of a run, one per line.
 func (r *Result) Print(w io.Writer) {
 	name := r.Scenario.Name + "/" + r.Scenario.Strategy.Name
 	fmt.Fprintf(w, "figure gap %q %.0f weighted-tokens\n", name, r.Gap)
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -14,12 +14,12 @@
 )
 
 var (
-	full      = flag.Bool("full", false, "run every scenario and size for the whole length; takes minutes")
-	sizeSeeds = flag.Int("size-seeds", 4, "seeds of each size in a full run")
-	minutes   = flag.Int("minutes", 2, "length of a full run's measurement in virtual minutes")
+	full      = flag.Bool("full", false, "run every scenario and size for the full duration; takes minutes")
+	sizeSeeds = flag.Int("size-seeds", 4, "number of seeds of each size in a full run")
+	minutes   = flag.Int("minutes", 2, "duration of a full run's measurement in virtual minutes")
 )
 
-// length is how long a run of this call measures.
+// duration returns the duration of a measurement.
 func duration() time.Duration {
 	if *full {
 		return time.Duration(*minutes) * time.Minute
@@ -35,13 +35,13 @@
 	return r
 }
 
-// comparable is how long runs are whose utilisation is compared within 0.01: what is in
-// flight at the ends of a run of 40 s moves it by 0.02 either way (0.988 to 1.027 in seven
-// runs of one way).
+// comparisonDuration is the duration of runs whose utilisation is compared within 0.01. In runs of
+// 40 s, the requests in flight at the start and the end change it by 0.02 either way (0.988 to
+// 1.027 in seven runs of one strategy).
 const comparisonDuration = 160 * time.Second
 
-// TestUnevenAgainstBaselines holds the design to its targets where accounts are
-// spread unevenly: a fifth of per-router fairness's gap, full use, the bound.
+// TestUnevenAgainstBaselines checks the targets of the design with accounts that are spread
+// unevenly: at most a fifth of the gap of per-router fairness, full utilisation, and the bound.
 func TestUnevenAgainstBaselines(t *testing.T) {
 	z := experiment.CurrentSize(max(duration(), comparisonDuration))
 	design := measure(t, experiment.Uneven(experiment.Design, z))
@@ -56,8 +56,8 @@
 	require.LessOrEqual(t, design.OverheadRate, 2000.0)
 }
 
-// TestScenarios runs every scenario under the design and holds it to the bound and
-// to full use; with -full also under the baselines.
+// TestScenarios runs scenarios under the design and checks the bound of the gap. With -full it
+// runs every scenario, also under the baselines.
 func TestScenarios(t *testing.T) {
 	if !*full {
 		for _, s := range []experiment.Scenario{
@@ -72,12 +72,12 @@
 		}
 		return
 	}
-	for _, way := range []experiment.Strategy{experiment.Design, experiment.RouterFair, experiment.FirstCome} {
-		for _, s := range experiment.All(way, experiment.CurrentSize(duration())) {
-			t.Run(way.Name+"/"+s.Name, func(t *testing.T) {
+	for _, strategy := range []experiment.Strategy{experiment.Design, experiment.RouterFair, experiment.FirstCome} {
+		for _, s := range experiment.All(strategy, experiment.CurrentSize(duration())) {
+			t.Run(strategy.Name+"/"+s.Name, func(t *testing.T) {
 				r := measure(t, s)
 				printWaits(r)
-				if way == experiment.Design {
+				if strategy == experiment.Design {
 					require.LessOrEqual(t, r.Gap, r.Bound)
 					require.Zero(t, r.Violations)
 				}
@@ -128,11 +128,11 @@
 	}
 }
 
-// TestAllUrgentGainsOnlyItsCredit has one account mark all it asks urgent; it may
-// be ahead of the others' mean by the credit and what is in flight, not more.
+// TestAllUrgentGainsOnlyItsCredit has one account mark all its requests urgent. It may be ahead of
+// the mean of the others by the urgent credit and the requests in flight, not more.
 func TestAllUrgentGainsOnlyItsCredit(t *testing.T) {
 	s := experiment.AllUrgent(experiment.Design, experiment.CurrentSize(duration()))
-	s.Warmup = time.Second // what it borrows at the very start counts too
+	s.Warmup = time.Second // include the credit it uses at the start
 	r := measure(t, s)
 	mean, n := 0.0, 0.0
 	marked := s.Clients[4].Account
@@ -148,19 +148,19 @@
 	require.LessOrEqual(t, r.Service[marked]-mean, float64(credit+4*largest))
 }
 
-var plots = flag.Bool("plots", false, "write the pictures of docs/experiments anew")
+var plots = flag.Bool("plots", false, "rewrite the plots in docs/experiments")
 
 // TestPlots draws gap and utilisation over time under the design and the baselines.
 func TestPlots(t *testing.T) {
 	if !*plots {
-		t.Log("pictures are drawn with -plots only")
+		t.Log("plots are drawn with -plots only")
 		return
 	}
 	z := experiment.CurrentSize(2 * time.Minute)
 	for _, scenario := range []func(experiment.Strategy, experiment.Size) experiment.Scenario{experiment.Uneven, experiment.Partition} {
 		var runs []*experiment.Result
-		for _, way := range []experiment.Strategy{experiment.Design, experiment.RouterFair, experiment.FirstCome} {
-			runs = append(runs, measure(t, scenario(way, z)))
+		for _, strategy := range []experiment.Strategy{experiment.Design, experiment.RouterFair, experiment.FirstCome} {
+			runs = append(runs, measure(t, scenario(strategy, z)))
 		}
 		name := runs[0].Scenario.Name
 		require.NoError(t, experiment.Plot("../docs/experiments/"+name+"-gap.png", name+": gap between accounts", "weighted tokens for each share", runs,
--- a/experiment/plot.go
+++ b/experiment/plot.go
@@ -8,14 +8,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot's picture.
+// Size of a plot's image.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// Plot writes a picture of what the value function gives for each sample of some
-// runs, a line a run.
+// Plot writes an image of value applied to each sample, with one line for each run.
 func Plot(file, title, unit string, runs []*Result, value func(Sample) float64) error {
 	p := plot.New()
 	p.Title.Text = title
--- a/experiment/scenarios.go
+++ b/experiment/scenarios.go
@@ -7,7 +7,7 @@
 	"opalbridge.dev/fleettest"
 )
 
-// Size is how large a scenario's fleet is.
+// Size is the size of a scenario's fleet and the duration of its measurement.
 type Size struct {
 	Routers  int
 	Models   int
@@ -15,7 +15,7 @@
 	Duration time.Duration
 }
 
-// Today is the users' size of today: three halls, a router in each, nine model
+// CurrentSize is the size of the users' current fleet: three halls, a router in each, nine model
 // servers, sixteen accounts of which four are large.
 func CurrentSize(length time.Duration) Size { return Size{Routers: 3, Models: 9, Duration: length} }
 
@@ -24,7 +24,7 @@
 	smallAccounts  = 12
 	warmup         = 30 * time.Second
 	slotsPerServer = 8
-	// Of long requests.
+	// Of the requests of backlogged callers.
 	minTokens   = 50
 	maxTokens   = 800
 	promptBytes = 2000
@@ -43,33 +43,33 @@
 
 func smallAccount(i int) string { return fmt.Sprintf("small-%02d", i) }
 
-// backlogged are callers that always have requests waiting.
+// backlogged returns callers that always have requests waiting.
 func backlogged(account string, routers []int, callers int) Client {
 	return Client{Account: account, Routers: routers, Callers: callers, MinTokens: minTokens, MaxTokens: maxTokens, PromptBytes: promptBytes, HintError: 3}
 }
 
-func (z Size) scenario(name string, way Strategy, clients []Client) Scenario {
+func (z Size) scenario(name string, strategy Strategy, clients []Client) Scenario {
 	return Scenario{
-		Name: name, Strategy: way, Routers: z.Routers, Models: z.Models, Slots: slotsPerServer, Degree: z.Degree,
+		Name: name, Strategy: strategy, Routers: z.Routers, Models: z.Models, Slots: slotsPerServer, Degree: z.Degree,
 		Clients: clients, Warmup: warmup, Duration: z.Duration, Seed: 1,
 	}
 }
 
-// callersFor is how many callers keep an account backlogged on this fleet.
+// backloggedCallers returns the number of callers that keep an account backlogged.
 func (z Size) backloggedCallers() int { return z.Models * slotsPerServer / 3 }
 
-// Even has every account on every router.
-func Even(way Strategy, z Size) Scenario {
+// Even spreads every account over every router.
+func Even(strategy Strategy, z Size) Scenario {
 	var clients []Client
 	for i := range largeAccounts + smallAccounts {
 		clients = append(clients, backlogged(smallAccount(i), allRouters(z.Routers), max(1, z.backloggedCallers()/z.Routers)))
 	}
-	return z.scenario("even", way, clients)
+	return z.scenario("even", strategy, clients)
 }
 
 // Uneven has four accounts with many callers on every router, and twelve on one
 // router each.
-func Uneven(way Strategy, z Size) Scenario {
+func Uneven(strategy Strategy, z Size) Scenario {
 	var clients []Client
 	for i := range largeAccounts {
 		clients = append(clients, backlogged(largeAccount(i), allRouters(z.Routers), max(1, 4*z.backloggedCallers()/z.Routers)))
@@ -77,12 +77,12 @@
 	for i := range smallAccounts {
 		clients = append(clients, backlogged(smallAccount(i), []int{i * z.Routers / smallAccounts}, z.backloggedCallers()))
 	}
-	return z.scenario("uneven", way, clients)
+	return z.scenario("uneven", strategy, clients)
 }
 
-// WrongHints is Uneven with cost hints that are wrong by up to ten times.
-func WrongHints(way Strategy, z Size) Scenario {
-	s := Uneven(way, z)
+// WrongHints is Uneven with cost hints that are off by up to a factor of ten.
+func WrongHints(strategy Strategy, z Size) Scenario {
+	s := Uneven(strategy, z)
 	s.Name = "wrong hints"
 	for i := range s.Clients {
 		s.Clients[i].HintError = 10
@@ -90,10 +90,10 @@
 	return s
 }
 
-// Flood has one account with a hundred times the callers of its share, and the
-// others with what their share can carry.
-func Flood(way Strategy, z Size) Scenario {
-	s := Quiet(way, z)
+// Flood has one account with a hundred times the callers that its share can serve, and the
+// others with as many callers as their share can serve.
+func Flood(strategy Strategy, z Size) Scenario {
+	s := Quiet(strategy, z)
 	s.Name = "flood"
 	s.Clients[len(s.Clients)-1] = backlogged(floodAccount, allRouters(z.Routers), 100*z.callersPerShare()/z.Routers)
 	return s
@@ -101,33 +101,33 @@
 
 const floodAccount = "flood"
 
-// share is how many callers carry an account's share, rounded up.
+// callersPerShare returns the number of callers that use an account's share, rounded up.
 func (z Size) callersPerShare() int {
 	accounts := largeAccounts + smallAccounts + 1
 	return z.Models*slotsPerServer/accounts + 1
 }
 
-// Quiet has every account offer just its share.
-func Quiet(way Strategy, z Size) Scenario {
+// Quiet has every account offer a load equal to its share.
+func Quiet(strategy Strategy, z Size) Scenario {
 	var clients []Client
 	for i := range largeAccounts + smallAccounts {
 		clients = append(clients, backlogged(smallAccount(i), []int{i % z.Routers}, z.callersPerShare()))
 	}
 	clients = append(clients, backlogged(floodAccount, []int{0}, z.callersPerShare()))
-	return z.scenario("quiet", way, clients)
+	return z.scenario("quiet", strategy, clients)
 }
 
-// Returning has accounts that go idle and come back.
-func IdleAndBack(way Strategy, z Size) Scenario {
-	s := Uneven(way, z)
+// IdleAndBack has every fourth client go idle and return later.
+func IdleAndBack(strategy Strategy, z Size) Scenario {
+	s := Uneven(strategy, z)
 	s.Name = "idle and back"
 	half := warmup + z.Duration/2
 	for i := range s.Clients {
 		if i%4 == 3 {
-			again := s.Clients[i]
-			again.From = half
+			returning := s.Clients[i]
+			returning.From = half
 			s.Clients[i].Until = warmup + z.Duration/4
-			s.Clients = append(s.Clients, again)
+			s.Clients = append(s.Clients, returning)
 		}
 	}
 	for i := range smallAccounts {
@@ -138,11 +138,11 @@
 	return s
 }
 
-// Partition cuts one hall off from the others for most of the measurement. What is
-// promised is fairness within each side; the accounts compared are those whose
-// callers are all on the larger side.
-func Partition(way Strategy, z Size) Scenario {
-	s := Uneven(way, z)
+// Partition cuts one hall off from the others for most of the measurement. Fairness is
+// guaranteed within each side only, so the accounts compared are those whose callers
+// are all on the larger side.
+func Partition(strategy Strategy, z Size) Scenario {
+	s := Uneven(strategy, z)
 	s.Name = "partition"
 	for i := range smallAccounts {
 		if at := i * z.Routers / smallAccounts; at%halls != 0 {
@@ -160,8 +160,8 @@
 }
 
 // Restarts restarts a tenth of the routers and agents each minute.
-func Restarts(way Strategy, z Size) Scenario {
-	s := Uneven(way, z)
+func Restarts(strategy Strategy, z Size) Scenario {
+	s := Uneven(strategy, z)
 	s.Name = "restarts"
 	nodes := z.Routers + z.Models
 	each := max(1, nodes/10)
@@ -187,16 +187,16 @@
 	f.StartRouter(r)
 }
 
-// Pools of Overlap.
+// Pools of the Overlap scenario.
 const (
 	poolA = "a"
 	poolB = "b"
 )
 
-// Overlap has two pools that share a third of the servers: small accounts can use
-// only the second, which is the narrower one for each of them.
-func Overlap(way Strategy, z Size) Scenario {
-	s := Uneven(way, z)
+// Overlap has two pools that share a third of the servers. Large accounts use only the first
+// pool, small accounts only the second.
+func Overlap(strategy Strategy, z Size) Scenario {
+	s := Uneven(strategy, z)
 	s.Name = "overlapping pools"
 	s.Pools = func(server int) []string {
 		switch server % 3 {
@@ -219,18 +219,17 @@
 	return s
 }
 
-// AllUrgent has one account mark all its requests urgent, and every other mark a
-// small part of its requests.
-func AllUrgent(way Strategy, z Size) Scenario {
-	s := Uneven(way, z)
+// AllUrgent has one account mark all its requests urgent, and the others none.
+func AllUrgent(strategy Strategy, z Size) Scenario {
+	s := Uneven(strategy, z)
 	s.Name = "all urgent"
 	s.Clients[largeAccounts].Urgent = true
 	return s
 }
 
-// Urgent has each account send short urgent questions beside its backlog.
-func Urgent(way Strategy, z Size) Scenario {
-	s := Uneven(way, z)
+// Urgent has each small account send short urgent requests in addition to its backlog.
+func Urgent(strategy Strategy, z Size) Scenario {
+	s := Uneven(strategy, z)
 	s.Name = "urgent questions"
 	for i := range smallAccounts {
 		c := backlogged(smallAccount(i), []int{i * z.Routers / smallAccounts}, 1)
@@ -241,9 +240,9 @@
 }
 
 // All returns every scenario at a size.
-func All(way Strategy, z Size) []Scenario {
+func All(strategy Strategy, z Size) []Scenario {
 	return []Scenario{
-		Even(way, z), Uneven(way, z), WrongHints(way, z), Flood(way, z), Quiet(way, z), IdleAndBack(way, z),
-		Partition(way, z), Restarts(way, z), Overlap(way, z), AllUrgent(way, z), Urgent(way, z),
+		Even(strategy, z), Uneven(strategy, z), WrongHints(strategy, z), Flood(strategy, z), Quiet(strategy, z), IdleAndBack(strategy, z),
+		Partition(strategy, z), Restarts(strategy, z), Overlap(strategy, z), AllUrgent(strategy, z), Urgent(strategy, z),
 	}
 }
