--- a/fleettest/chunks_test.go
+++ b/fleettest/chunks_test.go
@@ -15,17 +15,18 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// chunk, end and head are pieces that a false agent answers with.
+// chunk returns a chunk piece of a fake agent's answer.
 func chunk(n uint64, text string) *wirepb.Piece {
 	return &wirepb.Piece{Body: &wirepb.Piece_Chunk{Chunk: &wirepb.Chunk{Number: n, Content: []byte(text)}}}
 }
 
+// endOf returns the end piece of a complete answer with the given number of chunks.
 func endOf(chunks uint64) *wirepb.Piece {
 	return &wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: chunks, Complete: true}}}
 }
 
-// falseAgent takes the first agent's place and answers every attempt with the
-// pieces given.
+// fakeAgent replaces the first agent with one that answers every attempt with the
+// given pieces.
 func fakeAgent(t *testing.T, f *fleettest.Fleet, pieces []*wirepb.Piece) {
 	f.CrashAgent(f.Agents[0])
 	l := f.Network.Listen(f.Agents[0].Name)
@@ -51,7 +52,7 @@
 	defer p.Close(nil)
 	p.Send(wire.NewControl(1, &wirepb.Control_Load{Load: &wirepb.Load{Limit: 8}}))
 	go func() {
-		for range p.Control() { // what the router tells is of no interest
+		for range p.Control() { // discard the router's control messages
 		}
 	}()
 	for {
@@ -72,7 +73,7 @@
 	}
 }
 
-// answerOf runs one request through a false agent.
+// answerOf sends one request to a fake agent that answers with the given pieces.
 func answerOf(t *testing.T, pieces ...*wirepb.Piece) (a fleettest.Answer) {
 	bubbletest.Run(t, func(t *testing.T) {
 		f := fleettest.Start(t, fleettest.Options{Routers: 1, Models: 1, Halls: 1})
--- a/fleettest/config_test.go
+++ b/fleettest/config_test.go
@@ -14,11 +14,11 @@
 	"opalbridge.dev/kv/kvtest"
 )
 
-// inForce is how long an accepted change may take to be in force everywhere after
-// the last fault has ended (source: the users' letter).
+// propagationBound is the required time within which an accepted change is in force at
+// every node after the last fault has ended.
 const propagationBound = 18 * time.Second
 
-// watchRevisions asserts that no node's revision steps back until stop is called.
+// watchRevisions asserts that no node's revision decreases until stop is called.
 func watchRevisions(t testing.TB, f *fleettest.Fleet) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -28,7 +28,7 @@
 		for ctx.Err() == nil {
 			for node, revision := range f.Revisions() {
 				if revision < seen[node] {
-					t.Errorf("a revision stepped back from %d to %d", seen[node], revision)
+					t.Errorf("revision decreased from %d to %d", seen[node], revision)
 				}
 				seen[node] = revision
 			}
@@ -41,27 +41,27 @@
 	}
 }
 
-// TestConfigurationUnderFaults changes the configuration around every fault; an
-// accepted change is in force everywhere in time and none reverts.
+// TestConfigurationUnderFaults changes the configuration during every fault. An
+// accepted change must be in force at every node in time and must not revert.
 func TestConfigurationUnderFaults(t *testing.T) {
-	moments := []time.Duration{0, 20 * time.Millisecond, time.Second}
+	delays := []time.Duration{0, 20 * time.Millisecond, time.Second}
 	for _, x := range fleettest.Faults {
-		for _, after := range moments {
-			t.Run(fmt.Sprintf("%s/%s", x.Name, after), func(t *testing.T) {
+		for _, delay := range delays {
+			t.Run(fmt.Sprintf("%s/%s", x.Name, delay), func(t *testing.T) {
 				bubbletest.Run(t, func(t *testing.T) {
 					f := matrixFleet(t)
 					stop := watchRevisions(t, f)
-					over := make(chan struct{})
+					done := make(chan struct{})
 					go func() {
-						defer close(over)
+						defer close(done)
 						x.Run(context.Background(), f)
 					}()
-					time.Sleep(after)
+					time.Sleep(delay)
 					o := f.Propose(func(d *config.Document) error {
 						d.Accounts[0].Share = 7
 						return nil
 					})
-					<-over
+					<-done
 					accepted, ok := o.(config.Accepted)
 					if !ok {
 						require.IsType(t, config.Indeterminate{}, o)
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestRestartDuringOutage restarts nodes while the service is down: they learn the
-// newest revision from several peers, not from an old copy.
+// TestRestartDuringOutage restarts an agent while the platform's service is down. It
+// must get the newest revision from several peers, not from an old copy.
 func TestRestartDuringOutage(t *testing.T) {
 	bubbletest.Run(t, func(t *testing.T) {
 		f := matrixFleet(t)
@@ -110,8 +110,8 @@
 	})
 }
 
-// TestServiceComesBackOlder: an accepted change that a copy of the service lacks stays in force, is
-// written again, and the next change comes after it.
+// TestServiceComesBackOlder restores the platform's service from a copy that lacks an accepted
+// change. The change must stay in force and be rewritten, and the next change must follow it.
 func TestServiceComesBackOlder(t *testing.T) {
 	bubbletest.Run(t, func(t *testing.T) {
 		f := matrixFleet(t)
@@ -134,15 +134,15 @@
 		store := config.Store{KV: f.Platform}
 		d, _, err := store.Load(t.Context())
 		require.NoError(t, err)
-		require.Equal(t, lost, d.Revision, "the service has it again")
+		require.Equal(t, lost, d.Revision, "the lost revision was not rewritten to the service")
 		next := share(4)
 		require.Equal(t, lost+1, next)
 		requireRevision(t, f, next)
 	})
 }
 
-// TestServiceLoadIsBounded counts the calls of routers that wait, and of routers
-// that come back from an outage together.
+// TestServiceLoadIsBounded bounds the call rate of idle routers on the platform's
+// service, and of routers that recover from an outage at the same time.
 func TestServiceLoadIsBounded(t *testing.T) {
 	for _, routers := range []int{10, 50} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
@@ -154,13 +154,13 @@
 				time.Sleep(5 * time.Minute)
 				outage := callRate(f, time.Minute)
 				f.Platform.SetFaults(kvtest.Faults{})
-				most := 0.0
+				peak := 0.0
 				for range 20 {
-					most = max(most, callRate(f, time.Second))
+					peak = max(peak, callRate(f, time.Second))
 				}
-				t.Logf("figure service-calls %d routers: steady %.2f outage %.2f most-after-outage %.2f calls/s", routers, steady, outage, most)
+				t.Logf("figure service-calls %d routers: steady %.2f outage %.2f most-after-outage %.2f calls/s", routers, steady, outage, peak)
 				require.LessOrEqual(t, steady, float64(routers))
-				require.LessOrEqual(t, most, 2*float64(routers))
+				require.LessOrEqual(t, peak, 2*float64(routers))
 			})
 		})
 	}
--- a/fleettest/faults.go
+++ b/fleettest/faults.go
@@ -10,17 +10,16 @@
 	"opalbridge.dev/kv/kvtest"
 )
 
-// Fault is something that goes wrong with a fleet of at least two routers and two
-// models, and how it ends. It strikes the first router, the first agent and what
-// is between them.
+// Fault is a fault of a fleet of at least two routers and two models, and its
+// recovery. It affects the first router, the first agent or the network between them.
 type Fault struct {
 	Name    string
 	Inject  func(*Fleet)
-	Recover func(*Fleet) // nil: it ends by itself
-	// Lasts is how long it lasts before Recover.
+	Recover func(*Fleet) // nil: the fault ends by itself
+	// Duration is the time from Inject to Recover.
 	Duration time.Duration
-	// Router says that the caller's own router is struck: the caller may see
-	// nothing at all.
+	// HitsCallerRouter reports whether the fault hits the caller's own router, so
+	// that the caller may get no answer at all.
 	HitsCallerRouter bool
 }
 
@@ -29,7 +28,7 @@
 	longFault  = time.Minute
 )
 
-// Faults are the faults of the matrix, in the order of its page.
+// Faults are the faults of the fault matrix, in the order of docs/FAULTS.md.
 var Faults = []Fault{
 	{Name: "agent crashes and restarts with no state", Inject: restartFirstAgent},
 	{Name: "agent crashes and stays down", Inject: crashFirstAgent, Recover: startFirstAgent, Duration: longFault},
@@ -120,7 +119,7 @@
 	}
 }
 
-// race has four operators change the same account at once.
+// raceOperators has four operators change the same account at once.
 func raceOperators(f *Fleet) {
 	for i := range 4 {
 		go f.Propose(func(d *config.Document) error {
@@ -130,7 +129,7 @@
 	}
 }
 
-// Propose makes a change of configuration as an operator would.
+// Propose proposes a change of the configuration, as an operator does.
 func (f *Fleet) Propose(change func(*config.Document) error) config.Outcome {
 	store := config.Store{KV: f.Platform}
 	ctx, cancel := context.WithTimeout(f.ctx, time.Minute)
@@ -138,7 +137,7 @@
 	return store.Propose(ctx, 0, change)
 }
 
-// Run strikes with a fault and recovers from it; it returns when it is over.
+// Run injects the fault and returns after its recovery. It recovers early when ctx ends.
 func (x Fault) Run(ctx context.Context, f *Fleet) {
 	x.Inject(f)
 	if x.Recover == nil {
--- a/fleettest/fleet.go
+++ b/fleettest/fleet.go
@@ -28,18 +28,18 @@
 const (
 	ModelPool   = "small"
 	ServicePool = "booking"
-	// TallyHeader carries the account to the servers' stand-ins.
+	// AccountHeader carries the account to the fake servers.
 	AccountHeader = "X-Account"
 )
 
-// Options set up a fleet. Zero values mean the defaults named.
+// Options configure a fleet. Zero values mean the defaults given.
 type Options struct {
 	Routers  int              // 3
 	Models   int              // 3
 	Services int              // 0
 	Halls    int              // 3
-	Slots    int              // 8 places of each server
-	Accounts []config.Account // one account called solo
+	Slots    int              // 8, of each server
+	Accounts []config.Account // one account named solo
 	Model    enginetest.ModelOptions
 	Limits   config.Limits
 	Latency  time.Duration // 500 µs one way
@@ -49,7 +49,7 @@
 	Interval time.Duration // 2 s
 	// Pools gives the pools of each model server; nil: all are in ModelPool.
 	Pools   func(server int) []string
-	Log     zerolog.Logger // zero: nothing is logged
+	Log     zerolog.Logger // zero: no logging
 	Metrics router.Metrics
 }
 
@@ -75,7 +75,7 @@
 	return o
 }
 
-// Fleet is a fleet of real routers and agents over fakes.
+// Fleet is a fleet of real routers and agents with a fake network, platform and servers.
 type Fleet struct {
 	Options  Options
 	Network  *Network
@@ -109,8 +109,8 @@
 	done       <-chan error
 }
 
-// Start starts a fleet and waits until its routers are connected to all agents
-// they want. It ends with the test.
+// Start starts a fleet and waits until its routers are connected to the agents
+// that they need. The fleet is stopped at the end of the test.
 func Start(t testing.TB, o Options) *Fleet {
 	o = o.withDefaults()
 	ctx, end := context.WithCancel(context.Background())
@@ -197,7 +197,7 @@
 
 const recordCapacity = 4096
 
-// StartAgent starts an agent's process anew, with no state.
+// StartAgent starts an agent without any state.
 func (f *Fleet) StartAgent(a *Agent) {
 	node, err := agent.New(agent.Options{
 		Name: a.Name, Hall: a.Hall, Engine: a.Server, Listener: f.Network.Listen(a.Name), Slots: f.Options.Slots,
@@ -211,7 +211,7 @@
 	a.Node, a.stop, a.done = node, stop, done
 }
 
-// StartRouter starts a router's process anew, with no state.
+// StartRouter starts a router without any state.
 func (f *Fleet) StartRouter(r *Router) {
 	node, err := router.New(router.Options{
 		Name: r.Name, Hall: r.Hall, Address: r.Name, KV: f.Platform, Directory: f.Platform,
@@ -227,7 +227,7 @@
 	r.Node, r.stop, r.done = node, stop, done
 }
 
-// CrashAgent ends an agent's process at once.
+// CrashAgent crashes an agent.
 func (f *Fleet) CrashAgent(a *Agent) {
 	f.Network.Crash(a.Name)
 	a.stop()
@@ -237,14 +237,14 @@
 	a.Node = nil
 }
 
-// running returns the agent's process, or nil.
+// running returns the running agent, or nil.
 func (a *Agent) running() *agent.Agent {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.Node
 }
 
-// CrashRouter ends a router's process at once.
+// CrashRouter crashes a router.
 func (f *Fleet) CrashRouter(r *Router) {
 	f.Network.Crash(r.Name)
 	r.stop()
@@ -254,14 +254,14 @@
 	r.Node = nil
 }
 
-// running returns the router's process, or nil.
+// running returns the running router, or nil.
 func (r *Router) running() *router.Router {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.Node
 }
 
-// readyTime is how long a fleet may take to be connected.
+// readyTimeout is the time within which a fleet must be connected.
 const readyTimeout = time.Minute
 
 // WaitReady waits until every running router is connected to its agents.
@@ -283,7 +283,7 @@
 	return r.Revision() > 0 && r.AgentsConnected() >= want
 }
 
-// Stop ends all processes.
+// Stop stops all routers and agents.
 func (f *Fleet) Stop() {
 	f.cancel()
 	for _, r := range f.Routers {
@@ -309,20 +309,20 @@
 	NonRepeatable  bool
 	IdempotencyKey string
 	PromptBytes    int           // bytes of prompt
-	Tokens         int           // the answer's true length
-	MaxTokens      int           // the caller's max_tokens; 0: Tokens
+	Tokens         int           // actual length of the answer
+	MaxTokens      int           // max_tokens of the request; 0: Tokens
 	Deadline       time.Duration // 10 minutes
 	ID             string
 }
 
-// Answer is what the caller of a request saw.
+// Answer is what the caller of a request observed.
 type Answer struct {
 	ID           string
 	Outcome      attempt.Outcome
 	Status       int
 	Body         []byte
-	RequestBytes int           // bytes of the request's body
-	FirstByte    time.Duration // until the first byte
+	RequestBytes int           // size of the request's body
+	FirstByte    time.Duration // time to the first byte
 	Total        time.Duration
 }
 
@@ -336,7 +336,7 @@
 	return fmt.Sprintf("req-%d", lastID)
 }
 
-// Do sends a request to a router as its HTTP handler would, and waits for the
+// Do sends a request to a router, as its HTTP handler does, and waits for the
 // answer.
 func (f *Fleet) Do(ctx context.Context, c Call) Answer {
 	node := f.Routers[c.Router].running()
@@ -414,7 +414,7 @@
 	return nil
 }
 
-// Revisions returns the revision in force at each running node, by process.
+// Revisions returns the configuration revision in force at each running node.
 func (f *Fleet) Revisions() map[any]uint64 {
 	revisions := map[any]uint64{}
 	for _, r := range f.Routers {
@@ -430,7 +430,7 @@
 	return revisions
 }
 
-// ListLeaving has the live list tell that an agent's host is leaving.
+// SetHostLeaving marks an agent's host as leaving in the platform's live list.
 func (f *Fleet) SetHostLeaving(a *Agent) {
 	f.Platform.SetHost(kv.Host{Name: a.Name, Role: kv.Agent, Hall: a.Hall, Address: a.Name, Leaving: true})
 }
--- a/fleettest/matrix_test.go
+++ b/fleettest/matrix_test.go
@@ -17,8 +17,8 @@
 	"opalbridge.dev/fleettest"
 )
 
-// step is a moment in the life of a request on a network of 50 ms one way: the
-// prompt takes 100 ms and each of ten tokens 100 ms.
+// step is a point in the lifetime of a request. The network has a latency of 50 ms one
+// way, the prompt takes 100 ms and each of ten tokens 100 ms.
 type step struct {
 	name string
 	at   time.Duration
@@ -46,16 +46,15 @@
 	})
 }
 
-// tokensOf returns the tokens of a streamed answer and whether it says that it is
-// whole.
-func tokensOf(t testing.TB, body []byte) (tokens []string, whole bool) {
+// tokensOf returns the tokens of a streamed answer and whether it ends with [DONE].
+func tokensOf(t testing.TB, body []byte) (tokens []string, complete bool) {
 	for line := range bytes.Lines(body) {
 		data, isEvent := bytes.CutPrefix(bytes.TrimSpace(line), []byte("data: "))
 		if !isEvent {
 			continue
 		}
 		if string(data) == "[DONE]" {
-			whole = true
+			complete = true
 			continue
 		}
 		var e struct {
@@ -68,10 +67,10 @@
 			tokens = append(tokens, strings.TrimSpace(e.Choices[0].Delta.Content))
 		}
 	}
-	return tokens, whole
+	return tokens, complete
 }
 
-// checkPromises holds an answer to what must always hold.
+// checkGuarantees checks the guarantees that hold for every answer.
 func checkGuarantees(t testing.TB, f *fleettest.Fleet, c fleettest.Call, a fleettest.Answer) {
 	runs := 0
 	for _, g := range f.Agents {
@@ -82,62 +81,62 @@
 		}
 	}
 	if c.NonRepeatable {
-		require.LessOrEqual(t, runs, 1, "a request that may not be repeated ran %d times", runs)
+		require.LessOrEqual(t, runs, 1, "a non-repeatable request ran %d times", runs)
 	}
 	if _, notRun := a.Outcome.(attempt.NotExecuted); notRun {
-		require.Zero(t, runs, "called not run and ran")
+		require.Zero(t, runs, "a request reported as not executed ran")
 		require.Empty(t, a.Body)
 	}
-	require.Less(t, a.Total, callDeadline+5*time.Second, "the caller got no word in time")
+	require.Less(t, a.Total, callDeadline+5*time.Second, "the caller got no answer by its deadline")
 	if a.Status >= 400 || c.Pool == fleettest.ServicePool {
 		return
 	}
-	tokens, whole := tokensOf(t, a.Body)
+	tokens, complete := tokensOf(t, a.Body)
 	for i, token := range tokens {
-		require.Equal(t, fmt.Sprintf("%s.%d", a.ID, i), token, "a piece of another answer, or out of order")
+		require.Equal(t, fmt.Sprintf("%s.%d", a.ID, i), token, "a token of another answer, or out of order")
 	}
 	if ran, ok := a.Outcome.(attempt.Executed); ok && ran.Complete {
-		require.True(t, whole && len(tokens) == answerTokens, "called whole with %d tokens", len(tokens))
+		require.True(t, complete && len(tokens) == answerTokens, "an answer reported as complete has %d tokens", len(tokens))
 	} else {
-		require.False(t, ok && whole && ran.Complete)
+		require.False(t, ok && complete && ran.Complete)
 	}
 }
 
-// call is one row's request.
+// call returns the request of one row.
 func call(noRepeat bool) fleettest.Call {
 	return fleettest.Call{Account: "solo", Tokens: answerTokens, PromptBytes: 50, NonRepeatable: noRepeat, Deadline: callDeadline}
 }
 
-// runWith sends a request and strikes with faults at the times given, counted from
-// its sending.
-func runWithFaults(t testing.TB, f *fleettest.Fleet, c fleettest.Call, strikes map[time.Duration]fleettest.Fault) fleettest.Answer {
+// runWithFaults sends a request and injects faults at the given times, relative to
+// when the request is sent.
+func runWithFaults(t testing.TB, f *fleettest.Fleet, c fleettest.Call, faults map[time.Duration]fleettest.Fault) fleettest.Answer {
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{}, len(strikes))
-	for at, x := range strikes {
+	done := make(chan struct{}, len(faults))
+	for at, x := range faults {
 		go func() {
 			time.Sleep(time.Second + at)
 			x.Run(ctx, f)
-			over <- struct{}{}
+			done <- struct{}{}
 		}()
 	}
 	time.Sleep(time.Second)
 	a := f.Do(context.Background(), c)
 	cancel()
-	for range strikes {
-		<-over
+	for range faults {
+		<-done
 	}
 	return a
 }
 
-// requireRecovery holds that the fleet serves again soon after a fault.
+// requireRecovery checks that the fleet serves requests 30 s after a fault.
 func requireRecovery(t testing.TB, f *fleettest.Fleet) {
 	f.WaitReady()
 	time.Sleep(30 * time.Second)
 	a := f.Do(context.Background(), call(false))
-	require.Equal(t, attempt.Executed{Complete: true}, a.Outcome, "not recovered")
+	require.Equal(t, attempt.Executed{Complete: true}, a.Outcome, "the fleet has not recovered")
 }
 
-// row is a line of the matrix.
+// row is a row of the fault matrix.
 type row struct {
 	fault, step, repeatable, notRepeatable string
 }
@@ -163,8 +162,9 @@
 	return "?"
 }
 
-// TestFaultMatrix strikes with every fault at every step of a request, of either
-// kind, and holds the promises and the availability of repeatable requests.
+// TestFaultMatrix injects every fault at every step of a repeatable and of a
+// non-repeatable request. It checks the guarantees and the recovery, and compares the
+// outcomes with docs/FAULTS.md.
 func TestFaultMatrix(t *testing.T) {
 	var rows []row
 	for _, x := range fleettest.Faults {
--- a/fleettest/network.go
+++ b/fleettest/network.go
@@ -1,6 +1,6 @@
 // Package fleettest runs real routers and agents against small fakes at their
-// interfaces, for tests in virtual time: a network in memory with latency, cuts
-// and freezes, the platform's stand-in, and servers' stand-ins.
+// interfaces, for tests in virtual time: an in-memory network with latency, cuts
+// and freezes, a fake platform, and fake servers.
 //
 // # Usage
 //
@@ -10,8 +10,8 @@
 //		f.Network.Cut("hall-1", "hall-2")
 //	})
 //
-// It imitates no cluster: nodes are started, stopped and cut off one by one by
-// the test.
+// It does not simulate a cluster manager: the test itself starts, stops and cuts
+// off single nodes.
 package fleettest
 
 import (
@@ -33,7 +33,7 @@
 	conns     map[*conn]bool
 	cut       map[[2]string]bool // from, to: nothing is delivered
 	frozen    map[string]bool    // nothing is delivered from or to the node
-	halls     map[string]string  // hall of a node
+	halls     map[string]string  // by node
 	bytes     map[string]uint64  // sent by each node
 }
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// Place tells in which hall a node stands; cuts name nodes or halls.
+// SetHall sets the hall of a node. Cuts apply to nodes or halls.
 func (n *Network) SetHall(node, hall string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -136,10 +136,10 @@
 // Freeze stops delivery from and to a node, as when its process is paused.
 func (n *Network) Freeze(node string) { n.applyFault(func() { n.frozen[node] = true }) }
 
-// Thaw ends a freeze; what was held back arrives.
+// Thaw ends a freeze and delivers what was withheld.
 func (n *Network) Thaw(node string) { n.applyFault(func() { delete(n.frozen, node) }) }
 
-// Break closes every connection between two nodes.
+// CloseConns closes every connection between two nodes.
 func (n *Network) CloseConns(a, b string) {
 	for _, c := range n.matchingConns(func(c *conn) bool {
 		return (c.local == a && c.remote == b) || (c.local == b && c.remote == a)
@@ -148,7 +148,7 @@
 	}
 }
 
-// Sent returns the bytes that all nodes have sent.
+// SentBytes returns the total number of bytes that all nodes have sent.
 func (n *Network) SentBytes() uint64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -184,7 +184,7 @@
 	return list
 }
 
-// change applies a fault and wakes all readers.
+// applyFault applies a fault and wakes all readers.
 func (n *Network) applyFault(f func()) {
 	n.mutex.Lock()
 	f()
@@ -278,7 +278,7 @@
 // RemoteAddr implements net.Conn.
 func (c *conn) RemoteAddr() net.Addr { return address(c.remote) }
 
-// SetDeadline implements net.Conn; yamux keeps its own.
+// SetDeadline implements net.Conn. Deadlines are not needed: yamux has its own.
 func (c *conn) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline implements net.Conn.
@@ -287,7 +287,8 @@
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// windowBytes is how much one direction of a connection holds.
+// windowBytes is the number of bytes buffered in one direction of a connection above
+// which writes block.
 const windowBytes = 1 << 20
 
 // stream is one direction of a connection.
@@ -297,14 +298,14 @@
 	mutex    sync.Mutex
 	packets  []packet
 	buffered int
-	last     time.Time // when the packet read last arrived
+	last     time.Time // arrival time of the packet read last
 	closed   bool
-	progress chan struct{} // closed and replaced at every change
+	progress chan struct{} // closed and replaced at every change of state
 }
 
 type packet struct {
 	bytes []byte
-	at    time.Time // when it arrives
+	at    time.Time // arrival time
 }
 
 func newStream(n *Network, from, to string) *stream {
@@ -358,8 +359,9 @@
 		}
 		progress := s.progress
 		var wait time.Duration = -1
-		// What was sent in one instant is not torn apart by a cut: yamux holds a lock
-		// between a header and its body, and a lock that waits stops a bubble's clock.
+		// A cut does not separate packets that were sent at the same instant. yamux holds
+		// a lock between a header and its body, and a goroutine blocked on a mutex stops
+		// the clock of a synctest bubble.
 		begun := len(s.packets) > 0 && s.packets[0].at.Equal(s.last)
 		if len(s.packets) > 0 && (!blocked || begun) {
 			wait = time.Until(s.packets[0].at)
--- a/fleettest/page_test.go
+++ b/fleettest/page_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write docs/FAULTS.md anew")
+var update = flag.Bool("update", false, "rewrite docs/FAULTS.md")
 
 const pagePath = "../docs/FAULTS.md"
 
@@ -31,7 +31,7 @@
 | --- | --- | --- | --- |
 `
 
-// writePage compares the page with the rows, or writes it.
+// writePage compares docs/FAULTS.md with the rows, or writes it with -update.
 func writePage(t *testing.T, rows []row) {
 	var page bytes.Buffer
 	page.WriteString(pageHead)
@@ -44,5 +44,5 @@
 	}
 	old, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
-	require.Equal(t, string(old), page.String(), "docs/FAULTS.md is not what was seen; run with -update")
+	require.Equal(t, string(old), page.String(), "docs/FAULTS.md differs from the observed outcomes; run with -update")
 }
--- a/fleettest/pairs_test.go
+++ b/fleettest/pairs_test.go
@@ -10,17 +10,17 @@
 	"opalbridge.dev/fleettest"
 )
 
-// secondAfter is how long after the first fault of a pair the second strikes.
+// secondFaultDelay is the time between the two faults of a pair.
 const secondFaultDelay = 200 * time.Millisecond
 
-// TestPairsOfFaults strikes with every pair of faults, one of them twice included,
-// where they can meet in one request.
+// TestPairsOfFaults injects every pair of faults, including a fault paired with itself,
+// at the steps at which both can affect one request.
 func TestPairsOfFaults(t *testing.T) {
-	meeting := []step{steps[1], steps[4], steps[5]}
+	overlapping := []step{steps[1], steps[4], steps[5]}
 	n := 0
 	for i, x := range fleettest.Faults {
 		for _, y := range fleettest.Faults[i:] {
-			for _, s := range meeting {
+			for _, s := range overlapping {
 				n++
 				noRepeat := n%2 == 0
 				t.Run(fmt.Sprintf("%s + %s/%s", x.Name, y.Name, s.name), func(t *testing.T) {
@@ -29,7 +29,7 @@
 						c := call(noRepeat)
 						a := runWithFaults(t, f, c, map[time.Duration]fleettest.Fault{s.at: x, s.at + secondFaultDelay: y})
 						if _, notRun := a.Outcome.(attempt.NotExecuted); notRun && (x.HitsCallerRouter || y.HitsCallerRouter) {
-							a.Outcome = attempt.Unknown{} // the caller's connection broke: it saw nothing
+							a.Outcome = attempt.Unknown{} // the caller's connection broke, so it got no answer
 						}
 						checkGuarantees(t, f, c, a)
 						requireRecovery(t, f)
--- a/fleettest/path_test.go
+++ b/fleettest/path_test.go
@@ -11,8 +11,8 @@
 	"opalbridge.dev/fleettest"
 )
 
-// TestWholePath sends a streamed model request and a booking through real routers
-// and agents.
+// TestWholePath sends a streamed model request and a service request through real
+// routers and agents.
 func TestWholePath(t *testing.T) {
 	bubbletest.Run(t, func(t *testing.T) {
 		f := fleettest.Start(t, fleettest.Options{Services: 1})
--- a/fleettest/random_test.go
+++ b/fleettest/random_test.go
@@ -25,18 +25,18 @@
 	simulated = flag.Duration("simulated", 10*time.Minute, "virtual time of each seed")
 )
 
-// keptSeeds found violations once and are run for ever after.
+// regressionSeeds are seeds that have found violations; they are always run.
 var regressionSeeds = []uint64{}
 
-// tally counts what a randomised run saw.
+// tally counts the outcomes of a randomised run.
 type tally struct {
 	mutex        sync.Mutex
 	outcomes     map[string]int
 	faults       int
-	keyedRetries int // answers of a caller's retry under its idempotency key
+	keyedRetries int // retries of callers with an idempotency key
 }
 
-// TestRandomised runs random callers through random faults, several at once.
+// TestRandomised runs random callers under random, overlapping faults.
 func TestRandomised(t *testing.T) {
 	for i := range *seeds {
 		seed := *firstSeed + i
@@ -73,8 +73,9 @@
 	})
 }
 
-// timedKey returns a version 7 UUID of the bubble's clock. The library's own
-// generator never goes back in time, from one bubble to the next either.
+// newKey returns a version 7 UUID with the time of the bubble's clock. The generator of
+// the uuid package is monotonic for the whole process, so it would keep the time of an
+// earlier bubble.
 func newKey(random *rand.Rand) string {
 	var u uuid.UUID
 	for i := range u {
@@ -89,7 +90,7 @@
 	return u.String()
 }
 
-// randomFaults strikes again and again, also while earlier faults last.
+// randomFaults injects faults until ctx ends, also while earlier faults are active.
 func randomFaults(ctx context.Context, f *fleettest.Fleet, random *rand.Rand, sum *tally) {
 	var running sync.WaitGroup
 	for ctx.Err() == nil {
@@ -102,7 +103,7 @@
 		x := fleettest.Faults[random.IntN(len(fleettest.Faults))]
 		sum.faults++
 		if x.HitsCallerRouter {
-			x.Run(ctx, f) // one process is not crashed twice at once
+			x.Run(ctx, f) // a router must not be crashed twice at once
 			continue
 		}
 		running.Go(func() { x.Run(ctx, f) })
@@ -113,7 +114,7 @@
 func randomCaller(ctx context.Context, t *testing.T, f *fleettest.Fleet, random *rand.Rand, sum *tally) {
 	for ctx.Err() == nil {
 		c := call(random.IntN(2) == 0)
-		c.Router = 1 + random.IntN(2) // the first router crashes: its callers see nothing
+		c.Router = 1 + random.IntN(2) // the first router crashes, so its callers may get no answer
 		c.Account = []string{"solo", "other"}[random.IntN(2)]
 		c.Urgent = random.IntN(4) == 0
 		if random.IntN(3) == 0 {
@@ -132,8 +133,8 @@
 	}
 }
 
-// retryUnderKey makes a caller's own retry at another router; both together must
-// have run at most once.
+// retryUnderKey retries a request with its idempotency key, as a caller does, possibly
+// at another router. Both together must run at most once.
 func retryUnderKey(t *testing.T, f *fleettest.Fleet, c fleettest.Call, first fleettest.Answer, random *rand.Rand, sum *tally) {
 	c.Router = 1 + random.IntN(2)
 	second := f.Do(context.Background(), c)
@@ -148,7 +149,7 @@
 		}
 		runs += counts[first.ID] + counts[second.ID]
 	}
-	require.LessOrEqual(t, runs, 1, "a caller's retry under its key ran again")
+	require.LessOrEqual(t, runs, 1, "a retry with the same idempotency key ran again")
 	sum.mutex.Lock()
 	defer sum.mutex.Unlock()
 	sum.keyedRetries++
--- a/fleettest/stop_test.go
+++ b/fleettest/stop_test.go
@@ -13,7 +13,8 @@
 	"opalbridge.dev/fleettest"
 )
 
-// TestPlannedStopCutsOffNothing begins a planned stop at every step of a request.
+// TestPlannedStopCutsOffNothing begins a planned stop at every step of a request, which
+// must still complete.
 func TestPlannedStopCutsOffNothing(t *testing.T) {
 	stops := []struct {
 		name string
@@ -40,7 +41,7 @@
 						stopping <- stop.stop(f)
 					}()
 					a := f.Do(context.Background(), call(true))
-					require.Equal(t, attempt.Executed{Complete: true}, a.Outcome, "cut off by a planned stop")
+					require.Equal(t, attempt.Executed{Complete: true}, a.Outcome, "a planned stop cut off the request")
 					checkGuarantees(t, f, call(true), a)
 					if drained := <-stopping; drained != nil {
 						<-drained
@@ -51,15 +52,15 @@
 	}
 }
 
-// leavingBound is how long after an accepted change a server that is leaving may
-// still get new work; the change itself may take 18 s to reach a node that lost
-// touch (docs/operators/stops.md).
+// newWorkBound is the time after an accepted change within which a leaving server may
+// still get new work. The change itself may take 18 s to reach a node that was
+// disconnected (docs/operators/stops.md).
 const newWorkBound = 3 * time.Second
 
-// TestLeavingServerGetsNoNewWork keeps a fleet busy and marks a server leaving, or
-// stops its agent, and measures until when it got new work.
+// TestLeavingServerGetsNoNewWork marks a server of a busy fleet as leaving, or drains its
+// agent, and checks how long it still gets new work.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
-	ways := []struct {
+	methods := []struct {
 		name  string
 		leave func(*fleettest.Fleet)
 	}{
@@ -72,8 +73,8 @@
 		{"by its agent", func(f *fleettest.Fleet) { f.Agents[0].Node.Drain() }},
 		{"by the live list", func(f *fleettest.Fleet) { f.SetHostLeaving(f.Agents[0]) }},
 	}
-	for _, way := range ways {
-		t.Run(way.name, func(t *testing.T) {
+	for _, method := range methods {
+		t.Run(method.name, func(t *testing.T) {
 			bubbletest.Run(t, func(t *testing.T) {
 				f := matrixFleet(t)
 				ctx, cancel := context.WithCancel(context.Background())
@@ -86,15 +87,15 @@
 					}()
 				}
 				time.Sleep(5 * time.Second)
-				way.leave(f)
-				begun := time.Now()
+				method.leave(f)
+				start := time.Now()
 				last := time.Duration(0)
-				for runs := len(f.Agents[0].Model.Runs()); time.Since(begun) < 20*time.Second; time.Sleep(50 * time.Millisecond) {
+				for runs := len(f.Agents[0].Model.Runs()); time.Since(start) < 20*time.Second; time.Sleep(50 * time.Millisecond) {
 					if now := len(f.Agents[0].Model.Runs()); now > runs {
-						runs, last = now, time.Since(begun)
+						runs, last = now, time.Since(start)
 					}
 				}
-				t.Logf("figure last-new-work-after-leaving %q %.2f s", way.name, last.Seconds())
+				t.Logf("figure last-new-work-after-leaving %q %.2f s", method.name, last.Seconds())
 				cancel()
 				time.Sleep(time.Minute)
 				require.LessOrEqual(t, last, newWorkBound)
