--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -269,19 +269,19 @@
 	startControl := e.controlBytes()
 	startSent, startPayload := e.fleet.Network.SentBytes(), e.payloadTotal()
 	lastBusy, last := startBusy, time.Now()
-	begun := last
-	for time.Since(begun) < e.scenario.Duration {
+	startTime := last
+	for time.Since(startTime) < e.scenario.Duration {
 		time.Sleep(sampleInterval)
 		busy, now := e.busy(), time.Now()
 		gap, _ := e.serviceGap(start, e.service())
 		e.result.Gap = max(e.result.Gap, gap)
 		e.result.Samples = append(e.result.Samples, Sample{
-			At: now.Sub(begun), Gap: gap, Utilisation: (busy - lastBusy).Seconds() / now.Sub(last).Seconds() / e.slots(),
+			At: now.Sub(startTime), Gap: gap, Utilisation: (busy - lastBusy).Seconds() / now.Sub(last).Seconds() / e.slots(),
 		})
 		lastBusy, last = busy, now
 	}
 	end := e.service()
-	length := time.Since(begun)
+	length := time.Since(startTime)
 	e.result.Utilisation = (e.busy() - startBusy).Seconds() / length.Seconds() / e.slots()
 	_, mean := e.serviceGap(start, end)
 	e.result.RelativeGap = e.result.Gap / mean
--- a/fleettest/config_test.go
+++ b/fleettest/config_test.go
@@ -110,9 +110,9 @@
 	})
 }
 
-// TestServiceComesBackOlder restores the platform's service from a copy that lacks an accepted
+// TestServiceRestoredFromOlderCopy restores the platform's service from a copy that lacks an accepted
 // change. The change must stay in force and be rewritten, and the next change must follow it.
-func TestServiceComesBackOlder(t *testing.T) {
+func TestServiceRestoredFromOlderCopy(t *testing.T) {
 	bubbletest.Run(t, func(t *testing.T) {
 		f := matrixFleet(t)
 		stop := watchRevisions(t, f)
--- a/fleettest/fleet.go
+++ b/fleettest/fleet.go
@@ -92,7 +92,7 @@
 type Router struct {
 	Name, Hall string
 	Node       *router.Router
-	mutex      sync.Mutex // guards Node where faults strike while calls are made
+	mutex      sync.Mutex // guards Node against concurrent faults and calls
 	stop       context.CancelFunc
 	done       <-chan error
 }
@@ -101,7 +101,7 @@
 type Agent struct {
 	Name, Hall string
 	Node       *agent.Agent
-	mutex      sync.Mutex          // guards Node where faults strike while calls are made
+	mutex      sync.Mutex          // guards Node against concurrent faults and calls
 	Model      *enginetest.Model   // nil for a plain service
 	Service    *enginetest.Service // nil for a model
 	Server     engine.Server
--- a/fleettest/network.go
+++ b/fleettest/network.go
@@ -362,8 +362,8 @@
 		// A cut does not separate packets that were sent at the same instant. yamux holds
 		// a lock between a header and its body, and a goroutine blocked on a mutex stops
 		// the clock of a synctest bubble.
-		begun := len(s.packets) > 0 && s.packets[0].at.Equal(s.last)
-		if len(s.packets) > 0 && (!blocked || begun) {
+		sameInstant := len(s.packets) > 0 && s.packets[0].at.Equal(s.last)
+		if len(s.packets) > 0 && (!blocked || sameInstant) {
 			wait = time.Until(s.packets[0].at)
 			if wait <= 0 {
 				n := s.consume(p)
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -39,8 +39,8 @@
 	Restarts bool   // also restart servers with the same ID and write entries of other writers
 	Fatal    int    // fatal requests, each of which crashes every server that executes it and is sent repeatedly; at most one for each kind of route
 	Early    bool   // fatal requests start with the gateways, not after settleBefore
-	Copies   bool   // also restore the store from copies
-	Words    bool   // servers also announce in answers that they are leaving, and ask for backoff
+	Restores bool   // also restore the store from copies
+	Signals  bool   // servers also announce in answers that they are leaving, and ask for backoff
 }
 
 // Times of a run.
@@ -177,10 +177,10 @@
 	if r.options.Restarts {
 		faults = slices.Concat(baseFaults, restartFaults)
 	}
-	if r.options.Copies {
+	if r.options.Restores {
 		faults = slices.Concat(faults, restoreFaults, restoreFaults, restoreFaults)
 	}
-	if r.options.Words {
+	if r.options.Signals {
 		faults = slices.Concat(faults, signalFaults, signalFaults, signalFaults, signalFaults)
 	}
 	defer r.close()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -64,7 +64,7 @@
 	}
 	for n := range uint64(*seeds) {
 		t.Run(fmt.Sprintf("seed=%d", from+n), func(t *testing.T) {
-			play(t, binary, soak.Options{Seed: from + n, Restarts: *restarts, Fatal: *fatal, Early: *early, Words: *words, Copies: *copies})
+			play(t, binary, soak.Options{Seed: from + n, Restarts: *restarts, Fatal: *fatal, Early: *early, Signals: *words, Restores: *copies})
 		})
 	}
 }
@@ -90,14 +90,14 @@
 	play(t, build(t), soak.Options{Seed: 6000, Restarts: true, Fatal: 4})
 }
 
-// TestSoakWords runs a seed with servers that announce that they are leaving or ask for backoff.
-func TestSoakWords(t *testing.T) {
-	play(t, build(t), soak.Options{Seed: 7000, Restarts: true, Words: true})
+// TestSoakSignals runs a seed with servers that announce that they are leaving or ask for backoff.
+func TestSoakSignals(t *testing.T) {
+	play(t, build(t), soak.Options{Seed: 7000, Restarts: true, Signals: true})
 }
 
-// TestSoakCopies runs a seed with a store that is restored from copies.
-func TestSoakCopies(t *testing.T) {
-	play(t, build(t), soak.Options{Seed: 8000, Restarts: true, Copies: true})
+// TestSoakRestores runs a seed with a store that is restored from copies.
+func TestSoakRestores(t *testing.T) {
+	play(t, build(t), soak.Options{Seed: 8000, Restarts: true, Restores: true})
 }
 
 // TestSoakFatalEarly runs seeds that failed when requests that crash servers start together with
