--- a/experiment/plot.go
+++ b/experiment/plot.go
@@ -8,14 +8,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot's picture.
+// Size of a plot's image.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// Plot writes a picture of what the value function gives for each sample of some
-// runs, a line a run.
+// Plot writes an image of value applied to each sample, with one line for each run.
 func Plot(file, title, unit string, runs []*Result, value func(Sample) float64) error {
 	p := plot.New()
 	p.Title.Text = title
@@ -24,11 +23,11 @@
 	p.Legend.Top = true
 	var lines []any
 	for _, r := range runs {
-		points := make(plotter.XYs, len(r.Series))
-		for i, s := range r.Series {
+		points := make(plotter.XYs, len(r.Samples))
+		for i, s := range r.Samples {
 			points[i] = plotter.XY{X: s.At.Seconds(), Y: value(s)}
 		}
-		lines = append(lines, r.Scenario.Way.Name, points)
+		lines = append(lines, r.Scenario.Strategy.Name, points)
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
 		return errors.Wrapf(err, "experiment: plot %s", title)
