--- a/agent/peer.go
+++ b/agent/peer.go
@@ -18,7 +18,7 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// serveConn serves one router's connection until it ends.
+// serveConn serves a router's connection until it ends.
 func (a *Agent) serveConn(ctx context.Context, conn net.Conn) {
 	p, err := wire.Accept(ctx, conn, a.hello())
 	if err != nil {
@@ -26,62 +26,64 @@
 		return
 	}
 	a.control.Add(p)
-	a.tell(peerUp{peer: p})
+	a.send(peerConnected{peer: p})
 	streams := duty.NewGroup()
 	alive, end := context.WithCancel(ctx)
 	streams.Go(alive, "accept", func(ctx context.Context) { a.acceptStreams(ctx, p, streams) })
 	streams.Go(alive, "control", func(context.Context) {
 		defer end()
 		for m := range p.Control() {
-			a.takeControl(p, m)
+			a.handleControl(p, m)
 		}
 	})
-	streams.Collect(alive)
-	a.tell(peerDown{peer: p})
+	streams.Wait(alive)
+	a.send(peerDisconnected{peer: p})
 	a.control.Remove(p)
 	a.options.Log.Info().Str("router", p.Hello.Node).AnErr("reason", p.Reason()).Msg("router disconnected")
 }
 
-// takeControl handles one control message of a router.
-func (a *Agent) takeControl(p *wire.Peer, m *wirepb.Control) {
+// handleControl handles a control message from a router.
+func (a *Agent) handleControl(p *wire.Peer, m *wirepb.Control) {
 	if m.Revision > a.holder.Revision() && m.GetDocument() == nil {
-		p.Send(wire.Control(a.holder.Revision(), &wirepb.Control_DocumentRequest{DocumentRequest: &wirepb.DocumentRequest{}}))
+		p.Send(wire.NewControl(a.holder.Revision(), &wirepb.Control_DocumentRequest{DocumentRequest: &wirepb.DocumentRequest{}}))
 	}
 	switch b := m.Body.(type) {
 	case *wirepb.Control_Want:
-		a.tell(wantEvent{peer: p, key: a.keyOf(b.Want), count: int(b.Want.Count), estimate: float64(b.Want.Estimate)})
+		a.send(demandEvent{peer: p, class: a.classOf(b.Want), count: int(b.Want.Count), estimate: float64(b.Want.Estimate)})
 	case *wirepb.Control_Decline:
-		a.tell(declineEvent{peer: p, grant: b.Decline.Grant})
+		a.send(declineEvent{peer: p, grant: b.Decline.Grant})
 	case *wirepb.Control_Summing:
-		a.tell(summingEvent{peer: p, on: b.Summing.On})
+		a.send(summingEvent{peer: p, on: b.Summing.On})
 	case *wirepb.Control_Totals:
-		a.tell(totalsEvent{sequence: b.Totals.Sequence, totals: wire.Totals(b.Totals.Counters)})
+		a.send(totalsEvent{sequence: b.Totals.Sequence, totals: wire.DecodeTotals(b.Totals.Counters)})
 	case *wirepb.Control_Document:
-		a.offer(p, b.Document.Content)
+		a.offerDocument(p, b.Document.Content)
 	case *wirepb.Control_DocumentRequest:
 		a.sendDocument(p)
 	case *wirepb.Control_Ping:
-		p.Send(wire.Control(a.holder.Revision(), &wirepb.Control_Pong{Pong: &wirepb.Pong{Sent: b.Ping.Sent}}))
+		p.Send(wire.NewControl(a.holder.Revision(), &wirepb.Control_Pong{Pong: &wirepb.Pong{Sent: b.Ping.Sent}}))
 	case *wirepb.Control_Leaving:
-		a.tell(listEvent{peer: p, leaving: b.Leaving.On})
+		a.send(leavingEvent{peer: p, leaving: b.Leaving.On})
 	case *wirepb.Control_Pong:
-		a.tell(heardEvent{peer: p})
+		a.send(pongEvent{peer: p})
 	default:
 		p.Close(errUnexpected)
 	}
 }
 
-var errUnexpected = errors.New("agent: message that a router does not send")
+var errUnexpected = errors.New("agent: unexpected message from router")
 
-func (a *Agent) keyOf(w *wirepb.Want) dispatch.Key {
-	k := dispatch.Key{Account: fair.Account(w.Account), Pool: w.Pool, Urgent: w.Urgent}
+func (a *Agent) classOf(w *wirepb.Want) dispatch.Class {
+	k := dispatch.Class{Account: fair.Account(w.Account), Pool: w.Pool, Urgent: w.Urgent}
 	if w.Pinned {
 		k.Server = a.options.Name
 	}
 	return k
 }
 
-func (a *Agent) offer(p *wire.Peer, content []byte) {
+// offerDocument applies a configuration received from a router if it is newer than
+// the one in use.
+func (a *Agent) offerDocument(p *wire.Peer, content []byte) {
 	d, err := config.Decode(content)
 	if err != nil {
 		p.Close(err)
@@ -91,7 +93,7 @@
 		return
 	}
 	a.options.Log.Info().Uint64("revision", d.Revision).Msg("configuration in force")
-	a.tell(configEvent{})
+	a.send(configEvent{})
 }
 
 func (a *Agent) sendDocument(p *wire.Peer) {
@@ -104,7 +106,7 @@
 		a.options.Log.Error().Err(err).Msg("configuration not sent")
 		return
 	}
-	p.Send(wire.Control(d.Revision, &wirepb.Control_Document{Document: &wirepb.Document{Content: content}}))
+	p.Send(wire.NewControl(d.Revision, &wirepb.Control_Document{Document: &wirepb.Document{Content: content}}))
 }
 
 func (a *Agent) acceptStreams(ctx context.Context, p *wire.Peer, streams *duty.Group) {
@@ -118,13 +120,13 @@
 	}
 }
 
-// firstMessageTime is how long a stream may stay without its call.
-const firstMessageTime = 10 * time.Second
+// firstMessageTimeout is how long a new stream may stay without a call.
+const firstMessageTimeout = 10 * time.Second
 
 func (a *Agent) serveStream(ctx context.Context, p *wire.Peer, s *wire.Stream) {
 	defer s.Close()
-	wait, cancel := context.WithTimeout(ctx, firstMessageTime)
-	release := s.Shut(wait)
+	readCtx, cancel := context.WithTimeout(ctx, firstMessageTimeout)
+	release := s.CloseWhenDone(readCtx)
 	var c wirepb.Call
 	err := s.Read(&c)
 	release()
@@ -155,7 +157,7 @@
 		return
 	}
 	reply := make(chan bool, 1)
-	if !a.tell(revokeEvent{id: attempt.ID{Request: r.Request, Attempt: r.Attempt}, reply: reply}) {
+	if !a.send(revokeEvent{id: attempt.ID{Request: r.Request, Attempt: r.Attempt}, reply: reply}) {
 		return
 	}
 	revoked, ok := await(a, reply)
@@ -170,15 +172,15 @@
 	_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_Started{Started: &wirepb.Started{}}})
 }
 
-// await waits for the admission duty's answer; it reports false when that has
+// await waits for a reply of the admission loop. It reports false if the loop has
 // ended.
 func await[T any](a *Agent, reply <-chan T) (T, bool) {
 	select {
 	case v := <-reply:
 		return v, true
 	case <-a.stopped:
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 }
 
@@ -194,12 +196,12 @@
 	switch {
 	case r.Status:
 		reply := make(chan *wirepb.NodeStatus, 1)
-		a.tell(statusEvent{reply: reply})
+		a.send(statusEvent{reply: reply})
 		list.Status, _ = await(a, reply)
 	case r.Request != "":
-		list.Records = wire.Records(a.options.Records.Request(r.Request))
+		list.Records = wire.EncodeEvents(a.options.Records.Request(r.Request))
 	default:
-		list.Records = wire.Records(a.options.Records.Account(r.Account))
+		list.Records = wire.EncodeEvents(a.options.Records.Account(r.Account))
 	}
 	_ = s.Write(&wirepb.Piece{Body: &wirepb.Piece_RecordList{RecordList: list}})
 }
--- a/agent/start.go
+++ b/agent/start.go
@@ -10,8 +10,8 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// start decides whether an attempt may run.
-func (d *admission) start(e startEvent) admitted {
+// start decides whether an attempt may run, and reserves a slot for it.
+func (d *admission) start(e startEvent) startResult {
 	s := e.start
 	id := attempt.ID{Request: s.Request, Attempt: s.Attempt}
 	if s.Incarnation != d.agent.incarnation {
@@ -26,62 +26,64 @@
 		return refuse("this server is leaving", true)
 	}
 	switch b := d.registry.Begin(id, now()).(type) {
-	case attempt.Fresh:
+	case attempt.Started:
 	case attempt.Revoked:
 		return refuse("the attempt was revoked", false)
-	case attempt.Seen:
-		return admitted{unknown: "the attempt was sent twice"}
-	case attempt.Full:
+	case attempt.AlreadyBegun:
+		return startResult{unknownReason: "the attempt was sent twice"}
+	case attempt.RegistryFull:
 		return refuse("this agent remembers too many attempts", true)
 	default:
 		panic(fmt.Sprintf("agent: unknown answer %T", b))
 	}
-	reserved, ok := d.place(s)
+	reserved, ok := d.reserveSlot(s)
 	if !ok {
-		d.registry.NotRun(id, now())
+		d.registry.MarkNotExecuted(id, now())
 		return refuse("this server is full", true)
 	}
-	if a, stop := d.claim(s); stop {
-		d.desk.Done()
-		d.book.Release(fair.Account(s.AccountId), reserved)
-		d.registry.NotRun(id, now())
+	if a, stop := d.claimKey(s); stop {
+		d.scheduler.Done()
+		d.tracker.Release(fair.Account(s.AccountId), reserved)
+		d.registry.MarkNotExecuted(id, now())
 		return a
 	}
-	d.largest = math.Max(d.largest, reserved)
-	return admitted{reserved: reserved, standing: d.book.Standing(fair.Account(s.AccountId))}
+	d.largestReservation = math.Max(d.largestReservation, reserved)
+	return startResult{reserved: reserved, virtualTime: d.tracker.VirtualTime(fair.Account(s.AccountId))}
 }
 
-func refuse(reason string, busy bool) admitted {
-	return admitted{refused: &wirepb.NotRun{Reason: reason, Busy: busy}}
+func refuse(reason string, busy bool) startResult {
+	return startResult{refused: &wirepb.NotRun{Reason: reason, Busy: busy}}
 }
 
-// place takes the granted place, or a free one when nobody waits.
-func (d *admission) place(s *wirepb.Start) (reserved float64, ok bool) {
-	delete(d.granted, s.Grant)
-	if g, granted := d.desk.Use(s.Grant); granted {
-		d.book.Release(g.Key.Account, g.Estimate)
-		d.book.Reserve(fair.Account(s.AccountId), float64(s.Estimate))
+// reserveSlot takes the granted slot, or a free one if no request waits, and reserves
+// the estimated cost.
+func (d *admission) reserveSlot(s *wirepb.Start) (reserved float64, ok bool) {
+	delete(d.grantedAt, s.Grant)
+	if g, granted := d.scheduler.StartGranted(s.Grant); granted {
+		d.tracker.Release(g.Class.Account, g.Estimate)
+		d.tracker.Reserve(fair.Account(s.AccountId), float64(s.Estimate))
 		return float64(s.Estimate), true
 	}
-	if !d.desk.Take() {
+	if !d.scheduler.TryStart() {
 		return 0, false
 	}
-	d.book.Reserve(fair.Account(s.AccountId), float64(s.Estimate))
+	d.tracker.Reserve(fair.Account(s.AccountId), float64(s.Estimate))
 	return float64(s.Estimate), true
 }
 
-// claim settles the caller's idempotency key, if there is one.
-func (d *admission) claim(s *wirepb.Start) (admitted, bool) {
+// claimKey claims the caller's idempotency key, if there is one. It reports true if
+// the attempt must not run, with the result to return.
+func (d *admission) claimKey(s *wirepb.Start) (startResult, bool) {
 	if s.IdempotencyKey == "" {
-		return admitted{}, false
+		return startResult{}, false
 	}
 	id := attempt.KeyID{Account: s.AccountId, Key: s.IdempotencyKey}
 	switch c := d.keys.Claim(id, s.Request, s.Attempt, now()).(type) {
-	case attempt.First:
-		return admitted{}, false
-	case attempt.Repeat:
-		return admitted{repeat: &c}, true
-	case attempt.CannotTell:
+	case attempt.NewKey:
+		return startResult{}, false
+	case attempt.Duplicate:
+		return startResult{duplicate: &c}, true
+	case attempt.Indeterminate:
 		a := refuse("it cannot be told whether this idempotency key was used before", false)
 		a.refused.RetryAfterMs = max(c.RetryAfter, time.Second).Milliseconds()
 		return a, true
@@ -90,34 +92,36 @@
 	}
 }
 
+// done releases the slot and the remaining reservation of an attempt, and records its
+// outcome.
 func (d *admission) done(e doneEvent) {
-	d.desk.Done()
+	d.scheduler.Done()
 	s := e.start
 	id := attempt.ID{Request: s.Request, Attempt: s.Attempt}
 	key := attempt.KeyID{Account: s.AccountId, Key: s.IdempotencyKey}
-	d.book.Release(fair.Account(s.AccountId), e.reserved)
+	d.tracker.Release(fair.Account(s.AccountId), e.reserved)
 	switch o := e.outcome.(type) {
-	case attempt.NotRun:
-		d.registry.NotRun(id, now())
+	case attempt.NotExecuted:
+		d.registry.MarkNotExecuted(id, now())
 		d.keys.Release(key, s.Request)
-	case attempt.Ran:
+	case attempt.Executed:
 		d.registry.End(id, now())
-		d.keys.Settle(key, s.Request, false)
+		d.keys.RecordOutcome(key, s.Request, false)
 	case attempt.Unknown:
 		d.registry.End(id, now())
-		d.keys.Settle(key, s.Request, true)
+		d.keys.RecordOutcome(key, s.Request, true)
 	default:
 		panic(fmt.Sprintf("agent: unknown outcome %T", o))
 	}
 	before := d.limit.Health()
-	switch e.verdict {
+	switch e.healthSignal {
 	case served:
 		d.limit.Success()
 	case failed:
 		d.limit.Failure()
-	case noVerdict:
+	case noSignal:
 	}
-	d.healthChanged(before)
+	d.reportHealthChange(before)
 	d.applyLimit()
 	d.checkDrained()
 }
--- a/agent/status.go
+++ b/agent/status.go
@@ -10,50 +10,50 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// pace measures how fast the fleet serves, from the totals that come in.
-type pace struct {
+// rateEstimator estimates the fleet's service rate from the totals received.
+type rateEstimator struct {
 	served float64
 	at     time.Time
-	rate   float64 // weighted tokens a second, the highest of late
+	rate   float64 // weighted tokens per second: a decaying maximum
 }
 
-// ratePart is how much of an earlier, higher rate is kept each second.
-const ratePart = 0.98
+// rateDecay is the factor by which an earlier, higher rate shrinks each second.
+const rateDecay = 0.98
 
-func (p *pace) observe(served float64, at time.Time) {
+func (p *rateEstimator) observe(served float64, at time.Time) {
 	if !p.at.IsZero() && at.After(p.at) && served >= p.served {
 		rate := (served - p.served) / at.Sub(p.at).Seconds()
-		p.rate = max(rate, p.rate*ratePart)
+		p.rate = max(rate, p.rate*rateDecay)
 	}
 	p.served, p.at = served, at
 }
 
-// bound returns the gap between accounts that wait here and the bound it must
-// keep, both in service.
+// bound returns the largest gap between the accounts that wait here and the bound
+// that it must not exceed, both in weighted service.
 func (d *admission) bound() (gap, bound float64) {
-	gap, waiting := d.book.Gap()
+	gap, waiting := d.tracker.Gap()
 	if waiting < 2 {
 		return 0, 0
 	}
-	reach, share := d.book.Waits()
+	reach, share := d.tracker.BoundInputs()
 	age := 2 * d.agent.options.Interval
-	if !d.merged.IsZero() {
-		age += now().Sub(d.merged)
+	if !d.totalsMergedAt.IsZero() {
+		age += now().Sub(d.totalsMergedAt)
 	}
-	b := fair.Bound{
-		Largest:    d.largest,
-		Slots:      reach,
-		Rate:       d.pace.rate,
-		Age:        age.Seconds(),
-		Credit:     float64(d.agent.holder.Current().Limits.WithDefaults().UrgentCredit),
-		LeastShare: share,
+	b := fair.GapBound{
+		MaxCost:      d.largestReservation,
+		Slots:        reach,
+		ServiceRate:  d.serviceRate.rate,
+		TotalsAge:    age.Seconds(),
+		UrgentCredit: float64(d.agent.holder.Current().Limits.WithDefaults().UrgentCredit),
+		MinShare:     share,
 	}
 	return gap, b.Value()
 }
 
-// checkBound asserts the fairness bound; a violation is recorded and counted.
+// checkBound checks the fairness bound; a violation is recorded and counted.
 func (d *admission) checkBound() {
-	d.pace.observe(d.book.Served(), now())
+	d.serviceRate.observe(d.tracker.TotalServed(), now())
 	gap, bound := d.bound()
 	if gap <= bound {
 		return
@@ -63,32 +63,32 @@
 		Kind: explain.Degrade,
 		Text: fmt.Sprintf("the gap of %.0f between waiting accounts is above the bound of %.0f", gap, bound),
 	})
-	d.agent.options.Log.Error().Float64("gap", gap).Float64("bound", bound).Msg("fairness bound broken")
+	d.agent.options.Log.Error().Float64("gap", gap).Float64("bound", bound).Msg("fairness bound exceeded")
 }
 
 func (d *admission) status() *wirepb.NodeStatus {
 	gap, bound := d.bound()
-	_, totals := d.book.Peek()
+	_, totals := d.tracker.Snapshot()
 	s := &wirepb.NodeStatus{
 		Node:         d.agent.options.Name,
 		Role:         "agent",
 		Hall:         d.agent.options.Hall,
 		Incarnation:  d.agent.incarnation,
 		Revision:     d.agent.holder.Revision(),
-		Running:      uint32(d.desk.Running()),
-		Limit:        uint32(d.desk.Limit()),
-		Waiting:      uint32(d.desk.Waiting()),
+		Running:      uint32(d.scheduler.Running()),
+		Limit:        uint32(d.scheduler.Limit()),
+		Waiting:      uint32(d.scheduler.Waiting()),
 		Gap:          gap,
 		Bound:        bound,
 		ControlBytes: d.agent.ControlBytes(),
-		UpMs:         now().Sub(d.agent.begun).Milliseconds(),
+		UpMs:         now().Sub(d.agent.startedAt).Milliseconds(),
 		Violations:   uint32(d.agent.Violations()),
 	}
 	for _, t := range totals {
-		s.Counters = append(s.Counters, &wirepb.Counter{Account: uint32(t.Account), Service: uint64(max(0, t.Service)), Reach: uint32(t.Reach)})
+		s.Counters = append(s.Counters, &wirepb.Counter{Account: uint32(t.Account), Service: uint64(max(0, t.Service)), Reach: uint32(t.Slots)})
 	}
-	for what, at := range d.since {
-		s.Degraded = append(s.Degraded, fmt.Sprintf("%s: %s since %s", what, d.limit.Health(), at.UTC().Format(time.RFC3339)))
+	for component, at := range d.degradedSince {
+		s.Degraded = append(s.Degraded, fmt.Sprintf("%s: %s since %s", component, d.limit.Health(), at.UTC().Format(time.RFC3339)))
 	}
 	if d.leaving {
 		s.Degraded = append(s.Degraded, "leaving")
--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -1,19 +1,24 @@
-// Package attempt keeps the promise that a request marked not repeatable runs at
-// most once, and that one called not run did not run.
+// Package attempt implements at-most-once execution. A request that is not
+// retryable runs at most once, and a request reported as not executed has not run
+// and will not run.
 //
 // Every try of a request is an attempt, sent to one incarnation of one agent. The
-// router follows it with a [Life]; the agent remembers it in a [Registry], so that
-// an attempt that the router lost sight of can be revoked or found.
+// router tracks the request with a [Lifecycle]. The agent records the attempt in a
+// [Registry], so that a router which lost the connection can revoke the attempt or
+// learn that it has begun. A [KeyStore] detects repeated idempotency keys.
 //
 // # Usage
 //
-//	l := attempt.NewLife(repeatable)
+//	l := attempt.NewLifecycle(retryable)
 //	l.Fire(attempt.Send)
-//	next := l.Fire(attempt.Lose)       // Ask: revoke it before anything else
-//	next = l.Fire(attempt.Revoke)      // Again: it never ran
-//	next = l.Fire(attempt.Vanish)      // Finish{Unknown}, or Again if repeatable
+//	action := l.Fire(attempt.Disconnect)    // RequestRevoke: before anything else
+//	action = l.Fire(attempt.ConfirmRevoked) // Retry: it never ran
 //
-// The package does no I/O; it says what may be done next.
+// If the agent's incarnation is gone instead of confirming:
+//
+//	action = l.Fire(attempt.AgentGone) // Done with Unknown, or Retry if retryable
+//
+// The package does no I/O; it decides what may be done next.
 package attempt
 
 import (
@@ -24,258 +29,262 @@
 	"github.com/qmuntal/stateless"
 )
 
-// Outcome is what became of a request: [NotRun], [Ran] or [Unknown].
+// Outcome is the result of a request: [NotExecuted], [Executed] or [Unknown].
 type Outcome interface{ outcome() }
 
-// Cause tells apart why a request did not get its whole answer.
+// Cause classifies why a request did not get a complete response.
 type Cause string
 
 // The causes.
 const (
-	Refused    Cause = "refused"     // by the agent, for good
-	TooMany    Cause = "too many"    // the account has its full number waiting
-	Deadline   Cause = "deadline"    // it passed, or would
-	CallerLeft Cause = "caller left" // while it waited
-	Stopping   Cause = "stopping"    // the router is
-	Failing    Cause = "failing"     // several attempts did not run
-	Untold     Cause = "untold"      // an idempotency key cannot be told to be new
-	Broken     Cause = "broken"      // a server, agent or connection broke
+	Refused          Cause = "refused"     // rejected by the agent; not to be retried
+	QueueFull        Cause = "too many"    // the account has reached its limit of waiting requests
+	Deadline         Cause = "deadline"    // it passed or would pass before the request ends
+	CallerClosed     Cause = "caller left" // the caller closed the connection
+	ShuttingDown     Cause = "stopping"    // the router is shutting down
+	AttemptsFailed   Cause = "failing"     // several attempts were not executed
+	KeyIndeterminate Cause = "untold"      // an idempotency key cannot be proven to be new
+	Interrupted      Cause = "broken"      // a server, an agent or a connection failed
 )
 
-// NotRun says that the request did not run and will not.
-type NotRun struct {
+// NotExecuted means that the request did not run and will not run.
+type NotExecuted struct {
 	Cause      Cause
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// Ran says that the request ran, and whether its whole answer arrived.
-type Ran struct {
+// Executed means that the request ran; Complete reports whether its whole response
+// arrived.
+type Executed struct {
 	Complete bool
-	Cause    Cause // of an answer that is not complete
+	Cause    Cause // of an incomplete response
 	Reason   string
 }
 
-// Unknown says that it cannot be known whether the request ran.
+// Unknown means that it cannot be determined whether the request ran.
 type Unknown struct {
 	Cause  Cause
 	Reason string
 }
 
-func (NotRun) outcome()  {}
-func (Ran) outcome()     {}
-func (Unknown) outcome() {}
+func (NotExecuted) outcome() {}
+func (Executed) outcome()    {}
+func (Unknown) outcome()     {}
 
-// State is where a request is in its life at the router.
+// State is the state of a request at the router.
 type State string
 
 // The states.
 const (
-	Waiting   State = "waiting"   // no attempt is under way
-	Sent      State = "sent"      // an attempt is on its way, its fate open
-	Admitted  State = "admitted"  // the agent has begun it
-	Answering State = "answering" // a part of its answer went to the caller
-	Lost      State = "lost"      // the connection broke before the agent's word
-	Severed   State = "severed"   // the connection broke after the agent began it
-	Ended     State = "ended"
+	Waiting             State = "waiting"   // no attempt is in progress
+	Sent                State = "sent"      // an attempt was sent; whether it has begun is not known
+	Admitted            State = "admitted"  // the agent has begun the attempt
+	Responding          State = "answering" // part of the response went to the caller
+	SentDisconnected    State = "lost"      // the connection broke before the agent replied
+	StartedDisconnected State = "severed"   // the connection broke after the agent had begun the attempt
+	Ended               State = "ended"
 )
 
-// Event is what happened to a request.
+// Event is an input to the state machine of a request.
 type Event string
 
 // The events.
 const (
-	Send    Event = "send"    // an attempt is sent
-	Admit   Event = "admit"   // the agent says it has begun
-	Decline Event = "decline" // the agent says not run
-	Answer  Event = "answer"  // a part of the answer goes to the caller
-	Lose    Event = "lose"    // the connection broke
-	Revoke  Event = "revoke"  // the agent says revoked, will never run
-	Found   Event = "found"   // the agent says started
-	Vanish  Event = "vanish"  // that incarnation is gone or cannot tell
-	Resume  Event = "resume"  // the answer goes on over another connection
-	Finish  Event = "finish"  // the whole answer has passed
-	Cut     Event = "cut"     // the answer ended before its end
-	GiveUp  Event = "give up" // deadline or caller gone while nothing runs
+	Send           Event = "send"    // an attempt is sent
+	Admit          Event = "admit"   // the agent has begun the attempt
+	Decline        Event = "decline" // the agent has not executed the attempt
+	Respond        Event = "answer"  // part of the response goes to the caller
+	Disconnect     Event = "lose"    // the connection to the agent broke
+	ConfirmRevoked Event = "revoke"  // the agent has revoked the attempt: it will never run
+	ConfirmStarted Event = "found"   // the agent has already begun the attempt
+	AgentGone      Event = "vanish"  // that incarnation of the agent is gone or does not know the attempt
+	Resume         Event = "resume"  // the response continues over another connection
+	Finish         Event = "finish"  // the whole response was forwarded
+	Truncate       Event = "cut"     // the response ended early
+	Abandon        Event = "give up" // the deadline passed or the caller left while no attempt runs
 )
 
-// Next is what the router may do after an event: [Proceed], [Ask], [Again],
-// [Rejoin] or [Stop].
-type Next interface{ next() }
+// Action is what the router may do after an event: [Continue], [RequestRevoke],
+// [Retry], [Reattach] or [Done].
+type Action interface{ action() }
 
-// Proceed says to go on as before.
-type Proceed struct{}
+// Continue means that nothing changes.
+type Continue struct{}
 
-// Ask says to ask the same incarnation to revoke the attempt.
-type Ask struct{}
+// RequestRevoke means that the same incarnation must be asked to revoke the attempt.
+type RequestRevoke struct{}
 
-// Again says that another attempt may be made.
-type Again struct{}
+// Retry means that another attempt may be made.
+type Retry struct{}
 
-// Rejoin says to resume the answer from the same incarnation.
-type Rejoin struct{}
+// Reattach means that the response must be resumed from the same incarnation.
+type Reattach struct{}
 
-// Stop says that the request has ended.
-type Stop struct{ Outcome Outcome }
+// Done means that the request has ended.
+type Done struct{ Outcome Outcome }
 
-func (Proceed) next() {}
-func (Ask) next()     {}
-func (Again) next()   {}
-func (Rejoin) next()  {}
-func (Stop) next()    {}
+func (Continue) action()      {}
+func (RequestRevoke) action() {}
+func (Retry) action()         {}
+func (Reattach) action()      {}
+func (Done) action()          {}
 
-// Life follows one request at a router. It is for one goroutine.
-type Life struct {
+// Lifecycle is the state machine of one request at a router. It is not safe for
+// concurrent use.
+type Lifecycle struct {
 	state      State
 	attempts   uint32
-	repeatable bool
-	passed     bool // a part of an answer went to the caller
-	uncertain  bool // an earlier attempt may have run
-	next       Next
+	retryable  bool
+	responded  bool // part of a response went to the caller
+	mayHaveRun bool // an earlier attempt may have run
+	action     Action
 }
 
-// NewLife returns the life of a request that waits.
-func NewLife(repeatable bool) *Life {
-	return &Life{state: Waiting, repeatable: repeatable}
+// NewLifecycle returns the lifecycle of a request in state Waiting.
+func NewLifecycle(retryable bool) *Lifecycle {
+	return &Lifecycle{state: Waiting, retryable: retryable}
 }
 
-// State returns where the request is.
-func (l *Life) State() State { return l.state }
+// State returns the state of the request.
+func (l *Lifecycle) State() State { return l.state }
 
-// Attempts returns how many attempts were sent.
-func (l *Life) Attempts() uint32 { return l.attempts }
+// Attempts returns the number of attempts sent.
+func (l *Lifecycle) Attempts() uint32 { return l.attempts }
 
-// Fire tells the life of an event and returns what may be done next. An event
-// that cannot happen in the present state is a broken invariant.
-func (l *Life) Fire(e Event) Next {
-	l.next = Proceed{}
-	ctx := context.WithValue(context.Background(), lifeKey{}, l)
+// Fire applies an event and returns what may be done next. It panics if the event is
+// not possible in the current state, which is a violated invariant.
+func (l *Lifecycle) Fire(e Event) Action {
+	l.action = Continue{}
+	ctx := context.WithValue(context.Background(), lifecycleKey{}, l)
 	if err := machine.FireCtx(ctx, e); err != nil {
-		panic(errors.NewAssertionErrorWithWrappedErrf(err, "attempt: %s while %s", e, l.state))
+		panic(errors.NewAssertionErrorWithWrappedErrf(err, "attempt: event %q is not possible in state %q", e, l.state))
 	}
-	return l.next
+	return l.action
 }
 
-type lifeKey struct{}
+type lifecycleKey struct{}
 
-func lifeOf(ctx context.Context) *Life { return ctx.Value(lifeKey{}).(*Life) }
+func lifecycleFrom(ctx context.Context) *Lifecycle { return ctx.Value(lifecycleKey{}).(*Lifecycle) }
 
-// machine holds the transitions for all lives; each life's state is kept in the
-// life itself, which travels in the context.
+// machine holds the transitions of all lifecycles. The state is kept in the
+// Lifecycle, which is passed in the context.
 var machine = newMachine()
 
 func newMachine() *stateless.StateMachine {
 	m := stateless.NewStateMachineWithExternalStorage(readState, writeState, stateless.FiringImmediate)
 	m.Configure(Waiting).
-		OnEntryFrom(Decline, decide(Again{})).
-		OnEntryFrom(Revoke, decide(Again{})).
-		OnEntryFrom(Vanish, doubt).
+		OnEntryFrom(Decline, setAction(Retry{})).
+		OnEntryFrom(ConfirmRevoked, setAction(Retry{})).
+		OnEntryFrom(AgentGone, retryUncertain).
 		Permit(Send, Sent).
-		Permit(GiveUp, Ended)
+		Permit(Abandon, Ended)
 	m.Configure(Sent).
-		OnEntryFrom(Send, count).
+		OnEntryFrom(Send, countAttempt).
 		Permit(Admit, Admitted).
 		Permit(Decline, Waiting).
-		Permit(Lose, Lost)
-	m.Configure(Lost).
-		OnEntry(decide(Ask{})).
-		Permit(Revoke, Waiting).
-		Permit(Found, Severed).
-		Permit(Vanish, Waiting, mayRepeat).
-		Permit(Vanish, Ended, mayNotRepeat)
+		Permit(Disconnect, SentDisconnected)
+	m.Configure(SentDisconnected).
+		OnEntry(setAction(RequestRevoke{})).
+		Permit(ConfirmRevoked, Waiting).
+		Permit(ConfirmStarted, StartedDisconnected).
+		Permit(AgentGone, Waiting, canRetry).
+		Permit(AgentGone, Ended, cannotRetry)
 	m.Configure(Admitted).
-		Permit(Decline, Waiting, nothingPassed).
-		Permit(Answer, Answering).
-		Permit(Lose, Severed).
-		Permit(Vanish, Waiting, mayRepeat).
-		Permit(Vanish, Ended, mayNotRepeat).
+		Permit(Decline, Waiting, notResponded).
+		Permit(Respond, Responding).
+		Permit(Disconnect, StartedDisconnected).
+		Permit(AgentGone, Waiting, canRetry).
+		Permit(AgentGone, Ended, cannotRetry).
 		Permit(Finish, Ended).
-		Permit(Cut, Ended)
-	m.Configure(Answering).
-		OnEntryFrom(Answer, pass).
-		PermitReentry(Answer).
-		Permit(Lose, Severed).
-		Permit(Vanish, Ended).
+		Permit(Truncate, Ended)
+	m.Configure(Responding).
+		OnEntryFrom(Respond, markResponded).
+		PermitReentry(Respond).
+		Permit(Disconnect, StartedDisconnected).
+		Permit(AgentGone, Ended).
 		Permit(Finish, Ended).
-		Permit(Cut, Ended)
-	m.Configure(Severed).
-		OnEntry(decide(Rejoin{})).
-		Permit(Resume, Answering, somethingPassed).
-		Permit(Resume, Admitted, nothingPassed).
-		Permit(Decline, Waiting, nothingPassed).
-		Permit(Vanish, Waiting, mayRepeat).
-		Permit(Vanish, Ended, mayNotRepeat).
-		Permit(Cut, Ended)
+		Permit(Truncate, Ended)
+	m.Configure(StartedDisconnected).
+		OnEntry(setAction(Reattach{})).
+		Permit(Resume, Responding, hasResponded).
+		Permit(Resume, Admitted, notResponded).
+		Permit(Decline, Waiting, notResponded).
+		Permit(AgentGone, Waiting, canRetry).
+		Permit(AgentGone, Ended, cannotRetry).
+		Permit(Truncate, Ended)
 	m.Configure(Ended).
-		OnEntryFrom(Finish, decide(Stop{Outcome: Ran{Complete: true}})).
-		OnEntryFrom(Cut, decide(Stop{Outcome: Ran{Cause: Broken, Reason: "the answer was cut"}})).
-		OnEntryFrom(GiveUp, gaveUp).
-		OnEntryFrom(Vanish, vanished)
+		OnEntryFrom(Finish, setAction(Done{Outcome: Executed{Complete: true}})).
+		OnEntryFrom(Truncate, setAction(Done{Outcome: Executed{Cause: Interrupted, Reason: "the answer was cut"}})).
+		OnEntryFrom(Abandon, abandonRequest).
+		OnEntryFrom(AgentGone, handleAgentGone)
 	return m
 }
 
-func readState(ctx context.Context) (stateless.State, error) { return lifeOf(ctx).state, nil }
+// readState and writeState store the state of the machine in the Lifecycle.
+func readState(ctx context.Context) (stateless.State, error) { return lifecycleFrom(ctx).state, nil }
 
 func writeState(ctx context.Context, s stateless.State) error {
-	lifeOf(ctx).state = s.(State)
+	lifecycleFrom(ctx).state = s.(State)
 	return nil
 }
 
-func decide(n Next) stateless.ActionFunc {
+func setAction(a Action) stateless.ActionFunc {
 	return func(ctx context.Context, _ ...any) error {
-		lifeOf(ctx).next = n
+		lifecycleFrom(ctx).action = a
 		return nil
 	}
 }
 
-func count(ctx context.Context, _ ...any) error {
-	lifeOf(ctx).attempts++
+func countAttempt(ctx context.Context, _ ...any) error {
+	lifecycleFrom(ctx).attempts++
 	return nil
 }
 
-func pass(ctx context.Context, _ ...any) error {
-	lifeOf(ctx).passed = true
+func markResponded(ctx context.Context, _ ...any) error {
+	lifecycleFrom(ctx).responded = true
 	return nil
 }
 
-// doubt lets a repeatable request be tried again, and remembers that it may have
-// run: it can never be called not run any more.
-func doubt(ctx context.Context, _ ...any) error {
-	l := lifeOf(ctx)
-	l.uncertain = true
-	l.next = Again{}
+// retryUncertain allows a retry and records that an earlier attempt may have run, so
+// that the request is never reported as not executed.
+func retryUncertain(ctx context.Context, _ ...any) error {
+	l := lifecycleFrom(ctx)
+	l.mayHaveRun = true
+	l.action = Retry{}
 	return nil
 }
 
-func gaveUp(ctx context.Context, _ ...any) error {
-	l := lifeOf(ctx)
-	if l.uncertain {
-		l.next = Stop{Outcome: Unknown{Cause: Broken, Reason: "an earlier attempt may have run"}}
+// abandonRequest ends a request for which no attempt runs.
+func abandonRequest(ctx context.Context, _ ...any) error {
+	l := lifecycleFrom(ctx)
+	if l.mayHaveRun {
+		l.action = Done{Outcome: Unknown{Cause: Interrupted, Reason: "an earlier attempt may have run"}}
 		return nil
 	}
-	l.next = Stop{Outcome: NotRun{}}
+	l.action = Done{Outcome: NotExecuted{}}
 	return nil
 }
 
-// vanished ends a request whose agent incarnation is gone. What has partly been
-// passed on did run; what has not may have.
-func vanished(ctx context.Context, _ ...any) error {
-	l := lifeOf(ctx)
-	if l.passed {
-		l.next = Stop{Outcome: Ran{Cause: Broken, Reason: "the answer was cut: its agent is gone"}}
+// handleAgentGone ends a request whose agent incarnation is gone. If part of the
+// response was forwarded, the request did run; otherwise it may have run.
+func handleAgentGone(ctx context.Context, _ ...any) error {
+	l := lifecycleFrom(ctx)
+	if l.responded {
+		l.action = Done{Outcome: Executed{Cause: Interrupted, Reason: "the answer was cut: its agent is gone"}}
 		return nil
 	}
-	l.next = Stop{Outcome: Unknown{Cause: Broken, Reason: "the agent that had it is gone"}}
+	l.action = Done{Outcome: Unknown{Cause: Interrupted, Reason: "the agent that had it is gone"}}
 	return nil
 }
 
-func mayRepeat(ctx context.Context, _ ...any) bool {
-	l := lifeOf(ctx)
-	return l.repeatable && !l.passed
+func canRetry(ctx context.Context, _ ...any) bool {
+	l := lifecycleFrom(ctx)
+	return l.retryable && !l.responded
 }
 
-func mayNotRepeat(ctx context.Context, a ...any) bool { return !mayRepeat(ctx, a...) }
+func cannotRetry(ctx context.Context, args ...any) bool { return !canRetry(ctx, args...) }
 
-func nothingPassed(ctx context.Context, _ ...any) bool { return !lifeOf(ctx).passed }
+func notResponded(ctx context.Context, _ ...any) bool { return !lifecycleFrom(ctx).responded }
 
-func somethingPassed(ctx context.Context, _ ...any) bool { return lifeOf(ctx).passed }
+func hasResponded(ctx context.Context, _ ...any) bool { return lifecycleFrom(ctx).responded }
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -26,8 +26,8 @@
 )
 
 var (
-	measure = flag.Bool("measure", false, "measure the slopes anew and write figures.json")
-	update  = flag.Bool("update", false, "write the generated part of docs/CAPACITY.md anew")
+	measure = flag.Bool("measure", false, "measure the slopes and write figures.json")
+	update  = flag.Bool("update", false, "rewrite the generated part of docs/CAPACITY.md")
 )
 
 const (
@@ -37,38 +37,39 @@
 	end         = "<!-- end of the generated part -->\n"
 )
 
-func TestFitFindsALine(t *testing.T) {
+func TestFitLine(t *testing.T) {
 	s := capacity.Fit("s", "x", "y", []capacity.Point{{X: 1, Y: 5}, {X: 2, Y: 7}, {X: 3, Y: 9}, {X: 4, Y: 11}})
 	require.InDelta(t, 2, s.Value, 1e-9)
 	require.InDelta(t, 3, s.Base, 1e-9)
 	require.InDelta(t, 0, s.Error, 1e-9)
 }
 
-// TestPageAgreesWithTheFigures fails when the page's tables are not what the
-// figures give.
-func TestPageAgreesWithTheFigures(t *testing.T) {
+// TestPageMatchesFigures checks that the tables of docs/CAPACITY.md are those that
+// figures.json gives.
+func TestPageMatchesFigures(t *testing.T) {
 	f, err := capacity.Read(figuresPath)
 	require.NoError(t, err)
 	for _, s := range f.Slopes {
 		require.GreaterOrEqual(t, len(s.Points), 4, s.Name)
-		again := capacity.Fit(s.Name, s.Per, s.Unit, s.Points)
-		require.InEpsilon(t, again.Value, s.Value, 1e-6, s.Name)
+		fitted := capacity.Fit(s.Name, s.Per, s.Unit, s.Points)
+		require.InEpsilon(t, fitted.Value, s.Value, 1e-6, s.Name)
 	}
 	page, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
 	before, rest, found := strings.Cut(string(page), begin)
-	require.True(t, found, "the page lacks its mark")
+	require.True(t, found, "docs/CAPACITY.md lacks the begin marker")
 	old, after, found := strings.Cut(rest, end)
-	require.True(t, found, "the page lacks its end mark")
-	made := capacity.Page(f, capacity.TwoYears) + "\n"
+	require.True(t, found, "docs/CAPACITY.md lacks the end marker")
+	generated := capacity.Page(f, capacity.TwoYears) + "\n"
 	if *update {
-		require.NoError(t, os.WriteFile(pagePath, []byte(before+begin+made+end+after), 0o644))
+		require.NoError(t, os.WriteFile(pagePath, []byte(before+begin+generated+end+after), 0o644))
 		return
 	}
-	require.Equal(t, made, old, "docs/CAPACITY.md does not agree with figures.json; run with -update")
+	require.Equal(t, generated, old, "docs/CAPACITY.md does not match figures.json; run with -update")
 }
 
-// TestMeasure measures the slopes. It takes minutes and needs a quiet machine.
+// TestMeasure measures the slopes if -measure is set. It takes minutes and needs an idle
+// machine.
 func TestMeasure(t *testing.T) {
 	if !*measure {
 		t.Log("slopes are measured with -measure only")
@@ -81,9 +82,9 @@
 			slope("report bytes", "backlogged account", "B a report", []int{5, 10, 20, 40}, reportBytes),
 			capacity.Fit("want and grant bytes", "request", "B, counted at both ends", wantPoints(t)),
 			slope("gossip bytes", "neighbour", "B/s", []int{3, 5, 9, 17}, func(n int) float64 { return gossipBytes(t, n) }),
-			slope("control by accounts", "backlogged account", "B/s a node", []int{4, 8, 16, 32}, func(n int) float64 { return control(t, n, 3, 9) }),
-			slope("control by routers", "router", "B/s a node", []int{3, 6, 12, 24}, func(n int) float64 { return control(t, 16, n, 9) }),
-			slope("control by servers", "server", "B/s a node", []int{6, 12, 24, 48}, func(n int) float64 { return control(t, 16, 3, n) }),
+			slope("control by accounts", "backlogged account", "B/s a node", []int{4, 8, 16, 32}, func(n int) float64 { return controlBytes(t, n, 3, 9) }),
+			slope("control by routers", "router", "B/s a node", []int{3, 6, 12, 24}, func(n int) float64 { return controlBytes(t, 16, n, 9) }),
+			slope("control by servers", "server", "B/s a node", []int{6, 12, 24, 48}, func(n int) float64 { return controlBytes(t, 16, 3, n) }),
 			slope("pick", "account that waits", "ns", []int{10, 20, 40, 80}, pickTime),
 			slope("merge", "account", "ns", []int{50, 100, 200, 400}, mergeTime),
 			slope("answer", "account", "ns a report", []int{50, 100, 200, 400}, answerTime),
@@ -109,39 +110,39 @@
 	return capacity.Fit(name, per, unit, points)
 }
 
-// reportBytes is the size of a report that names so many accounts, after a day's
-// service at a server's speed.
+// reportBytes returns the size of a report with the given number of accounts, whose counters
+// are those of a server after a day of full load.
 func reportBytes(accounts int) float64 {
 	var totals []fair.Total
 	for a := range accounts {
-		totals = append(totals, fair.Total{Account: fair.Account(a + 1), Service: 4e8 / float64(accounts), Pending: 3000, Reach: 64})
+		totals = append(totals, fair.Total{Account: fair.Account(a + 1), Service: 4e8 / float64(accounts), Pending: 3000, Slots: 64})
 	}
-	m := wire.Control(900_000, &wirepb.Control_Report{Report: &wirepb.Report{Sequence: 40_000, Counters: wire.Counters(totals)}})
+	m := wire.NewControl(900_000, &wirepb.Control_Report{Report: &wirepb.Report{Sequence: 40_000, Counters: wire.EncodeTotals(totals)}})
 	return float64(proto.Size(m))
 }
 
-// wantPoints are the control bytes of a backlogged fleet against the requests it
-// served, on servers with more and more places.
+// wantPoints returns the control bytes of a backlogged fleet against the requests it
+// served, for servers with rising numbers of slots.
 func wantPoints(t *testing.T) []capacity.Point {
 	var points []capacity.Point
-	for _, places := range []int{2, 4, 8, 16} {
+	for _, slots := range []int{2, 4, 8, 16} {
 		var r *experiment.Result
 		bubbletest.Run(t, func(t *testing.T) {
-			s := experiment.Even(experiment.Design, experiment.Size{Routers: 3, Models: 9, Length: time.Minute})
-			s.Slots = places
+			s := experiment.Even(experiment.Design, experiment.Size{Routers: 3, Models: 9, Duration: time.Minute})
+			s.Slots = slots
 			r = experiment.Run(t, s)
 		})
 		const nodes = 12
-		points = append(points, capacity.Point{X: float64(r.Requests), Y: r.Control * nodes * time.Minute.Seconds()})
+		points = append(points, capacity.Point{X: float64(r.Requests), Y: r.ControlRate * nodes * time.Minute.Seconds()})
 	}
 	return points
 }
 
-// control is what a node of a backlogged fleet sends and receives.
-func control(t *testing.T, accounts, routers, servers int) float64 {
+// controlBytes returns the bytes a second that a node of a backlogged fleet sends and receives.
+func controlBytes(t *testing.T, accounts, routers, servers int) float64 {
 	var r *experiment.Result
 	bubbletest.Run(t, func(t *testing.T) {
-		z := experiment.Size{Routers: routers, Models: servers, Length: time.Minute}
+		z := experiment.Size{Routers: routers, Models: servers, Duration: time.Minute}
 		s := experiment.Even(experiment.Design, z)
 		s.Clients = nil
 		var all []int
@@ -150,42 +151,44 @@
 		}
 		for a := range accounts {
 			s.Clients = append(s.Clients, experiment.Client{Account: fmt.Sprintf("a-%02d", a), Routers: all,
-				Callers: max(1, 24*servers/accounts/routers), Least: 50, Most: 800, Input: 2000, Wrong: 3})
+				Callers: max(1, 24*servers/accounts/routers), MinTokens: 50, MaxTokens: 800, PromptBytes: 2000, HintError: 3})
 		}
 		r = experiment.Run(t, s)
 	})
-	return r.Control
+	return r.ControlRate
 }
 
-// gossipBytes is what an idle fleet of so many routers exchanges, a router.
+// gossipBytes returns the bytes a second that a router of an idle fleet sends and receives.
 func gossipBytes(t *testing.T, routers int) float64 {
 	var r *experiment.Result
 	bubbletest.Run(t, func(t *testing.T) {
-		s := experiment.Scenario{Name: "gossip", Way: experiment.Design, Routers: routers, Models: 1, Slots: 1,
-			Clients: []experiment.Client{{Account: "idle", Routers: []int{0}, Callers: 1, Least: 1, Most: 1, Think: time.Hour}},
-			Warm:    10 * time.Second, Length: time.Minute}
+		s := experiment.Scenario{Name: "gossip", Strategy: experiment.Design, Routers: routers, Models: 1, Slots: 1,
+			Clients: []experiment.Client{{Account: "idle", Routers: []int{0}, Callers: 1, MinTokens: 1, MaxTokens: 1, Think: time.Hour}},
+			Warmup:  10 * time.Second, Duration: time.Minute}
 		r = experiment.Run(t, s)
 	})
-	return r.Control
+	return r.ControlRate
 }
 
-func book(accounts, waiting int) (*fair.Book, []fair.Total, []fair.Candidate) {
-	b := fair.NewBook(fair.Options{Slots: 64, DebtCap: 60000})
+// newTracker returns a tracker of accounts of which the first waiting ones have requests
+// queued, with the totals and the candidates of these.
+func newTracker(accounts, waiting int) (*fair.Tracker, []fair.Total, []fair.Candidate) {
+	b := fair.NewTracker(fair.Options{Slots: 64, DebtCap: 60000})
 	var totals []fair.Total
 	var candidates []fair.Candidate
 	for a := range accounts {
 		id := fair.Account(a)
 		b.SetShare(id, 1)
 		if a < waiting {
-			b.Arrive(id)
+			b.StartWaiting(id)
 			candidates = append(candidates, fair.Candidate{Account: id})
-			totals = append(totals, fair.Total{Account: id, Service: float64(a), Reach: 640})
+			totals = append(totals, fair.Total{Account: id, Service: float64(a), Slots: 640})
 		}
 	}
 	return b, totals, candidates
 }
 
-func timeOf(f func()) float64 {
+func nsPerOp(f func()) float64 {
 	r := testing.Benchmark(func(b *testing.B) {
 		for b.Loop() {
 			f()
@@ -195,8 +198,8 @@
 }
 
 func pickTime(waiting int) float64 {
-	b, _, candidates := book(400, waiting)
-	return timeOf(func() {
+	b, _, candidates := newTracker(400, waiting)
+	return nsPerOp(func() {
 		at := b.Pick(candidates)
 		b.Reserve(candidates[at].Account, 100)
 		b.Charge(candidates[at].Account, 100, 100)
@@ -204,15 +207,15 @@
 }
 
 func mergeTime(accounts int) float64 {
-	b, totals, _ := book(accounts, 40)
-	return timeOf(func() {
+	b, totals, _ := newTracker(accounts, 40)
+	return nsPerOp(func() {
 		sequence, _ := b.Report(false)
 		b.Merge(sequence, totals)
-		b.Forgive()
+		b.CapDebts()
 	})
 }
 
-func hall(agents int) *ledger.Hall {
+func newHall(agents int) *ledger.Hall {
 	h := ledger.NewHall()
 	for a := range agents {
 		h.Report(fmt.Sprintf("agent-%d", a), "x", 1, hallReport(400))
@@ -223,13 +226,13 @@
 func hallReport(accounts int) []fair.Total {
 	var totals []fair.Total
 	for i := range accounts {
-		totals = append(totals, fair.Total{Account: fair.Account(i), Service: 1e6, Reach: 64})
+		totals = append(totals, fair.Total{Account: fair.Account(i), Service: 1e6, Slots: 64})
 	}
 	return totals
 }
 
-// answerTime is the time a summing router takes to count a report of 40 accounts
-// and to work out its answer, with so many accounts known in 15 halls.
+// answerTime returns the time a summing router takes to count a report of 40 accounts and
+// to compute the answer, with the given number of accounts in each of 15 halls.
 func answerTime(accounts int) float64 {
 	f := ledger.NewFleet()
 	h := ledger.NewHall()
@@ -238,15 +241,15 @@
 	}
 	report := hallReport(40)
 	sequence := uint64(1)
-	return timeOf(func() {
+	return nsPerOp(func() {
 		sequence++
 		h.Report("agent-0", "x", sequence, report)
-		f.Update(ledger.HallSum{Hall: "0", Source: "r", Sequence: sequence, Totals: h.Touched()})
-		f.Without(h.Own("agent-0"))
+		f.Update(ledger.HallSum{Hall: "0", Source: "r", Sequence: sequence, Totals: h.Changed()})
+		f.Excluding(h.LastReport("agent-0"))
 	})
 }
 
-func inUse() float64 {
+func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -255,9 +258,9 @@
 }
 
 func hallMemory(agents int) float64 {
-	before := inUse()
-	h := hall(agents)
-	after := inUse()
+	before := memoryInUse()
+	h := newHall(agents)
+	after := memoryInUse()
 	runtime.KeepAlive(h)
 	return after - before
 }
@@ -268,7 +271,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	before := inUse()
+	before := memoryInUse()
 	var kept []*wire.Peer
 	for range connections {
 		accepted := make(chan *wire.Peer, 1)
@@ -286,7 +289,7 @@
 		require.NoError(t, err)
 		kept = append(kept, p, <-accepted)
 	}
-	after := inUse()
+	after := memoryInUse()
 	for _, p := range kept {
 		p.Close(nil)
 	}
--- a/cmd/opalbridge/dev.go
+++ b/cmd/opalbridge/dev.go
@@ -36,49 +36,49 @@
 	}
 }
 
-// Halls, pools and account shares of the fleet that dev runs.
+// Halls and accounts of the dev fleet.
 var (
 	devHalls    = []string{"hall-1", "hall-2"}
 	devAccounts = []config.Account{{Name: "quito", Share: 2}, {Name: "cuenca", Share: 1}}
 )
 
 const (
-	devModel    = "small"
-	devService  = "booking"
-	devSlots    = 8
-	devRouters  = 2
-	devModels   = 3
-	devStopTime = 10 * time.Second
-	// devReady is how long the fleet may take to be ready.
-	devReady = 20 * time.Second
+	devModel       = "small"
+	devService     = "booking"
+	devSlots       = 8
+	devRouters     = 2
+	devModels      = 3
+	devStopTimeout = 10 * time.Second
+	// devReadyTimeout limits the time until all routers are connected to all agents.
+	devReadyTimeout = 20 * time.Second
 )
 
-// devFleet is a fleet of stand-ins in one process.
+// devFleet is a fleet in one process, with simulated model servers and platform.
 type devFleet struct {
-	life      context.Context
+	ctx       context.Context
 	log       zerolog.Logger
 	telemetry *telemetry.Telemetry
 	store     platform.KV
-	url       string // of the platform
+	url       string // of the platform's store
 	token     string
 	keys      []string
-	routers   []*routerParts
+	routers   []*runningRouter
 	agents    []*agent.Agent
 	done      []<-chan error
 	callers   []string
 	admin     string
-	slots     int                 // of each server; 0: devSlots
-	model     func() http.Handler // makes a model server; nil: the usual stand-in
+	slots     int                 // of each server; 0 means devSlots
+	model     func() http.Handler // makes a model server; nil means enginetest.Model
 }
 
 func dev(ctx context.Context, c *cli.Command) error {
 	level, err := zerolog.ParseLevel(c.String("log-level"))
 	if err != nil {
-		return usage(errors.Wrap(err, "dev: --log-level"))
+		return usageError(errors.Wrap(err, "dev: --log-level"))
 	}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	f := &devFleet{life: life, log: zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger()}
+	fleetCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	f := &devFleet{ctx: fleetCtx, log: zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger()}
 	if err := f.start(c.String("listen")); err != nil {
 		return err
 	}
@@ -87,14 +87,14 @@
 	}
 	f.print(c)
 	<-ctx.Done()
-	f.stop(end)
+	f.stop(cancel)
 	fmt.Fprintln(c.Root().Writer, "stopped")
 	return nil
 }
 
 func (f *devFleet) start(listen string) error {
 	var err error
-	f.telemetry, err = telemetry.New(f.life, telemetry.Options{Service: "opalbridge-dev", Node: "dev", SpanKeep: spansKept})
+	f.telemetry, err = telemetry.New(f.ctx, telemetry.Options{Service: "opalbridge-dev", Node: "dev", MaxSpans: maxSpans})
 	if err != nil {
 		return err
 	}
@@ -126,11 +126,11 @@
 	return "http://" + l.Addr().String(), nil
 }
 
-// configure puts the first configuration into the platform's service.
+// configure stores the initial configuration in the platform's store.
 func (f *devFleet) configure() error {
 	f.token = operator.NewKey()
 	store := config.Store{KV: f.store}
-	o := store.Propose(f.life, 0, func(d *config.Document) error {
+	o := store.Propose(f.ctx, 0, func(d *config.Document) error {
 		for _, a := range devAccounts {
 			key := operator.NewKey()
 			f.keys = append(f.keys, key)
@@ -177,22 +177,22 @@
 	if err != nil {
 		return errors.Wrap(err, "dev: listen")
 	}
-	s := &settings.Settings{Name: name, Hall: hall, ServerURL: url, Slots: slots, ReportInterval: reportInterval, Records: recordsKept}
-	a, done, err := startAgent(f.life, s, f.telemetry, f.log.With().Str("node", name).Logger(), l)
+	s := &settings.Settings{Name: name, Hall: hall, ServerURL: url, Slots: slots, ReportInterval: reportInterval, Records: maxRecords}
+	a, done, err := startAgent(f.ctx, s, f.telemetry, f.log.With().Str("node", name).Logger(), l)
 	if err != nil {
 		return err
 	}
 	f.agents = append(f.agents, a)
 	f.done = append(f.done, done)
-	if err := f.store.SetHost(f.life, kv.Host{Name: name, Role: kv.Agent, Hall: hall, Address: l.Addr().String()}); err != nil {
+	if err := f.store.SetHost(f.ctx, kv.Host{Name: name, Role: kv.Agent, Hall: hall, Address: l.Addr().String()}); err != nil {
 		return err
 	}
 	return nil
 }
 
-// Settings of dev's processes that are not the defaults of settings files.
+// Settings of the dev fleet's nodes. Defaults of settings files do not apply to them.
 const (
-	recordsKept    = 4096
+	maxRecords     = 4096
 	reportInterval = 2 * time.Second
 )
 
@@ -201,7 +201,7 @@
 		name := fmt.Sprintf("router-%d", i+1)
 		callers, err := net.Listen("tcp", listen)
 		if err != nil {
-			return usage(errors.Wrap(err, "dev: --listen"))
+			return usageError(errors.Wrap(err, "dev: --listen"))
 		}
 		listen = "127.0.0.1:0"
 		peers, err := net.Listen("tcp", "127.0.0.1:0")
@@ -210,12 +210,12 @@
 		}
 		s := &settings.Settings{
 			Name: name, Hall: devHall(i), PeerAddress: peers.Addr().String(), PlatformURL: f.url,
-			OperatorTokenHash: config.HashKey(f.token), ReportInterval: reportInterval, Records: recordsKept,
+			OperatorTokenHash: config.HashKey(f.token), ReportInterval: reportInterval, Records: maxRecords,
 		}
-		if err := f.store.SetHost(f.life, kv.Host{Name: name, Role: kv.Router, Hall: devHall(i), Address: s.PeerAddress}); err != nil {
+		if err := f.store.SetHost(f.ctx, kv.Host{Name: name, Role: kv.Router, Hall: devHall(i), Address: s.PeerAddress}); err != nil {
 			return err
 		}
-		parts, err := startRouter(f.life, s, f.telemetry, f.log.With().Str("node", name).Logger(), callers, peers)
+		parts, err := startRouter(f.ctx, s, f.telemetry, f.log.With().Str("node", name).Logger(), callers, peers)
 		if err != nil {
 			return err
 		}
@@ -227,7 +227,7 @@
 }
 
 func (f *devFleet) waitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, devReady)
+	ctx, cancel := context.WithTimeout(ctx, devReadyTimeout)
 	defer cancel()
 	for _, p := range f.routers {
 		for {
@@ -235,8 +235,8 @@
 				break
 			}
 			if ctx.Err() != nil {
-				_, why := p.router.Ready()
-				return errors.Newf("dev: not ready after %s: %s", devReady, why)
+				_, reason := p.router.Ready()
+				return errors.Newf("dev: not ready after %s: %s", devReadyTimeout, reason)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -256,17 +256,17 @@
 		f.callers[0], f.keys[0], devModel)
 }
 
-func (f *devFleet) stop(end context.CancelFunc) {
+func (f *devFleet) stop(cancel context.CancelFunc) {
 	for _, p := range f.routers {
-		waitStop(devStopTime, p.router.Drain(), func() {})
+		waitDrained(devStopTimeout, p.router.Drain(), func() {})
 		_ = p.http.Close()
 	}
 	for _, a := range f.agents {
-		waitStop(devStopTime, a.Drain(), func() {})
+		waitDrained(devStopTimeout, a.Drain(), func() {})
 	}
-	end()
+	cancel()
 	for _, d := range f.done {
 		<-d
 	}
-	_ = f.telemetry.Shutdown(context.WithoutCancel(f.life))
+	_ = f.telemetry.Shutdown(context.WithoutCancel(f.ctx))
 }
--- a/cmd/opalbridge/quarantine.go
+++ b/cmd/opalbridge/quarantine.go
@@ -19,7 +19,8 @@
 	"opalbridge.dev/platform"
 )
 
-// The platform's store answers within milliseconds; a page of its list within a second.
+// quarantineTimeout limits all store calls of a command. The platform's store answers within
+// milliseconds, a page of a list within a second.
 const quarantineTimeout = 5 * time.Second
 
 func quarantineCommand() *cli.Command {
@@ -48,20 +49,20 @@
 	}
 }
 
-// openSuspects opens what the store keeps.
-func openSuspects(c *cli.Command) (*platform.Suspects, error) {
+// openSuspects returns the suspects in the platform's store.
+func openSuspects(c *cli.Command) (*platform.SuspectStore, error) {
 	address := c.String("store")
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return nil, usage(errors.Wrapf(err, "quarantine: --store %q", address))
+		return nil, usageError(errors.Wrapf(err, "quarantine: --store %q", address))
 	}
-	return &platform.Suspects{Store: &platform.Store{Address: address}}, nil
+	return &platform.SuspectStore{Store: &platform.Store{Address: address}}, nil
 }
 
-// quarantined is a row of the list.
-type quarantined struct {
+// quarantineRow is a row of the list.
+type quarantineRow struct {
 	Key    string `json:"key"`
 	Barred bool   `json:"barred"`
-	platform.Kept
+	platform.SuspectRecord
 }
 
 func listQuarantine(ctx context.Context, c *cli.Command) error {
@@ -75,11 +76,11 @@
 	if err != nil {
 		return errors.Wrap(err, "quarantine: list")
 	}
-	rows := make([]quarantined, 0, len(kept))
+	rows := make([]quarantineRow, 0, len(kept))
 	for key, k := range maps.All(kept) {
-		rows = append(rows, quarantined{key.String(), len(k.Servers) >= quarantine.MostEnds, k})
+		rows = append(rows, quarantineRow{key.String(), len(k.Servers) >= quarantine.CrashThreshold, k})
 	}
-	slices.SortFunc(rows, func(x, y quarantined) int { return cmp.Or(x.Since.Compare(y.Since), cmp.Compare(x.Key, y.Key)) })
+	slices.SortFunc(rows, func(x, y quarantineRow) int { return cmp.Or(x.Since.Compare(y.Since), cmp.Compare(x.Key, y.Key)) })
 	if c.Bool("json") {
 		e := json.NewEncoder(c.Root().Writer)
 		e.SetIndent("", "  ")
@@ -88,18 +89,18 @@
 	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "KEY\tBARRED\tSINCE\tASKS\tSERVERS THAT ENDED")
 	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%t\t%s\t%s\t%s\n", r.Key, r.Barred, r.Since.Format(time.RFC3339), r.Asks, strings.Join(r.Servers, " "))
+		fmt.Fprintf(w, "%s\t%t\t%s\t%s\t%s\n", r.Key, r.Barred, r.Since.Format(time.RFC3339), r.Summary, strings.Join(r.Servers, " "))
 	}
 	return w.Flush()
 }
 
 func liftQuarantine(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return usage(errors.New("quarantine: name one key; list shows them"))
+		return usageError(errors.New("quarantine: expected one key, as shown by list"))
 	}
 	key, err := quarantine.ParseKey(c.Args().First())
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	s, err := openSuspects(c)
 	if err != nil {
@@ -112,9 +113,9 @@
 		return errors.Wrap(err, "quarantine: lift")
 	}
 	if _, known := kept[key]; !known {
-		return usage(errors.Newf("quarantine: nothing is held against %s", key))
+		return usageError(errors.Newf("quarantine: no entry for key %s", key))
 	}
-	if err := s.Drop(ctx, key); err != nil {
+	if err := s.Delete(ctx, key); err != nil {
 		return errors.Wrap(err, "quarantine: lift")
 	}
 	fmt.Fprintf(c.Root().Writer, "%s: lifted\n", key)
--- a/cmd/opalbridge/quarantine_test.go
+++ b/cmd/opalbridge/quarantine_test.go
@@ -14,23 +14,24 @@
 	"opalbridge.dev/platform/platformtest"
 )
 
-// TestQuarantineCommand lists what is held against requests, and lifts it.
+// TestQuarantineCommand checks that list shows suspects and quarantined requests, and that
+// lift removes an entry.
 func TestQuarantineCommand(t *testing.T) {
 	h := httptest.NewServer(&platformtest.Store{})
 	defer h.Close()
 	address := strings.TrimPrefix(h.URL, "http://")
-	run := func(words ...string) (string, error) {
-		c := command()
+	run := func(args ...string) (string, error) {
+		c := rootCommand()
 		var out bytes.Buffer
 		c.Writer = &out
-		err := c.Run(t.Context(), append([]string{"opalbridge", "quarantine"}, words...))
+		err := c.Run(t.Context(), append([]string{"opalbridge", "quarantine"}, args...))
 		return out.String(), err
 	}
 	barred, suspected := quarantine.Key{1}, quarantine.Key{2}
-	s := &platform.Suspects{Store: &platform.Store{Address: address}}
-	require.NoError(t, s.Keep(t.Context(), barred, gateway.Suspect{Asks: "quito POST h/x", Servers: []string{"i-1", "i-2"}}))
-	require.NoError(t, s.Keep(t.Context(), barred, gateway.Suspect{Asks: "quito POST h/x", Servers: []string{"i-2", "i-3"}}))
-	require.NoError(t, s.Keep(t.Context(), suspected, gateway.Suspect{Asks: "cuenca POST h/y", Servers: []string{"i-1", "i-3"}}))
+	s := &platform.SuspectStore{Store: &platform.Store{Address: address}}
+	require.NoError(t, s.Save(t.Context(), barred, gateway.Suspect{Summary: "quito POST h/x", Servers: []string{"i-1", "i-2"}}))
+	require.NoError(t, s.Save(t.Context(), barred, gateway.Suspect{Summary: "quito POST h/x", Servers: []string{"i-2", "i-3"}}))
+	require.NoError(t, s.Save(t.Context(), suspected, gateway.Suspect{Summary: "cuenca POST h/y", Servers: []string{"i-1", "i-3"}}))
 
 	out, err := run("list", "--store", address)
 	require.NoError(t, err)
@@ -47,12 +48,12 @@
 	require.NoError(t, err)
 	require.Len(t, kept, 1)
 
-	for _, words := range [][]string{
+	for _, args := range [][]string{
 		{"lift", "--store", address, barred.String()}, {"lift", "--store", address, "x"},
 		{"lift", "--store", address}, {"list", "--store", "nowhere"}, {"list"},
 	} {
-		_, err = run(words...)
-		require.Error(t, err, "%v", words)
-		require.Equal(t, exitUsage, exitCode(err), "%v: %v", words, err)
+		_, err = run(args...)
+		require.Error(t, err, "%v", args)
+		require.Equal(t, exitUsage, exitCode(err), "%v: %v", args, err)
 	}
 }
--- a/cmd/opalbridge/run.go
+++ b/cmd/opalbridge/run.go
@@ -28,10 +28,10 @@
 )
 
 const (
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	longestHeader = 64 << 10
-	spansKept     = 8192
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
+	maxSpans       = 8192
 )
 
 func settingsFlag() cli.Flag {
@@ -75,61 +75,62 @@
 }
 
 func newServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: longestHeader}
+	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// keeper is a process's TLS; nil when its settings name no certificate.
-type keeper struct {
-	*secure.Keeper
+// processTLS holds a process's TLS settings. It is nil if the settings name no certificate.
+type processTLS struct {
+	*secure.Credentials
 	mutual bool
 }
 
-func openKeeper(s *settings.Settings) (*keeper, error) {
+func openTLS(s *settings.Settings) (*processTLS, error) {
 	if s.Certificate == "" {
 		return nil, nil
 	}
 	k, err := secure.Open(s.Certificate, s.CertificateKey, s.PeerCA)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
-	return &keeper{Keeper: k, mutual: s.PeerCA != ""}, nil
+	return &processTLS{Credentials: k, mutual: s.PeerCA != ""}, nil
 }
 
-// peers puts mutual TLS on a listener for processes of the fleet, if it is set up.
-func (k *keeper) peers(l net.Listener) net.Listener {
+// wrapPeerListener adds mutual TLS to a listener for processes of the fleet, if a peer CA is
+// set.
+func (k *processTLS) wrapPeerListener(l net.Listener) net.Listener {
 	if k == nil || !k.mutual {
 		return l
 	}
-	return tls.NewListener(l, k.Peers())
+	return tls.NewListener(l, k.PeerConfig())
 }
 
-// dial returns the way to other processes of the fleet; nil: plain TCP.
-func (k *keeper) dial() router.Dialer {
+// peerDialer returns the dialer for other processes of the fleet. nil means plain TCP.
+func (k *processTLS) peerDialer() router.Dialer {
 	if k == nil || !k.mutual {
 		return nil
 	}
 	return k.Dial
 }
 
-// openKV returns a client of the platform's service at a URL.
+// openKV returns a client of the platform's key-value store at a URL.
 func openKV(address string) (platform.KV, error) {
 	u, err := url.Parse(address)
 	if err != nil || u.Host == "" {
-		return platform.KV{}, usage(errors.Newf("platform_url %q is no URL", address))
+		return platform.KV{}, usageError(errors.Newf("platform_url %q is not a valid URL", address))
 	}
 	return platform.KV{Store: &platform.Store{Address: u.Host, TLS: u.Scheme == "https"}}, nil
 }
 
-// routerParts are a router with its servers.
-type routerParts struct {
+// runningRouter is a started router with its HTTP server.
+type runningRouter struct {
 	router *router.Router
 	done   <-chan error
 	http   *http.Server
 }
 
 // startRouter builds a router from its settings and starts it on the listeners.
-func startRouter(ctx context.Context, s *settings.Settings, t *telemetry.Telemetry, log zerolog.Logger, callers, peers net.Listener) (*routerParts, error) {
-	metrics, err := telemetry.NewRequests(t.Meter("router"))
+func startRouter(ctx context.Context, s *settings.Settings, t *telemetry.Telemetry, log zerolog.Logger, callers, peers net.Listener) (*runningRouter, error) {
+	metrics, err := telemetry.NewRouterMetrics(t.Meter("router"))
 	if err != nil {
 		return nil, err
 	}
@@ -137,16 +138,16 @@
 	if err != nil {
 		return nil, err
 	}
-	k, err := openKeeper(s)
+	k, err := openTLS(s)
 	if err != nil {
 		return nil, err
 	}
 	if k != nil {
-		callers = tls.NewListener(callers, k.Callers())
+		callers = tls.NewListener(callers, k.CallerConfig())
 	}
-	peers = k.peers(peers)
+	peers = k.wrapPeerListener(peers)
 	r, err := router.New(router.Options{
-		Dial: k.dial(), Name: s.Name, Hall: s.Hall, Address: s.PeerAddress,
+		Dial: k.peerDialer(), Name: s.Name, Hall: s.Hall, Address: s.PeerAddress,
 		KV: client, Directory: client, Listener: peers,
 		Degree: s.Degree, Interval: s.ReportInterval,
 		Log: log, Tracer: t.Tracer("router"), Records: explain.NewLog(s.Name, s.Records), Metrics: metrics,
@@ -154,30 +155,30 @@
 	if err != nil {
 		return nil, err
 	}
-	service := &operator.Service{Store: &config.Store{KV: client, Known: r.Configuration}, Fleet: r, TokenHash: s.OperatorTokenHash}
+	service := &operator.Service{Store: &config.Store{KV: client, Local: r.Configuration}, Fleet: r, TokenHash: s.OperatorTokenHash}
 	mux := http.NewServeMux()
 	path, calls := service.Handler()
 	mux.Handle(path, calls)
 	mux.Handle("/", r.Handler())
-	err = telemetry.Observe(t.Meter("router"), []telemetry.Gauge{
-		{Name: "opalbridge.open", Description: "requests not yet answered", Read: func() float64 { return float64(r.Open()) }},
+	err = telemetry.RegisterGauges(t.Meter("router"), []telemetry.Gauge{
+		{Name: "opalbridge.open", Description: "requests not yet answered", Read: func() float64 { return float64(r.OpenRequests()) }},
 		{Name: "opalbridge.control", Unit: "By", Description: "control bytes sent and received since the start", Read: func() float64 { return float64(r.ControlBytes()) }},
 		{Name: "opalbridge.revision", Description: "configuration revision in force", Read: func() float64 { return float64(r.Revision()) }},
 	})
 	if err != nil {
 		return nil, err
 	}
-	parts := &routerParts{router: r, done: r.Start(ctx), http: newServer(mux)}
+	parts := &runningRouter{router: r, done: r.Start(ctx), http: newServer(mux)}
 	go func() {
 		if err := parts.http.Serve(callers); !errors.Is(err, http.ErrServerClosed) {
-			log.Error().Err(err).Msg("callers are no longer served")
+			log.Error().Err(err).Msg("caller server stopped")
 		}
 	}()
 	return parts, nil
 }
 
 func runRouter(ctx context.Context, s *settings.Settings, log zerolog.Logger) error {
-	t, err := telemetry.New(ctx, telemetry.Options{Service: "opalbridge-router", Node: s.Name, OTLP: s.OTLPURL, SpanKeep: spansKept})
+	t, err := telemetry.New(ctx, telemetry.Options{Service: "opalbridge-router", Node: s.Name, OTLP: s.OTLPURL, MaxSpans: maxSpans})
 	if err != nil {
 		return err
 	}
@@ -189,9 +190,9 @@
 	if err != nil {
 		return errors.Wrap(err, "router: listen for peers")
 	}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	parts, err := startRouter(life, s, t, log, callers, peers)
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	parts, err := startRouter(runCtx, s, t, log, callers, peers)
 	if err != nil {
 		return err
 	}
@@ -200,36 +201,36 @@
 	}
 	log.Info().Str("callers", callers.Addr().String()).Str("peers", peers.Addr().String()).Msg("router started")
 	<-ctx.Done()
-	log.Info().Int("open", parts.router.Open()).Msg("stopping: new requests are refused, open ones are answered")
-	waitStop(s.StopTimeout, parts.router.Drain(), func() { log.Info().Int("open", parts.router.Open()).Msg("waiting for open requests") })
+	log.Info().Int("open", parts.router.OpenRequests()).Msg("stopping: refusing new requests, completing open ones")
+	waitDrained(s.StopTimeout, parts.router.Drain(), func() { log.Info().Int("open", parts.router.OpenRequests()).Msg("waiting for open requests") })
 	_ = parts.http.Close()
-	end()
+	cancel()
 	<-parts.done
 	return t.Shutdown(context.WithoutCancel(ctx))
 }
 
-// waitEvery is how often a stop says what it waits for.
-const waitEvery = 5 * time.Second
+// stopLogInterval is the interval of progress messages during a shutdown.
+const stopLogInterval = 5 * time.Second
 
-// waitStop waits for a planned stop to end, at most for the time limit, or until
-// a second signal.
-func waitStop(limit time.Duration, drained <-chan struct{}, say func()) {
-	again, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+// waitDrained waits until drained is closed, the limit has passed or a second signal
+// arrives. It calls logProgress at intervals.
+func waitDrained(limit time.Duration, drained <-chan struct{}, logProgress func()) {
+	secondSignal, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	timeout := time.NewTimer(limit)
 	defer timeout.Stop()
-	t := time.NewTicker(waitEvery)
+	t := time.NewTicker(stopLogInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-drained:
 			return
-		case <-again.Done():
+		case <-secondSignal.Done():
 			return
 		case <-timeout.C:
 			return
 		case <-t.C:
-			say()
+			logProgress()
 		}
 	}
 }
@@ -256,11 +257,11 @@
 
 // startAgent builds an agent from its settings and starts it.
 func startAgent(ctx context.Context, s *settings.Settings, t *telemetry.Telemetry, log zerolog.Logger, peers net.Listener) (*agent.Agent, <-chan error, error) {
-	k, err := openKeeper(s)
+	k, err := openTLS(s)
 	if err != nil {
 		return nil, nil, err
 	}
-	peers = k.peers(peers)
+	peers = k.wrapPeerListener(peers)
 	a, err := agent.New(agent.Options{
 		Name: s.Name, Hall: s.Hall, Engine: engine.NewClient(s.ServerURL), Listener: peers, Slots: s.Slots, Interval: s.ReportInterval,
 		Log: log, Tracer: t.Tracer("agent"), Records: explain.NewLog(s.Name, s.Records),
@@ -268,7 +269,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	err = telemetry.Observe(t.Meter("agent"), []telemetry.Gauge{
+	err = telemetry.RegisterGauges(t.Meter("agent"), []telemetry.Gauge{
 		{Name: "opalbridge.running", Description: "attempts that run", Read: func() float64 { return float64(a.Running()) }},
 		{Name: "opalbridge.control", Unit: "By", Description: "control bytes sent and received since the start", Read: func() float64 { return float64(a.ControlBytes()) }},
 		{Name: "opalbridge.revision", Description: "configuration revision in force", Read: func() float64 { return float64(a.Revision()) }},
@@ -280,7 +281,7 @@
 }
 
 func runAgent(ctx context.Context, s *settings.Settings, log zerolog.Logger) error {
-	t, err := telemetry.New(ctx, telemetry.Options{Service: "opalbridge-agent", Node: s.Name, OTLP: s.OTLPURL, SpanKeep: spansKept})
+	t, err := telemetry.New(ctx, telemetry.Options{Service: "opalbridge-agent", Node: s.Name, OTLP: s.OTLPURL, MaxSpans: maxSpans})
 	if err != nil {
 		return err
 	}
@@ -288,9 +289,9 @@
 	if err != nil {
 		return errors.Wrap(err, "agent: listen for peers")
 	}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	a, done, err := startAgent(life, s, t, log, peers)
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	a, done, err := startAgent(runCtx, s, t, log, peers)
 	if err != nil {
 		return err
 	}
@@ -299,9 +300,9 @@
 	}
 	log.Info().Str("peers", peers.Addr().String()).Str("server", s.ServerURL).Msg("agent started")
 	<-ctx.Done()
-	log.Info().Int("running", a.Running()).Msg("stopping: no new work, what runs goes on")
-	waitStop(s.StopTimeout, a.Drain(), func() { log.Info().Int("running", a.Running()).Msg("waiting for running attempts") })
-	end()
+	log.Info().Int("running", a.Running()).Msg("stopping: refusing new work, completing running attempts")
+	waitDrained(s.StopTimeout, a.Drain(), func() { log.Info().Int("running", a.Running()).Msg("waiting for running attempts") })
+	cancel()
 	<-done
 	return t.Shutdown(context.WithoutCancel(ctx))
 }
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -14,13 +14,13 @@
 )
 
 var (
-	full      = flag.Bool("full", false, "run every scenario and size for the whole length; takes minutes")
-	sizeSeeds = flag.Int("size-seeds", 4, "seeds of each size in a full run")
-	minutes   = flag.Int("minutes", 2, "length of a full run's measurement in virtual minutes")
+	full      = flag.Bool("full", false, "run every scenario and size for the full duration; takes minutes")
+	sizeSeeds = flag.Int("size-seeds", 4, "number of seeds of each size in a full run")
+	minutes   = flag.Int("minutes", 2, "duration of a full run's measurement in virtual minutes")
 )
 
-// length is how long a run of this call measures.
-func length() time.Duration {
+// duration returns the duration of a measurement.
+func duration() time.Duration {
 	if *full {
 		return time.Duration(*minutes) * time.Minute
 	}
@@ -35,15 +35,15 @@
 	return r
 }
 
-// comparable is how long runs are whose utilisation is compared within 0.01: what is in
-// flight at the ends of a run of 40 s moves it by 0.02 either way (0.988 to 1.027 in seven
-// runs of one way).
-const comparable = 160 * time.Second
+// comparisonDuration is the duration of runs whose utilisation is compared within 0.01. In runs of
+// 40 s, the requests in flight at the start and the end change it by 0.02 either way (0.988 to
+// 1.027 in seven runs of one strategy).
+const comparisonDuration = 160 * time.Second
 
-// TestUnevenAgainstBaselines holds the design to its targets where accounts are
-// spread unevenly: a fifth of per-router fairness's gap, full use, the bound.
+// TestUnevenAgainstBaselines checks the targets of the design with accounts that are spread
+// unevenly: at most a fifth of the gap of per-router fairness, full utilisation, and the bound.
 func TestUnevenAgainstBaselines(t *testing.T) {
-	z := experiment.Today(max(length(), comparable))
+	z := experiment.CurrentSize(max(duration(), comparisonDuration))
 	design := measure(t, experiment.Uneven(experiment.Design, z))
 	perRouter := measure(t, experiment.Uneven(experiment.RouterFair, z))
 	firstCome := measure(t, experiment.Uneven(experiment.FirstCome, z))
@@ -53,16 +53,16 @@
 	require.Zero(t, design.Failed)
 	require.GreaterOrEqual(t, design.Utilisation, 0.98)
 	require.GreaterOrEqual(t, design.Utilisation, firstCome.Utilisation-0.01)
-	require.LessOrEqual(t, design.Overhead, 2000.0)
+	require.LessOrEqual(t, design.OverheadRate, 2000.0)
 }
 
-// TestScenarios runs every scenario under the design and holds it to the bound and
-// to full use; with -full also under the baselines.
+// TestScenarios runs scenarios under the design and checks the bound of the gap. With -full it
+// runs every scenario, also under the baselines.
 func TestScenarios(t *testing.T) {
 	if !*full {
 		for _, s := range []experiment.Scenario{
-			experiment.Restarts(experiment.Design, experiment.Today(length())),
-			experiment.Overlap(experiment.Design, experiment.Today(length())),
+			experiment.Restarts(experiment.Design, experiment.CurrentSize(duration())),
+			experiment.Overlap(experiment.Design, experiment.CurrentSize(duration())),
 		} {
 			t.Run(s.Name, func(t *testing.T) {
 				r := measure(t, s)
@@ -72,12 +72,12 @@
 		}
 		return
 	}
-	for _, way := range []experiment.Way{experiment.Design, experiment.RouterFair, experiment.FirstCome} {
-		for _, s := range experiment.All(way, experiment.Today(length())) {
-			t.Run(way.Name+"/"+s.Name, func(t *testing.T) {
+	for _, strategy := range []experiment.Strategy{experiment.Design, experiment.RouterFair, experiment.FirstCome} {
+		for _, s := range experiment.All(strategy, experiment.CurrentSize(duration())) {
+			t.Run(strategy.Name+"/"+s.Name, func(t *testing.T) {
 				r := measure(t, s)
 				printWaits(r)
-				if way == experiment.Design {
+				if strategy == experiment.Design {
 					require.LessOrEqual(t, r.Gap, r.Bound)
 					require.Zero(t, r.Violations)
 				}
@@ -89,7 +89,7 @@
 func printWaits(r *experiment.Result) {
 	var plain, urgent []time.Duration
 	for account, waits := range r.Waits {
-		if len(account) > len(experiment.UrgentMark) && account[len(account)-len(experiment.UrgentMark):] == experiment.UrgentMark {
+		if len(account) > len(experiment.UrgentSuffix) && account[len(account)-len(experiment.UrgentSuffix):] == experiment.UrgentSuffix {
 			urgent = append(urgent, waits...)
 			continue
 		}
@@ -98,9 +98,9 @@
 		}
 	}
 	const high = 99
-	fmt.Printf("figure wait-p99 %q %.3f s\n", r.Scenario.Name+"/"+r.Scenario.Way.Name, experiment.Percentile(plain, high).Seconds())
+	fmt.Printf("figure wait-p99 %q %.3f s\n", r.Scenario.Name+"/"+r.Scenario.Strategy.Name, experiment.Percentile(plain, high).Seconds())
 	if len(urgent) > 0 {
-		fmt.Printf("figure wait-p99-urgent %q %.3f s\n", r.Scenario.Name+"/"+r.Scenario.Way.Name, experiment.Percentile(urgent, high).Seconds())
+		fmt.Printf("figure wait-p99-urgent %q %.3f s\n", r.Scenario.Name+"/"+r.Scenario.Strategy.Name, experiment.Percentile(urgent, high).Seconds())
 	}
 }
 
@@ -114,7 +114,7 @@
 		{Routers: 3, Models: 18}, {Routers: 12, Models: 18}, {Routers: 48, Models: 18},
 		{Routers: 12, Models: 18, Degree: 6}, {Routers: 48, Models: 18, Degree: 6},
 	} {
-		z.Length = length()
+		z.Duration = duration()
 		t.Run(fmt.Sprintf("%d routers degree %d", z.Routers, z.Degree), func(t *testing.T) {
 			sum := 0.0
 			for seed := range uint64(*sizeSeeds) {
@@ -128,11 +128,11 @@
 	}
 }
 
-// TestAllUrgentGainsOnlyItsCredit has one account mark all it asks urgent; it may
-// be ahead of the others' mean by the credit and what is in flight, not more.
+// TestAllUrgentGainsOnlyItsCredit has one account mark all its requests urgent. It may be ahead of
+// the mean of the others by the urgent credit and the requests in flight, not more.
 func TestAllUrgentGainsOnlyItsCredit(t *testing.T) {
-	s := experiment.AllUrgent(experiment.Design, experiment.Today(length()))
-	s.Warm = time.Second // what it borrows at the very start counts too
+	s := experiment.AllUrgent(experiment.Design, experiment.CurrentSize(duration()))
+	s.Warmup = time.Second // include the credit it uses at the start
 	r := measure(t, s)
 	mean, n := 0.0, 0.0
 	marked := s.Clients[4].Account
@@ -148,19 +148,19 @@
 	require.LessOrEqual(t, r.Service[marked]-mean, float64(credit+4*largest))
 }
 
-var plots = flag.Bool("plots", false, "write the pictures of docs/experiments anew")
+var plots = flag.Bool("plots", false, "rewrite the plots in docs/experiments")
 
 // TestPlots draws gap and utilisation over time under the design and the baselines.
 func TestPlots(t *testing.T) {
 	if !*plots {
-		t.Log("pictures are drawn with -plots only")
+		t.Log("plots are drawn with -plots only")
 		return
 	}
-	z := experiment.Today(2 * time.Minute)
-	for _, scenario := range []func(experiment.Way, experiment.Size) experiment.Scenario{experiment.Uneven, experiment.Partition} {
+	z := experiment.CurrentSize(2 * time.Minute)
+	for _, scenario := range []func(experiment.Strategy, experiment.Size) experiment.Scenario{experiment.Uneven, experiment.Partition} {
 		var runs []*experiment.Result
-		for _, way := range []experiment.Way{experiment.Design, experiment.RouterFair, experiment.FirstCome} {
-			runs = append(runs, measure(t, scenario(way, z)))
+		for _, strategy := range []experiment.Strategy{experiment.Design, experiment.RouterFair, experiment.FirstCome} {
+			runs = append(runs, measure(t, scenario(strategy, z)))
 		}
 		name := runs[0].Scenario.Name
 		require.NoError(t, experiment.Plot("../docs/experiments/"+name+"-gap.png", name+": gap between accounts", "weighted tokens for each share", runs,
--- a/fleettest/chunks_test.go
+++ b/fleettest/chunks_test.go
@@ -15,18 +15,19 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// chunk, end and head are pieces that a false agent answers with.
+// chunk returns a chunk piece of a fake agent's answer.
 func chunk(n uint64, text string) *wirepb.Piece {
 	return &wirepb.Piece{Body: &wirepb.Piece_Chunk{Chunk: &wirepb.Chunk{Number: n, Content: []byte(text)}}}
 }
 
+// endOf returns the end piece of a complete answer with the given number of chunks.
 func endOf(chunks uint64) *wirepb.Piece {
 	return &wirepb.Piece{Body: &wirepb.Piece_End{End: &wirepb.End{Chunks: chunks, Complete: true}}}
 }
 
-// falseAgent takes the first agent's place and answers every attempt with the
-// pieces given.
-func falseAgent(t *testing.T, f *fleettest.Fleet, pieces []*wirepb.Piece) {
+// fakeAgent replaces the first agent with one that answers every attempt with the
+// given pieces.
+func fakeAgent(t *testing.T, f *fleettest.Fleet, pieces []*wirepb.Piece) {
 	f.CrashAgent(f.Agents[0])
 	l := f.Network.Listen(f.Agents[0].Name)
 	t.Cleanup(func() { l.Close() })
@@ -36,12 +37,12 @@
 			if err != nil {
 				return
 			}
-			go serveFalsely(c, pieces)
+			go serveFake(c, pieces)
 		}
 	}()
 }
 
-func serveFalsely(c net.Conn, pieces []*wirepb.Piece) {
+func serveFake(c net.Conn, pieces []*wirepb.Piece) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p, err := wire.Accept(ctx, c, &wirepb.Hello{Node: "model-000", Incarnation: "false", Hall: "hall-1"})
@@ -49,9 +50,9 @@
 		return
 	}
 	defer p.Close(nil)
-	p.Send(wire.Control(1, &wirepb.Control_Load{Load: &wirepb.Load{Limit: 8}}))
+	p.Send(wire.NewControl(1, &wirepb.Control_Load{Load: &wirepb.Load{Limit: 8}}))
 	go func() {
-		for range p.Control() { // what the router tells is of no interest
+		for range p.Control() { // discard the router's control messages
 		}
 	}()
 	for {
@@ -72,13 +73,13 @@
 	}
 }
 
-// answerOf runs one request through a false agent.
+// answerOf sends one request to a fake agent that answers with the given pieces.
 func answerOf(t *testing.T, pieces ...*wirepb.Piece) (a fleettest.Answer) {
 	bubbletest.Run(t, func(t *testing.T) {
 		f := fleettest.Start(t, fleettest.Options{Routers: 1, Models: 1, Halls: 1})
-		falseAgent(t, f, pieces)
+		fakeAgent(t, f, pieces)
 		time.Sleep(10 * time.Second)
-		a = f.Do(context.Background(), fleettest.Call{Account: "solo", Tokens: 1, NoRepeat: true, Deadline: 20 * time.Second})
+		a = f.Do(context.Background(), fleettest.Call{Account: "solo", Tokens: 1, NonRepeatable: true, Deadline: 20 * time.Second})
 		f.Network.Crash("router-00")
 	})
 	return a
@@ -86,17 +87,17 @@
 
 func TestWholeChunksPass(t *testing.T) {
 	a := answerOf(t, chunk(0, "one "), chunk(1, "two"), endOf(2))
-	require.Equal(t, attempt.Ran{Complete: true}, a.Outcome)
+	require.Equal(t, attempt.Executed{Complete: true}, a.Outcome)
 	require.Equal(t, "one two", string(a.Body))
 }
 
 func TestDroppedChunkIsNotAWholeAnswer(t *testing.T) {
 	a := answerOf(t, chunk(0, "one "), endOf(2))
-	require.NotEqual(t, attempt.Ran{Complete: true}, a.Outcome)
+	require.NotEqual(t, attempt.Executed{Complete: true}, a.Outcome)
 }
 
 func TestRepeatedChunkDoesNotPass(t *testing.T) {
 	a := answerOf(t, chunk(0, "one "), chunk(0, "one "), endOf(2))
-	require.NotEqual(t, attempt.Ran{Complete: true}, a.Outcome)
+	require.NotEqual(t, attempt.Executed{Complete: true}, a.Outcome)
 	require.Equal(t, "one ", string(a.Body))
 }
--- a/fleettest/network.go
+++ b/fleettest/network.go
@@ -1,6 +1,6 @@
 // Package fleettest runs real routers and agents against small fakes at their
-// interfaces, for tests in virtual time: a network in memory with latency, cuts
-// and freezes, the platform's stand-in, and servers' stand-ins.
+// interfaces, for tests in virtual time: an in-memory network with latency, cuts
+// and freezes, a fake platform, and fake servers.
 //
 // # Usage
 //
@@ -10,8 +10,8 @@
 //		f.Network.Cut("hall-1", "hall-2")
 //	})
 //
-// It imitates no cluster: nodes are started, stopped and cut off one by one by
-// the test.
+// It does not simulate a cluster manager: the test itself starts, stops and cuts
+// off single nodes.
 package fleettest
 
 import (
@@ -33,7 +33,7 @@
 	conns     map[*conn]bool
 	cut       map[[2]string]bool // from, to: nothing is delivered
 	frozen    map[string]bool    // nothing is delivered from or to the node
-	halls     map[string]string  // hall of a node
+	halls     map[string]string  // by node
 	bytes     map[string]uint64  // sent by each node
 }
 
@@ -50,8 +50,8 @@
 	}
 }
 
-// Place tells in which hall a node stands; cuts name nodes or halls.
-func (n *Network) Place(node, hall string) {
+// SetHall sets the hall of a node. Cuts apply to nodes or halls.
+func (n *Network) SetHall(node, hall string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.halls[node] = hall
@@ -121,33 +121,35 @@
 }
 
 // CutOneWay stops delivery from one node or hall to another.
-func (n *Network) CutOneWay(from, to string) { n.change(func() { n.cut[[2]string{from, to}] = true }) }
+func (n *Network) CutOneWay(from, to string) {
+	n.applyFault(func() { n.cut[[2]string{from, to}] = true })
+}
 
 // Heal ends all cuts and freezes.
 func (n *Network) Heal() {
-	n.change(func() {
+	n.applyFault(func() {
 		clear(n.cut)
 		clear(n.frozen)
 	})
 }
 
 // Freeze stops delivery from and to a node, as when its process is paused.
-func (n *Network) Freeze(node string) { n.change(func() { n.frozen[node] = true }) }
+func (n *Network) Freeze(node string) { n.applyFault(func() { n.frozen[node] = true }) }
 
-// Thaw ends a freeze; what was held back arrives.
-func (n *Network) Thaw(node string) { n.change(func() { delete(n.frozen, node) }) }
+// Thaw ends a freeze and delivers what was withheld.
+func (n *Network) Thaw(node string) { n.applyFault(func() { delete(n.frozen, node) }) }
 
-// Break closes every connection between two nodes.
-func (n *Network) Break(a, b string) {
-	for _, c := range n.between(func(c *conn) bool {
+// CloseConns closes every connection between two nodes.
+func (n *Network) CloseConns(a, b string) {
+	for _, c := range n.matchingConns(func(c *conn) bool {
 		return (c.local == a && c.remote == b) || (c.local == b && c.remote == a)
 	}) {
 		c.Close()
 	}
 }
 
-// Sent returns the bytes that all nodes have sent.
-func (n *Network) Sent() uint64 {
+// SentBytes returns the total number of bytes that all nodes have sent.
+func (n *Network) SentBytes() uint64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	sum := uint64(0)
@@ -157,7 +159,7 @@
 	return sum
 }
 
-func (n *Network) count(node string, b int) {
+func (n *Network) addSent(node string, b int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.bytes[node] += uint64(b)
@@ -165,12 +167,12 @@
 
 // Crash closes every connection of a node at once.
 func (n *Network) Crash(node string) {
-	for _, c := range n.between(func(c *conn) bool { return c.local == node || c.remote == node }) {
+	for _, c := range n.matchingConns(func(c *conn) bool { return c.local == node || c.remote == node }) {
 		c.Close()
 	}
 }
 
-func (n *Network) between(match func(*conn) bool) []*conn {
+func (n *Network) matchingConns(match func(*conn) bool) []*conn {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	var list []*conn
@@ -182,8 +184,8 @@
 	return list
 }
 
-// change applies a fault and wakes all readers.
-func (n *Network) change(f func()) {
+// applyFault applies a fault and wakes all readers.
+func (n *Network) applyFault(f func()) {
 	n.mutex.Lock()
 	f()
 	var all []*conn
@@ -276,7 +278,7 @@
 // RemoteAddr implements net.Conn.
 func (c *conn) RemoteAddr() net.Addr { return address(c.remote) }
 
-// SetDeadline implements net.Conn; yamux keeps its own.
+// SetDeadline implements net.Conn. Deadlines are not needed: yamux has its own.
 func (c *conn) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline implements net.Conn.
@@ -285,7 +287,8 @@
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// windowBytes is how much one direction of a connection holds.
+// windowBytes is the number of bytes buffered in one direction of a connection above
+// which writes block.
 const windowBytes = 1 << 20
 
 // stream is one direction of a connection.
@@ -294,15 +297,15 @@
 	from, to string
 	mutex    sync.Mutex
 	packets  []packet
-	held     int
-	last     time.Time // when the packet read last arrived
+	buffered int
+	last     time.Time // arrival time of the packet read last
 	closed   bool
-	progress chan struct{} // closed and replaced at every change
+	progress chan struct{} // closed and replaced at every change of state
 }
 
 type packet struct {
 	bytes []byte
-	at    time.Time // when it arrives
+	at    time.Time // arrival time
 }
 
 func newStream(n *Network, from, to string) *stream {
@@ -312,10 +315,10 @@
 func (s *stream) wake() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.changed()
+	s.signal()
 }
 
-func (s *stream) changed() {
+func (s *stream) signal() {
 	close(s.progress)
 	s.progress = make(chan struct{})
 }
@@ -324,13 +327,13 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closed = true
-	s.changed()
+	s.signal()
 }
 
 func (s *stream) write(p []byte) (int, error) {
-	s.network.count(s.from, len(p))
+	s.network.addSent(s.from, len(p))
 	s.mutex.Lock()
-	for s.held > windowBytes && !s.closed {
+	for s.buffered > windowBytes && !s.closed {
 		progress := s.progress
 		s.mutex.Unlock()
 		<-progress
@@ -341,8 +344,8 @@
 		return 0, io.ErrClosedPipe
 	}
 	s.packets = append(s.packets, packet{bytes: append([]byte(nil), p...), at: time.Now().Add(s.network.Latency)})
-	s.held += len(p)
-	s.changed()
+	s.buffered += len(p)
+	s.signal()
 	return len(p), nil
 }
 
@@ -356,13 +359,14 @@
 		}
 		progress := s.progress
 		var wait time.Duration = -1
-		// What was sent in one instant is not torn apart by a cut: yamux holds a lock
-		// between a header and its body, and a lock that waits stops a bubble's clock.
-		begun := len(s.packets) > 0 && s.packets[0].at.Equal(s.last)
-		if len(s.packets) > 0 && (!blocked || begun) {
+		// A cut does not separate packets that were sent at the same instant. yamux holds
+		// a lock between a header and its body, and a goroutine blocked on a mutex stops
+		// the clock of a synctest bubble.
+		sameInstant := len(s.packets) > 0 && s.packets[0].at.Equal(s.last)
+		if len(s.packets) > 0 && (!blocked || sameInstant) {
 			wait = time.Until(s.packets[0].at)
 			if wait <= 0 {
-				n := s.take(p)
+				n := s.consume(p)
 				s.mutex.Unlock()
 				return n, nil
 			}
@@ -381,14 +385,14 @@
 	}
 }
 
-func (s *stream) take(p []byte) int {
+func (s *stream) consume(p []byte) int {
 	s.last = s.packets[0].at
 	n := copy(p, s.packets[0].bytes)
-	s.held -= n
+	s.buffered -= n
 	s.packets[0].bytes = s.packets[0].bytes[n:]
 	if len(s.packets[0].bytes) == 0 {
 		s.packets = s.packets[1:]
 	}
-	s.changed()
+	s.signal()
 	return n
 }
--- a/fleettest/random_test.go
+++ b/fleettest/random_test.go
@@ -25,24 +25,24 @@
 	simulated = flag.Duration("simulated", 10*time.Minute, "virtual time of each seed")
 )
 
-// keptSeeds found violations once and are run for ever after.
-var keptSeeds = []uint64{}
+// regressionSeeds are seeds that have found violations; they are always run.
+var regressionSeeds = []uint64{}
 
-// tally counts what a randomised run saw.
+// tally counts the outcomes of a randomised run.
 type tally struct {
-	mutex    sync.Mutex
-	outcomes map[string]int
-	faults   int
-	repeated int // answers of a caller's retry under its idempotency key
+	mutex        sync.Mutex
+	outcomes     map[string]int
+	faults       int
+	keyedRetries int // retries of callers with an idempotency key
 }
 
-// TestRandomised runs random callers through random faults, several at once.
+// TestRandomised runs random callers under random, overlapping faults.
 func TestRandomised(t *testing.T) {
 	for i := range *seeds {
 		seed := *firstSeed + i
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { randomRun(t, seed) })
 	}
-	for _, seed := range keptSeeds {
+	for _, seed := range regressionSeeds {
 		t.Run(fmt.Sprintf("kept seed %d", seed), func(t *testing.T) { randomRun(t, seed) })
 	}
 }
@@ -52,7 +52,7 @@
 		f := fleettest.Start(t, fleettest.Options{
 			Routers: 3, Models: 3, Halls: 3, Services: 1, Latency: 5 * time.Millisecond,
 			Accounts: []config.Account{{Name: "solo", Share: 1}, {Name: "other", Share: 2}},
-			Model:    enginetest.ModelOptions{Signed: true, DecodeStep: 50 * time.Millisecond},
+			Model:    enginetest.ModelOptions{TagTokens: true, DecodeStep: 50 * time.Millisecond},
 		})
 		stop := watchRevisions(t, f)
 		ctx, cancel := context.WithTimeout(context.Background(), *simulated)
@@ -69,13 +69,14 @@
 		stop()
 		f.Network.Heal()
 		requireRecovery(t, f)
-		t.Logf("figure randomised seed %d: %s virtual, %d faults, outcomes %v, retries under a key %d", seed, *simulated, sum.faults, sum.outcomes, sum.repeated)
+		t.Logf("figure randomised seed %d: %s virtual, %d faults, outcomes %v, retries under a key %d", seed, *simulated, sum.faults, sum.outcomes, sum.keyedRetries)
 	})
 }
 
-// timedKey returns a version 7 UUID of the bubble's clock. The library's own
-// generator never goes back in time, from one bubble to the next either.
-func timedKey(random *rand.Rand) string {
+// newKey returns a version 7 UUID with the time of the bubble's clock. The generator of
+// the uuid package is monotonic for the whole process, so it would keep the time of an
+// earlier bubble.
+func newKey(random *rand.Rand) string {
 	var u uuid.UUID
 	for i := range u {
 		u[i] = byte(random.Uint32())
@@ -89,7 +90,7 @@
 	return u.String()
 }
 
-// randomFaults strikes again and again, also while earlier faults last.
+// randomFaults injects faults until ctx ends, also while earlier faults are active.
 func randomFaults(ctx context.Context, f *fleettest.Fleet, random *rand.Rand, sum *tally) {
 	var running sync.WaitGroup
 	for ctx.Err() == nil {
@@ -101,8 +102,8 @@
 		}
 		x := fleettest.Faults[random.IntN(len(fleettest.Faults))]
 		sum.faults++
-		if x.Router {
-			x.Run(ctx, f) // one process is not crashed twice at once
+		if x.HitsCallerRouter {
+			x.Run(ctx, f) // a router must not be crashed twice at once
 			continue
 		}
 		running.Go(func() { x.Run(ctx, f) })
@@ -113,31 +114,31 @@
 func randomCaller(ctx context.Context, t *testing.T, f *fleettest.Fleet, random *rand.Rand, sum *tally) {
 	for ctx.Err() == nil {
 		c := call(random.IntN(2) == 0)
-		c.Router = 1 + random.IntN(2) // the first router crashes: its callers see nothing
+		c.Router = 1 + random.IntN(2) // the first router crashes, so its callers may get no answer
 		c.Account = []string{"solo", "other"}[random.IntN(2)]
 		c.Urgent = random.IntN(4) == 0
 		if random.IntN(3) == 0 {
-			c.Pool, c.NoRepeat = fleettest.ServicePool, true
+			c.Pool, c.NonRepeatable = fleettest.ServicePool, true
 		}
-		if c.NoRepeat && random.IntN(2) == 0 {
-			c.Key = timedKey(random)
+		if c.NonRepeatable && random.IntN(2) == 0 {
+			c.IdempotencyKey = newKey(random)
 		}
 		first := f.Do(context.Background(), c)
-		checkPromises(t, f, c, first)
+		checkGuarantees(t, f, c, first)
 		sum.count(first)
-		if c.Key != "" {
+		if c.IdempotencyKey != "" {
 			retryUnderKey(t, f, c, first, random, sum)
 		}
 		time.Sleep(time.Duration(random.Int64N(int64(2 * time.Second))))
 	}
 }
 
-// retryUnderKey makes a caller's own retry at another router; both together must
-// have run at most once.
+// retryUnderKey retries a request with its idempotency key, as a caller does, possibly
+// at another router. Both together must run at most once.
 func retryUnderKey(t *testing.T, f *fleettest.Fleet, c fleettest.Call, first fleettest.Answer, random *rand.Rand, sum *tally) {
 	c.Router = 1 + random.IntN(2)
 	second := f.Do(context.Background(), c)
-	checkPromises(t, f, c, fleettest.Answer{ID: first.ID, Outcome: attempt.Unknown{}})
+	checkGuarantees(t, f, c, fleettest.Answer{ID: first.ID, Outcome: attempt.Unknown{}})
 	runs := 0
 	for _, g := range f.Agents {
 		var counts map[string]int
@@ -148,17 +149,17 @@
 		}
 		runs += counts[first.ID] + counts[second.ID]
 	}
-	require.LessOrEqual(t, runs, 1, "a caller's retry under its key ran again")
+	require.LessOrEqual(t, runs, 1, "a retry with the same idempotency key ran again")
 	sum.mutex.Lock()
 	defer sum.mutex.Unlock()
-	sum.repeated++
+	sum.keyedRetries++
 }
 
 func (s *tally) count(a fleettest.Answer) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	text := outcomeText(a)
-	if o, notRun := a.Outcome.(attempt.NotRun); notRun {
+	if o, notRun := a.Outcome.(attempt.NotExecuted); notRun {
 		text += " (" + string(o.Cause) + ")"
 	}
 	s.outcomes[text]++
--- a/gateway/changelog_test.go
+++ b/gateway/changelog_test.go
@@ -15,38 +15,38 @@
 	"opalbridge.dev/gateway/catalog"
 )
 
-// TestPartsTellAll: a gateway that is handed only what has changed knows what the one knows
-// that follows the store.
-func TestPartsTellAll(t *testing.T) {
-	isOfStore := func(a worldAction) bool {
+// TestPartialViewsAreComplete: a gateway that is handed only changes ends up with the same view as
+// the peer that follows the store.
+func TestPartialViewsAreComplete(t *testing.T) {
+	isOfStore := func(a simAction) bool {
 		return strings.HasPrefix(a.name, "server") || strings.HasPrefix(a.name, "hall")
 	}
-	node := worldNode(t)
-	var actions []worldAction
-	for _, a := range worldActions() {
+	node := newPeerNode(t)
+	var actions []simAction
+	for _, a := range simActions() {
 		if isOfStore(a) {
 			actions = append(actions, a)
 		}
 	}
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		w := newWorld(t, node)
+		w := newSimWorld(t, node)
 		for range 40 {
 			actions[r.IntN(len(actions))].do(w)
 			if r.IntN(3) == 0 {
-				id := r.IntN(worldServers)
+				id := r.IntN(simServers)
 				w.present[id] = false
-				w.write(ServerGone{Name: w.servers[id].ID})
+				w.write(ServerRemoved{Name: w.servers[id].ID})
 			}
 			if r.IntN(2) == 0 {
-				w.hear(0)
-				w.hand(0, 1)
+				w.watchStore(0)
+				w.handOver(0, 1)
 				require.True(t, w.gateways[1].view.Load().Revision >= w.gateways[0].view.Load().Revision)
 			}
-			w.now = w.now.Add(worldStep)
+			w.now = w.now.Add(simStep)
 		}
-		w.hear(0)
-		w.hand(0, 1)
+		w.watchStore(0)
+		w.handOver(0, 1)
 		of, to := w.gateways[0].view.Load(), w.gateways[1].view.Load()
 		require.Equal(t, of.Servers, to.Servers, "seed %d", seed)
 		for hall := range of.Evacuated {
@@ -62,32 +62,32 @@
 	}
 }
 
-// TestHandoversGrowWithChanges: what a gateway is told of one change among many servers.
-func TestHandoversGrowWithChanges(t *testing.T) {
+// TestPartialViewSize measures what a gateway is sent after one change among many servers.
+func TestPartialViewSize(t *testing.T) {
 	const servers = 3000
-	w := newWorld(t, worldNode(t))
-	w.hear(0)
+	w := newSimWorld(t, newPeerNode(t))
+	w.watchStore(0)
 	list := make([]Change, servers)
 	for i := range list {
 		list[i] = ServerChanged{Server: catalog.Server{ID: fmt.Sprintf("i-%04d", i), Service: "s", Hall: "h0", Address: "10.0.0.1:80"}}
 	}
 	g := w.gateways[0]
 	known := g.view.Load().Revision
-	g.follower.takeChanges(w.now, list, known+servers)
+	g.storeWatcher.applyChanges(w.now, list, known+servers)
 	asking := url.Values{sinceKey: {fmt.Sprint(uint64(known + servers))}, versionKey: {"1"}}
-	g.follower.takeChanges(w.now, list[:1], known+servers+1)
-	whole, err := g.packedView(w.now, url.Values{})
+	g.storeWatcher.applyChanges(w.now, list[:1], known+servers+1)
+	whole, err := g.encodedView(w.now, url.Values{})
 	require.NoError(t, err)
-	part, err := g.packedView(w.now, asking)
+	part, err := g.encodedView(w.now, asking)
 	require.NoError(t, err)
 	fmt.Printf("figure handover-one-change-of-3000 %d bytes (whole view %d)\n", len(part), len(whole))
 	require.Less(t, len(part), 1000)
 }
 
-// TestChangeLog: which revisions the log tells of.
+// TestChangeLog tests how far back the log reaches.
 func TestChangeLog(t *testing.T) {
 	l := changeLog{}
-	l.restart(10)
+	l.reset(10)
 	l.add(11, "a")
 	l.add(12, "b")
 	l.add(12, "a")
@@ -101,14 +101,14 @@
 		require.Equal(t, test.ok, ok, test.since)
 		require.Equal(t, test.want, slices.Sorted(maps.Keys(servers)), test.since)
 	}
-	kept := l // a view's copy
-	for n := range catalog.Revision(2 * mostLogged) {
+	kept := l // as a view does
+	for n := range catalog.Revision(2 * maxLogEntries) {
 		l.add(13+n, "c")
 	}
 	_, ok := l.since(12)
-	require.False(t, ok, "what was dropped is not told of")
-	_, ok = l.since(12 + 2*mostLogged - 1)
+	require.False(t, ok, "dropped entries are not reported")
+	_, ok = l.since(12 + 2*maxLogEntries - 1)
 	require.True(t, ok)
 	servers, _ := kept.since(10)
-	require.Len(t, servers, 2, "a copy stays as it was")
+	require.Len(t, servers, 2, "a copy does not change")
 }
--- a/gateway/lifetimes.go
+++ b/gateway/lifetimes.go
@@ -6,97 +6,102 @@
 	"opalbridge.dev/gateway/catalog"
 )
 
-// This file keeps which servers there are, each from one start to its end.
+// This file maintains the set of servers, each as one lifetime from a start to its end.
 
-func (f *follower) set(s catalog.Server) {
-	delete(f.missing, s.ID)
-	s.Evacuated = false // publish fills it in
-	f.endBefore(s)
-	delete(f.memory.gone, s.Name())
-	f.log.add(f.mark, s.ID)
-	if old, known := f.servers[s.ID]; !known || old != s {
-		f.gateway.log.Info().Str("event", "server.changed").Str("server", s.ID).Str("service", s.Service).
-			Str("address", s.Address).Str("hall", s.Hall).Bool("leaving", s.Leaving).Bool("new", !known).Msg("server entry")
+// upsertServer adds or replaces a server by its entry.
+func (w *storeWatcher) upsertServer(s catalog.Server) {
+	delete(w.missingUntil, s.ID)
+	s.Evacuated = false // set by publish
+	w.dropPreviousLifetime(s)
+	delete(w.tombstones.servers, s.Name())
+	w.serverChanges.add(w.changeRevision, s.ID)
+	if old, known := w.servers[s.ID]; !known || old != s {
+		w.gateway.log.Info().Str("event", "server.changed").Str("server", s.ID).Str("service", s.Service).
+			Str("address", s.Address).Str("hall", s.Hall).Bool("leaving", s.Leaving).Bool("new", !known).Msg("server entry changed")
 	}
-	f.put(s)
+	w.putServer(s)
 }
 
-func (f *follower) put(s catalog.Server) {
-	if _, known := f.servers[s.ID]; !known {
-		f.order = nil
+// putServer stores a server as its current lifetime.
+func (w *storeWatcher) putServer(s catalog.Server) {
+	if _, known := w.servers[s.ID]; !known {
+		w.sortedIDs = nil
 	}
-	f.servers[s.ID] = s
-	f.current[s.Name()] = s.ID
+	w.servers[s.ID] = s
+	w.currentIDs[s.Name()] = s.ID
 }
 
-// endBefore drops the lifetime that a server had before it started again. News come in the
-// order of the store's revisions, so what is told now is the later one, whatever the clock of
-// the server's host said at the two starts.
-func (f *follower) endBefore(s catalog.Server) {
-	before, known := f.current[s.Name()]
-	if !known || before == s.ID {
+// dropPreviousLifetime drops the lifetime that a server had before a restart. Updates
+// come in the order of the store's revisions, so s is the later one whatever the host's clock
+// said at the two starts.
+func (w *storeWatcher) dropPreviousLifetime(s catalog.Server) {
+	previous, known := w.currentIDs[s.Name()]
+	if !known || previous == s.ID {
 		return
 	}
-	f.gateway.log.Info().Str("event", "server.started_again").Str("server", s.Name()).
-		Int64("born", s.Born).Int64("before", f.servers[before].Born).EmbedObject(atRevision(f.mark)).
-		Msg("nothing that was learned of it holds")
-	f.drop(before)
+	w.gateway.log.Info().Str("event", "server.started_again").Str("server", s.Name()).
+		Int64("born", s.Born).Int64("before", w.servers[previous].Born).EmbedObject(revisionFields(w.changeRevision)).
+		Msg("server has restarted; its former state is discarded")
+	w.dropServer(previous)
 }
 
-// dropNamed drops the server of that name at once.
-func (f *follower) dropNamed(name string) {
-	if id, known := f.current[name]; known {
-		f.drop(id)
+// dropServerByName drops a server at once, by its name.
+func (w *storeWatcher) dropServerByName(name string) {
+	if id, known := w.currentIDs[name]; known {
+		w.dropServer(id)
 	}
 }
 
-func (f *follower) remove(now time.Time, id string) {
-	s, known := f.servers[id]
+// removeServer drops a server whose entry is gone, after a grace period if the store was
+// unreachable a moment ago.
+func (w *storeWatcher) removeServer(now time.Time, id string) {
+	s, known := w.servers[id]
 	if !known {
 		return
 	}
-	if f.grace(now) && !s.Leaving {
-		if _, already := f.missing[id]; !already {
-			f.missing[id] = f.failed.Add(returnGrace)
-			f.gateway.log.Info().Str("event", "server.missing").Str("server", id).Msg("kept for a moment: the store was away")
+	if w.withinGrace(now) && !s.Leaving {
+		if _, already := w.missingUntil[id]; !already {
+			w.missingUntil[id] = w.lastFailure.Add(reregistrationGrace)
+			w.gateway.log.Info().Str("event", "server.missing").Str("server", id).Msg("entry expired while the store was unreachable; server is kept for a grace period")
 		}
 		return
 	}
-	f.drop(id)
+	w.dropServer(id)
 }
 
-// drop forgets a server.
-func (f *follower) drop(id string) {
-	if s, known := f.servers[id]; known {
-		f.memory.dropped(f.now, s)
+// dropServer drops a server at once, without a grace period.
+func (w *storeWatcher) dropServer(id string) {
+	if s, known := w.servers[id]; known {
+		w.tombstones.addServer(w.applyTime, s)
 	}
-	f.log.add(f.mark, id)
-	delete(f.servers, id)
-	if name := catalog.ServerName(id); f.current[name] == id {
-		delete(f.current, name)
+	w.serverChanges.add(w.changeRevision, id)
+	delete(w.servers, id)
+	if name := catalog.ServerName(id); w.currentIDs[name] == id {
+		delete(w.currentIDs, name)
 	}
-	f.order = nil
-	delete(f.missing, id)
-	delete(f.cold, id)
-	f.gateway.log.Info().Str("event", "server.gone").Str("server", id).Msg("no new work")
+	w.sortedIDs = nil
+	delete(w.missingUntil, id)
+	delete(w.cold, id)
+	w.gateway.log.Info().Str("event", "server.gone").Str("server", id).Msg("server is gone; it gets no new work")
 }
 
-// dropMissing removes servers whose entry has not come back.
-func (f *follower) dropMissing(now time.Time) {
-	f.now = now
+// expireMissing drops servers whose entry has not been written again within the grace period,
+// and ends the reconciliation after a restore of the store when its time is over.
+func (w *storeWatcher) expireMissing(now time.Time) {
+	w.applyTime = now
 	dropped := false
-	f.mark = f.gateway.view.Load().Revision + 1 // no change of the store says so
-	for id, until := range f.missing {
+	w.changeRevision = w.gateway.view.Load().Revision + 1 // the store has no revision for this change
+	for id, until := range w.missingUntil {
 		if now.After(until) {
-			f.drop(id)
+			w.dropServer(id)
 			dropped = true
 		}
 	}
-	settled, takenBack := f.settle(now), f.takeBackLost(now)
-	if dropped || settled || takenBack {
-		f.publishAgain()
+	reconciled, reverted := w.finishReconciliation(now), w.revertLostOrders(now)
+	if dropped || reconciled || reverted {
+		w.republish()
 	}
-	if now.Sub(f.gateway.confirmedAt()) < unconfirmed {
-		f.memory.forget(now) // while the store is away, it may come back from a copy of before
+	if now.Sub(w.gateway.confirmedAt()) < confirmationTimeout {
+		w.tombstones.expire(now) // not while the store is unreachable: it may come back restored from an older backup
 	}
 }
--- a/gateway/rollout_view.go
+++ b/gateway/rollout_view.go
@@ -8,97 +8,97 @@
 	"opalbridge.dev/gateway/rollout"
 )
 
-// This file keeps what the view tells of roll-outs. package rollout decides on them.
+// This file keeps the rollouts of a view. Package rollout decides how they proceed.
 
-// ordered is what is known of a service's roll-out.
-type ordered struct {
-	Order  rollout.Order // zero: there is none, or it has been withdrawn
-	Since  time.Time     // when this gateway, or the one that told it, heard of the order
+// rolloutRecord is the order and the status of a service's rollout.
+type rolloutRecord struct {
+	Order  rollout.Order // zero: none, or withdrawn
+	Since  time.Time     // when the first gateway that passed it on heard of the order
 	Status rollout.Status
 }
 
-// takeOrder takes over what operators want of a service.
-func (f *follower) takeOrder(now time.Time, o rollout.Order) {
-	known := f.rollouts[o.Service]
+// applyOrder takes over an order of the operators.
+func (w *storeWatcher) applyOrder(now time.Time, o rollout.Order) {
+	known := w.rollouts[o.Service]
 	if known.Order == o {
 		return
 	}
 	known.Order, known.Since = o, now
-	f.setRollout(o.Service, known)
-	f.gateway.log.Info().Str("event", "rollout.ordered").Str("service", o.Service).Str("target", o.Target).
-		Dur("within", o.Duration).EmbedObject(atRevision(o.Revision)).Msg("a new version gets a few requests first")
+	w.setRollout(o.Service, known)
+	w.gateway.log.Info().Str("event", "rollout.ordered").Str("service", o.Service).Str("target", o.Target).
+		Dur("within", o.Duration).EmbedObject(revisionFields(o.Revision)).Msg("new version gets a small share of requests first")
 }
 
-// withdraw takes over that operators have taken an order back. What was said of it still holds:
-// a version that was taken back gets nothing.
-func (f *follower) withdraw(service string) {
-	known := f.rollouts[service]
+// withdrawOrder removes an order that the operators have withdrawn. Its status stays in
+// force: a version that was rolled back gets no requests.
+func (w *storeWatcher) withdrawOrder(service string) {
+	known := w.rollouts[service]
 	if known.Order == (rollout.Order{}) {
 		return
 	}
 	known.Order = rollout.Order{}
-	f.setRollout(service, known)
-	f.gateway.log.Info().Str("event", "rollout.withdrawn").Str("service", service).Msg("no order any more")
+	w.setRollout(service, known)
+	w.gateway.log.Info().Str("event", "rollout.withdrawn").Str("service", service).Msg("rollout order withdrawn")
 }
 
-// stated takes over what was said of a service's roll-out.
-func (f *follower) stated(service string, s rollout.Status) {
-	known := f.rollouts[service]
+// applyRolloutStatus takes over the stored status of a service's rollout.
+func (w *storeWatcher) applyRolloutStatus(service string, s rollout.Status) {
+	known := w.rollouts[service]
 	if s != (rollout.Status{}) && s.Revision < known.Status.Revision {
 		return
 	}
 	known.Status = s
-	f.setRollout(service, known)
+	w.setRollout(service, known)
 }
 
-// setRollout replaces what is known of a roll-out; views share the map.
-func (f *follower) setRollout(service string, o ordered) {
-	changed := make(map[string]ordered, len(f.rollouts)+1)
-	maps.Copy(changed, f.rollouts)
+// setRollout replaces a rollout. Views share the map, so it is copied.
+func (w *storeWatcher) setRollout(service string, o rolloutRecord) {
+	changed := make(map[string]rolloutRecord, len(w.rollouts)+1)
+	maps.Copy(changed, w.rollouts)
 	changed[service] = o
 	if o.Order == (rollout.Order{}) && o.Status == (rollout.Status{}) {
 		delete(changed, service)
 	}
-	f.rollouts = changed
+	w.rollouts = changed
 }
 
-// listedRollouts takes over what a list of the store tells. While the store may lack what it
-// had, nothing is taken from it that it does not name.
-func (f *follower) listedRollouts(now time.Time, s Snapshot) {
-	for service, o := range s.Orders {
-		if known := f.rollouts[service]; known.Order.Target == o.Target && known.Order.Duration == o.Duration && f.settling(now) {
-			known.Order = o // as it stands in the copy: the same order, and as old
-			f.setRollout(service, known)
+// applyListedRollouts takes over the rollouts of a list from the store. While the store may
+// lack recent writes, rollouts that the list does not name are kept.
+func (w *storeWatcher) applyListedRollouts(now time.Time, s Snapshot) {
+	for service, o := range s.RolloutOrders {
+		if known := w.rollouts[service]; known.Order.Target == o.Target && known.Order.Duration == o.Duration && w.reconciling(now) {
+			known.Order = o // the same order under the revision of the restored store; its age stays
+			w.setRollout(service, known)
 			continue
 		}
-		f.takeOrder(now, o)
+		w.applyOrder(now, o)
 	}
-	for service := range f.rollouts {
-		if _, still := s.Orders[service]; !still && !f.settling(now) {
-			f.withdraw(service)
+	for service := range w.rollouts {
+		if _, still := s.RolloutOrders[service]; !still && !w.reconciling(now) {
+			w.withdrawOrder(service)
 		}
 	}
-	for service, status := range s.Statuses {
-		f.stated(service, status)
+	for service, status := range s.RolloutStatuses {
+		w.applyRolloutStatus(service, status)
 	}
 }
 
-// takeRollouts takes over what another gateway knows that knows more of the store.
-func (f *follower) takeRollouts(now time.Time, told map[string]ordered) {
-	for service, o := range told {
-		if known := f.rollouts[service]; known.Order == o.Order && known.Since.Before(o.Since) {
+// applyPeerRollouts takes over the rollouts of a gateway whose view is newer.
+func (w *storeWatcher) applyPeerRollouts(now time.Time, received map[string]rolloutRecord) {
+	for service, o := range received {
+		if known := w.rollouts[service]; known.Order == o.Order && known.Since.Before(o.Since) {
 			o.Since = known.Since
 		}
-		f.setRollout(service, o)
+		w.setRollout(service, o)
 	}
-	for service := range f.rollouts {
-		if _, still := told[service]; !still && !f.settling(now) {
-			f.setRollout(service, ordered{})
+	for service := range w.rollouts {
+		if _, still := received[service]; !still && !w.reconciling(now) {
+			w.setRollout(service, rolloutRecord{})
 		}
 	}
 }
 
-// rolloutDocument is a roll-out on its way to another gateway.
+// rolloutDocument is the encoding of a rollout in a view document.
 type rolloutDocument struct {
 	Target         string           `json:"target,omitempty"`
 	DurationMS     int64            `json:"duration_ms,omitempty"`
@@ -109,7 +109,7 @@
 	StatusRevision catalog.Revision `json:"status_revision,omitempty"`
 }
 
-// addRollouts adds what a view tells of roll-outs.
+// addRollouts adds the rollouts of a view.
 func (d *viewDocument) addRollouts(now time.Time, v *View) {
 	for service, o := range v.Rollouts {
 		if d.Rollouts == nil {
@@ -124,14 +124,14 @@
 	}
 }
 
-// rollouts returns what a view document that has arrived tells.
-func (d viewDocument) rollouts(now time.Time) map[string]ordered {
-	list := make(map[string]ordered, len(d.Rollouts))
+// decodeRollouts returns the rollouts of a received view document.
+func (d viewDocument) decodeRollouts(now time.Time) map[string]rolloutRecord {
+	list := make(map[string]rolloutRecord, len(d.Rollouts))
 	for service, r := range d.Rollouts {
-		o := ordered{Status: rollout.Status{State: r.State, Target: r.StateTarget, Revision: r.StatusRevision}}
+		o := rolloutRecord{Status: rollout.Status{State: r.State, Target: r.StateTarget, Revision: r.StatusRevision}}
 		if r.Target != "" {
 			o.Order = rollout.Order{Service: service, Target: r.Target, Duration: time.Duration(r.DurationMS) * time.Millisecond, Revision: r.Revision}
-			o.Since = before(now, r.AgeMS)
+			o.Since = timeAgo(now, r.AgeMS)
 		}
 		list[service] = o
 	}
--- a/gateway/share/share_test.go
+++ b/gateway/share/share_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestLevel(t *testing.T) {
+func TestMaxMinShare(t *testing.T) {
 	tests := []struct {
 		name     string
 		demands  []float64
@@ -22,19 +22,19 @@
 		{"all fit", []float64{1, 2, 3}, 6, 0},
 		{"one is large", []float64{1, 1, 100}, 12, 10},
 		{"even", []float64{10, 10, 10, 10}, 20, 5},
-		{"nobody asks", nil, 10, 0},
+		{"no demands", nil, 10, 0},
 		{"no capacity", []float64{1, 2}, 0, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			require.InDelta(t, test.want, share.Level(test.demands, test.capacity), 1e-9)
+			require.InDelta(t, test.want, share.MaxMinShare(test.demands, test.capacity), 1e-9)
 		})
 	}
 }
 
-// TestLevelUsesCapacity: met up to the level, demands use all there is, and nobody
-// who gets less than it asked gets less than another.
-func TestLevelUsesCapacity(t *testing.T) {
+// TestMaxMinShareUsesCapacity: demands met up to the level use all of the capacity, and no
+// account that gets less than it asked gets less than another.
+func TestMaxMinShareUsesCapacity(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 1000 {
 		demands := make([]float64, 1+r.IntN(20))
@@ -44,7 +44,7 @@
 			sum += demands[i]
 		}
 		capacity := r.ExpFloat64() * 5
-		level := share.Level(demands, capacity)
+		level := share.MaxMinShare(demands, capacity)
 		if level == 0 {
 			require.LessOrEqual(t, sum, capacity+1e-9)
 			continue
@@ -57,109 +57,109 @@
 	}
 }
 
-func TestStanding(t *testing.T) {
-	b := share.NewBook(4 * time.Second)
-	ask := func(now time.Time, account string, tokens float64, admit bool) {
-		b.Ask(now, account, tokens)
+func TestStatus(t *testing.T) {
+	tr := share.NewTracker(4 * time.Second)
+	record := func(now time.Time, account string, tokens float64, admit bool) {
+		tr.RecordAsked(now, account, tokens)
 		if admit {
-			b.Admit(now, account, tokens)
+			tr.RecordAdmitted(now, account, tokens)
 		}
 	}
-	ask(start, "large", 9000, true)
-	ask(start, "large", 9000, false)
-	ask(start, "small", 500, true)
-	b.Settle(start, 1000) // 4,000 in a window
-	require.True(t, b.Standing("large").Over)
-	require.GreaterOrEqual(t, b.Standing("large").Ahead, 1.0)
-	require.False(t, b.Standing("small").Over)
-	require.Less(t, b.Standing("small").Ahead, 1.0)
-	require.False(t, b.Standing("unknown").Over)
+	record(start, "large", 9000, true)
+	record(start, "large", 9000, false)
+	record(start, "small", 500, true)
+	tr.Recompute(start, 1000) // 4,000 tokens per window
+	require.True(t, tr.Status("large").OverShare)
+	require.GreaterOrEqual(t, tr.Status("large").ShareRatio, 1.0)
+	require.False(t, tr.Status("small").OverShare)
+	require.Less(t, tr.Status("small").ShareRatio, 1.0)
+	require.False(t, tr.Status("unknown").OverShare)
 
 	later := start.Add(5 * time.Second)
-	b.Settle(later, 1000)
-	require.False(t, b.Standing("large").Over, "the window has passed")
+	tr.Recompute(later, 1000)
+	require.False(t, tr.Status("large").OverShare, "outside the window")
 }
 
-// TestStop: what beyond its share an account gets is bounded by what the one that presses and
-// got least has, however many servers run dry for it.
-//
-// An account that had been silent came back and got 1.0, 0.7 and 0.5 million tokens in its
-// first seconds, at up to 2.4 times an even part, from servers that ran dry at gateways where
-// it tried often. Another one pressed meanwhile, got 0.14 million a second at 0.6 of an even
-// part, and was refused 200 times a second at the busy servers of its prompts: 0.9 beside 2.9
-// million in six seconds.
-func TestStop(t *testing.T) {
-	const rate = 1000 // 4,000 tokens in a window
+// TestCapped: the tokens that an account gets beyond its share are bounded by those of the
+// backlogged account that got least, however many servers run idle. An account that returned
+// after a silence got 1.0, 0.7 and 0.5 million tokens in its first seconds, up to 2.4 times an
+// even part, from servers that ran idle at gateways where it retried often. Meanwhile a
+// backlogged account got 0.14 million tokens per second, 0.6 of an even part, and was refused
+// 200 times a second at the busy servers that cached its prompts: 0.9 against 2.9 million
+// tokens in six seconds.
+func TestCapped(t *testing.T) {
+	const rate = 1000 // 4,000 tokens per window
 	tests := []struct {
 		name    string
-		demands []share.Demand // the first one's account is looked at
-		stop    bool
+		demands []share.Demand // the first account is the one checked
+		capped  bool
 	}{
 		{"far ahead", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}, {Account: "b", Asked: 40000, Admitted: 4000}}, true},
 		{"ahead", []share.Demand{{Account: "a", Asked: 60000, Admitted: 5900}, {Account: "b", Asked: 40000, Admitted: 4000}}, false},
 		{"behind", []share.Demand{{Account: "a", Asked: 40000, Admitted: 4000}, {Account: "b", Asked: 60000, Admitted: 6100}}, false},
-		{"the other one gets most of what it asks", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}, {Account: "b", Asked: 4100, Admitted: 4000}}, false},
-		{"the other one has just come", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}, {Account: "b", Asked: 1000}}, false},
-		{"the other one presses and has not got its share yet", []share.Demand{{Account: "a", Asked: 60000, Admitted: 2900}, {Account: "b", Asked: 40000}}, false},
-		{"nobody else is there", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}}, false},
+		{"the other one is not backlogged", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}, {Account: "b", Asked: 4100, Admitted: 4000}}, false},
+		{"the other one is new", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}, {Account: "b", Asked: 1000}}, false},
+		{"the other one is backlogged and below its share", []share.Demand{{Account: "a", Asked: 60000, Admitted: 2900}, {Account: "b", Asked: 40000}}, false},
+		{"no other account", []share.Demand{{Account: "a", Asked: 60000, Admitted: 6100}}, false},
 		{"all fits", []share.Demand{{Account: "a", Asked: 3000, Admitted: 3000}, {Account: "b", Asked: 900, Admitted: 300}}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := share.NewBook(4 * time.Second)
-			b.SetOthers("10.0.0.2", test.demands)
-			b.Settle(start, rate)
-			require.Equal(t, test.stop, b.Standing("a").Stop)
+			tr := share.NewTracker(4 * time.Second)
+			tr.SetRemoteDemands("10.0.0.2", test.demands)
+			tr.Recompute(start, rate)
+			require.Equal(t, test.capped, tr.Status("a").Capped)
 		})
 	}
 }
 
-func TestOthersCount(t *testing.T) {
-	b := share.NewBook(4 * time.Second)
-	b.Ask(start, "a", 100)
-	b.Admit(start, "a", 100)
-	b.SetOthers("10.0.0.2", []share.Demand{{Account: "a", Asked: 5000, Admitted: 4000}, {Account: "b", Asked: 3000, Admitted: 1000}})
-	b.Settle(start, 1000)
-	require.True(t, b.Standing("a").Over)
-	require.False(t, b.Standing("b").Over)
-	b.SetOthers("10.0.0.2", nil)
-	b.Settle(start, 1000)
-	require.False(t, b.Standing("a").Over, "the other gateway has gone")
+func TestRemoteDemands(t *testing.T) {
+	tr := share.NewTracker(4 * time.Second)
+	tr.RecordAsked(start, "a", 100)
+	tr.RecordAdmitted(start, "a", 100)
+	tr.SetRemoteDemands("10.0.0.2", []share.Demand{{Account: "a", Asked: 5000, Admitted: 4000}, {Account: "b", Asked: 3000, Admitted: 1000}})
+	tr.Recompute(start, 1000)
+	require.True(t, tr.Status("a").OverShare)
+	require.False(t, tr.Status("b").OverShare)
+	tr.SetRemoteDemands("10.0.0.2", nil)
+	tr.Recompute(start, 1000)
+	require.False(t, tr.Status("a").OverShare, "the other gateway has gone")
 }
 
-func TestNoRateKnown(t *testing.T) {
-	b := share.NewBook(4 * time.Second)
-	b.Ask(start, "a", 1e9)
-	b.Admit(start, "a", 1e9)
-	b.Settle(start, 0)
-	require.False(t, b.Standing("a").Over)
+func TestUnknownRate(t *testing.T) {
+	tr := share.NewTracker(4 * time.Second)
+	tr.RecordAsked(start, "a", 1e9)
+	tr.RecordAdmitted(start, "a", 1e9)
+	tr.Recompute(start, 0)
+	require.False(t, tr.Status("a").OverShare)
 }
 
-func TestOwnForgets(t *testing.T) {
-	b := share.NewBook(4 * time.Second)
-	b.Ask(start, "a", 10)
-	require.Len(t, b.Own(start), 1)
-	require.Empty(t, b.Own(start.Add(time.Minute)))
+func TestLocalDemandsExpire(t *testing.T) {
+	tr := share.NewTracker(4 * time.Second)
+	tr.RecordAsked(start, "a", 10)
+	require.Len(t, tr.LocalDemands(start), 1)
+	require.Empty(t, tr.LocalDemands(start.Add(time.Minute)))
 }
 
-// TestTakeBack: what did not begin to run counts no more, in the window that it was counted in.
-func TestTakeBack(t *testing.T) {
+// TestRevertAdmitted: tokens of a request that did not run are subtracted in the bucket in
+// which they were counted.
+func TestRevertAdmitted(t *testing.T) {
 	now := time.Now()
-	b := share.NewBook(4 * time.Second)
-	b.Ask(now, "a", 100)
-	b.Admit(now, "a", 60)
-	b.Admit(now.Add(time.Second), "a", 40)
+	tr := share.NewTracker(4 * time.Second)
+	tr.RecordAsked(now, "a", 100)
+	tr.RecordAdmitted(now, "a", 60)
+	tr.RecordAdmitted(now.Add(time.Second), "a", 40)
 	admitted := func(after time.Duration) float64 {
-		list := b.Own(now.Add(after))
+		list := tr.LocalDemands(now.Add(after))
 		if len(list) == 0 {
 			return 0
 		}
 		return list[0].Admitted
 	}
 	require.EqualValues(t, 100, admitted(time.Second))
-	b.TakeBack(now.Add(1500*time.Millisecond), now, "a", 60)
+	tr.RevertAdmitted(now.Add(1500*time.Millisecond), now, "a", 60)
 	require.EqualValues(t, 40, admitted(1500*time.Millisecond))
 	require.EqualValues(t, 40, admitted(4500*time.Millisecond))
-	b.TakeBack(now.Add(6*time.Second), now.Add(time.Second), "a", 40)
-	require.Zero(t, admitted(6*time.Second), "what has left the window is not taken back twice")
+	tr.RevertAdmitted(now.Add(6*time.Second), now.Add(time.Second), "a", 40)
+	require.Zero(t, admitted(6*time.Second), "what has left the window is not reverted again")
 }
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -13,319 +13,320 @@
 	"opalbridge.dev/gateway/quarantine"
 )
 
-// This file keeps requests that end servers from the next ones, over the fleet. Such a
-// request comes as a sound first try each time, to whatever gateway, and would end server after
-// server (platform: TestRequestThatEndsServers). crashes.go finds out which servers have ended, and
-// package quarantine decides.
+// This file protects the fleet from requests that crash servers. Such a request arrives as a
+// valid first attempt each time, at any gateway, and would crash server after server (platform:
+// TestRequestThatCrashesServers). crashes.go detects which servers have crashed, and package
+// quarantine decides which requests are quarantined.
 //
-// Two ways bring what one gateway has seen to the others, so that either may fail: beacons,
-// in some milliseconds, and for those that were at two ends or more the store, which also
-// outlasts all gateways.
+// What one gateway has seen reaches the others in two ways, so that either may fail: by beacons,
+// within milliseconds, and, for requests during which two servers or more have crashed, by the
+// store, which also outlasts all gateways.
 
-// Suspect is a request that was at two servers or more when they ended.
+// Suspect is a request during which two servers or more have crashed.
 type Suspect struct {
-	Asks    string   // what it asks, for operators
-	Servers []string // lifetimes that ended
-	AtOnce  bool     // they did so at one moment, but for one at most
-	Tries   int      // how often it was sent although it is barred
+	Summary      string   // description of the request, for operators
+	Servers      []string // lifetimes that crashed
+	Simultaneous bool     // they crashed at one moment, but for one at most
+	Trials       int      // times that it was sent although quarantined
 }
 
-// Suspects keeps suspects where each gateway finds them alike, until they are dropped.
-type Suspects interface {
-	// Keep adds what is known of a suspect to what is kept of it.
-	Keep(ctx context.Context, key quarantine.Key, s Suspect) error
-	// Drop forgets a suspect; there need not be one.
-	Drop(ctx context.Context, key quarantine.Key) error
-	// Try counts one more try of a suspect that is barred, if so many are counted. It returns
-	// whether it was counted; after an error nobody knows.
-	Try(ctx context.Context, key quarantine.Key, tries int) (counted bool, err error)
+// SuspectStore stores suspects where all gateways see the same ones, until they are deleted.
+type SuspectStore interface {
+	// Save merges what is known of a suspect into the stored state.
+	Save(ctx context.Context, key quarantine.Key, s Suspect) error
+	// Delete removes a suspect; it need not exist.
+	Delete(ctx context.Context, key quarantine.Key) error
+	// CountTrial counts one more trial of a quarantined suspect if the stored count equals trials.
+	// It reports whether it was counted; after an error that is unknown.
+	CountTrial(ctx context.Context, key quarantine.Key, trials int) (counted bool, err error)
 }
 
 const (
-	// Requests that all gateways together tell as suspects in a second after a server's end:
-	// 64 KB a second for each gateway while servers end, and with fewer the requests at
-	// three of the largest servers that end at once would not be told.
-	fleetSuspects = 2048
-	// A gateway of a large fleet tells so many at least.
-	leastSuspects = 4
-	// A doubtful request is tried after this time without another end or try, in which all
-	// gateways have heard of the last one. The bound of three more sends has room for two.
-	tryTurn   = 3 * time.Second
-	mostTries = 2
-	// Gateways come to it one after the other, so that mostly one of them asks the store; the
-	// later ones together.
-	tryStagger  = 300 * time.Millisecond
-	mostStagger = 10
-	// The store answers within milliseconds; a caller waits for it.
-	tryTimeout = 500 * time.Millisecond
-	// A write to the store is given up after this time.
-	keepTimeout = time.Second
-	// And tried again after this, twice as late each time up to the longest.
-	keepRetry        = 250 * time.Millisecond
-	longestKeepRetry = 2 * time.Second
+	// maxFleetSuspectsPerSecond bounds the suspects that all gateways together report in a second
+	// after a server has crashed: 64 KB a second for each gateway while servers crash. With fewer,
+	// the requests at three of the largest servers that crash at once would not all be reported.
+	maxFleetSuspectsPerSecond = 2048
+	// minSuspectsPerSecond is what each gateway of a large fleet may report at least.
+	minSuspectsPerSecond = 4
+	// trialInterval is the time without another crash or trial before an ambiguous request is tried;
+	// by then all gateways have heard of the last one. The fleet may send a quarantined request
+	// three more times, which leaves room for maxTrials.
+	trialInterval = 3 * time.Second
+	maxTrials     = 2
+	// trialStagger delays the gateways one after the other, so that mostly one of them asks the
+	// store. Those from rank maxTrialRank on come together.
+	trialStagger = 300 * time.Millisecond
+	maxTrialRank = 10
+	// trialTimeout bounds the store's answer: it takes milliseconds, and a caller waits for it.
+	trialTimeout = 500 * time.Millisecond
+	// storeWriteTimeout bounds a write to the store.
+	storeWriteTimeout = time.Second
+	// Backoff of failed writes, which doubles up to the maximum.
+	minStoreWriteBackoff = 250 * time.Millisecond
+	maxStoreWriteBackoff = 2 * time.Second
 )
 
-// suspects is what this gateway believes of requests that were at ends of servers. It is safe
-// for use by several goroutines.
-type suspects struct {
-	log     zerolog.Logger
-	peers   *peer.Node
-	address string        // IP address of this gateway
-	store   Suspects      // nil: nothing is kept, and what is barred is not tried
-	fleet   func() int    // live gateways
-	wake    chan struct{} // there is something to write
-	bars    chan struct{} // a request has been barred
-	known   atomic.Int64  // requests in the registry; with none there is nothing to look for
+// suspectTracker tracks requests during which servers have crashed. It is safe for concurrent use.
+type suspectTracker struct {
+	log              zerolog.Logger
+	peers            *peer.Node
+	address          string        // IP address of this gateway
+	store            SuspectStore  // nil: nothing is stored, and quarantined requests are not tried
+	fleetSize        func() int    // number of live gateways
+	writerWake       chan struct{} // there is something to write
+	newlyQuarantined chan struct{} // a request has been quarantined
+	suspectCount     atomic.Int64  // requests in the registry; if 0, lookups are skipped
 
-	mutex    sync.Mutex
-	registry *quarantine.Registry
-	lately   quarantine.Answers           // of this gateway
-	own      map[quarantine.Key]bool      // kept in the store by this gateway
-	tried    map[quarantine.Key]tries     // although they are barred
-	others   map[string]bool              // live gateways, by address
-	asks     map[quarantine.Key]string    // what those ask that were at two ends or more, as far as this gateway has seen them
-	dirty    map[quarantine.Key]bool      // to be written
-	rewrites map[quarantine.Key]time.Time // to be written again from then on, unless another gateway has
-	second   time.Time                    // in which told counts
-	told     int
+	mutex         sync.Mutex
+	registry      *quarantine.Registry
+	recentAnswers quarantine.RecentAnswers      // answered by this gateway
+	ownWrites     map[quarantine.Key]bool       // stored by this gateway
+	trials        map[quarantine.Key]trialState // of quarantined requests
+	livePeers     map[string]bool               // by address
+	summaries     map[quarantine.Key]string     // descriptions of suspects that this gateway has seen, for requests with two crashes or more
+	pendingWrites map[quarantine.Key]bool       // to be written to the store
+	rewriteAt     map[quarantine.Key]time.Time  // to be written again from then on, unless a peer has
+	windowStart   time.Time                     // start of the second in which reported counts
+	reported      int
 }
 
-func newSuspects(log zerolog.Logger, address string, fleet func() int) *suspects {
-	return &suspects{
-		log: log, address: address, fleet: fleet, wake: make(chan struct{}, 1), bars: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
-		own: map[quarantine.Key]bool{}, tried: map[quarantine.Key]tries{}, others: map[string]bool{}, asks: map[quarantine.Key]string{}, dirty: map[quarantine.Key]bool{}, rewrites: map[quarantine.Key]time.Time{},
+func newSuspectTracker(log zerolog.Logger, address string, fleetSize func() int) *suspectTracker {
+	return &suspectTracker{
+		log: log, address: address, fleetSize: fleetSize, writerWake: make(chan struct{}, 1), newlyQuarantined: make(chan struct{}, 1), registry: quarantine.NewRegistry(),
+		ownWrites: map[quarantine.Key]bool{}, trials: map[quarantine.Key]trialState{}, livePeers: map[string]bool{}, summaries: map[quarantine.Key]string{}, pendingWrites: map[quarantine.Key]bool{}, rewriteAt: map[quarantine.Key]time.Time{},
 	}
 }
 
-// tries is how often a request was sent although it is barred, over the fleet.
-type tries struct {
-	counted int
-	at      time.Time // when this gateway heard of the latest one, or asked the store in vain
-	asking  bool      // the store is being asked for another one
+// trialState counts, over the fleet, how often a quarantined request was sent.
+type trialState struct {
+	count    int
+	lastAt   time.Time // when this gateway heard of the last trial, or failed to claim one
+	claiming bool      // a trial is being claimed from the store
 }
 
-// suspect is a request that was at a server when that one ended.
+// suspect is a request that was at a server when the server crashed.
 type suspect struct {
-	key   quarantine.Key
-	asks  string
-	begun bool // events of its answer had come
+	key        quarantine.Key
+	summary    string
+	responding bool // events of its answer had arrived
 }
 
-// ended takes over that a server has ended under requests of this gateway, and tells the
-// others.
-func (s *suspects) ended(now time.Time, server string, there []suspect) {
-	// Who had not begun to be answered comes first, in case not all can be told: servers end
-	// when they begin with the request that ends them.
-	slices.SortStableFunc(there, func(x, y suspect) int {
+// serverCrashed records that a server has crashed with requests of this gateway, and reports it
+// to the peers.
+func (s *suspectTracker) serverCrashed(now time.Time, server string, requests []suspect) {
+	// Requests without a response so far come first, in case not all can be reported: servers
+	// crash when they begin with the request that causes it.
+	slices.SortStableFunc(requests, func(x, y suspect) int {
 		switch {
-		case x.begun == y.begun:
+		case x.responding == y.responding:
 			return 0
-		case y.begun:
+		case y.responding:
 			return -1
 		}
 		return 1
 	})
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	keys := make([]quarantine.Key, 0, len(there))
-	for _, t := range there {
-		if !s.lately.Lately(now, t.key) {
+	keys := make([]quarantine.Key, 0, len(requests))
+	for _, t := range requests {
+		if !s.recentAnswers.Contains(now, t.key) {
 			keys = append(keys, t.key)
 		}
 	}
-	changed := s.registry.Ended(now, server, keys)
-	for _, t := range there {
+	changed := s.registry.AddCrash(now, server, keys)
+	for _, t := range requests {
 		if slices.Contains(changed, t.key) {
-			s.asks[t.key] = t.asks
+			s.summaries[t.key] = t.summary
 		}
 	}
-	s.note(changed, server)
+	s.reportChanged(changed, server)
 	for _, k := range changed {
-		s.dirty[k] = true
+		s.pendingWrites[k] = true
 	}
 	s.wakeWriter()
-	s.tell(now, server, keys, changed)
+	s.reportCrash(now, server, keys, changed)
 }
 
-// tell tells the others who was there: those that were at an end before, and of the rest as
-// many as the fleet can bear.
-func (s *suspects) tell(now time.Time, server string, keys, repeated []quarantine.Key) {
-	if now.Sub(s.second) >= time.Second {
-		s.second, s.told = now, 0
+// reportCrash reports to the peers which requests were at a server: those with an earlier crash,
+// and of the rest as many as the limit allows.
+func (s *suspectTracker) reportCrash(now time.Time, server string, keys, repeated []quarantine.Key) {
+	if now.Sub(s.windowStart) >= time.Second {
+		s.windowStart, s.reported = now, 0
 	}
-	left := max(fleetSuspects/max(s.fleet(), 1), leastSuspects) - s.told
-	e := peer.End{Server: server}
+	remaining := max(maxFleetSuspectsPerSecond/max(s.fleetSize(), 1), minSuspectsPerSecond) - s.reported
+	e := peer.Crash{Server: server}
 	for _, k := range repeated {
 		e.Suspects = append(e.Suspects, peer.Key(k))
 	}
 	for _, k := range keys {
-		if left > 0 && !slices.Contains(repeated, k) {
+		if remaining > 0 && !slices.Contains(repeated, k) {
 			e.Suspects = append(e.Suspects, peer.Key(k))
-			s.told++
-			left--
+			s.reported++
+			remaining--
 		}
 	}
-	s.peers.TellEnd(e)
+	s.peers.PublishCrash(e)
 }
 
-// note writes to the log what is now believed of requests. The mutex is held.
-func (s *suspects) note(changed []quarantine.Key, server string) {
+// reportChanged logs the new state of requests. The mutex must be held.
+func (s *suspectTracker) reportChanged(changed []quarantine.Key, server string) {
 	for _, k := range changed {
 		r, _ := s.registry.Record(k)
-		event := s.log.Warn().Str("key", k.String()).Str("asks", s.asks[k]).Strs("servers", r.Servers).Str("latest", server)
-		if r.Barred.IsZero() {
-			event.Str("event", "request.suspected").Msg("servers have ended under it; one more and it is barred")
+		event := s.log.Warn().Str("key", k.String()).Str("asks", s.summaries[k]).Strs("servers", r.Servers).Str("latest", server)
+		if r.QuarantinedAt.IsZero() {
+			event.Str("event", "request.suspected").Msg("servers crashed during this request; one more crash bars it")
 			continue
 		}
-		event.Str("event", "request.barred").Msg("it reaches no server any more")
+		event.Str("event", "request.barred").Msg("request is barred from all servers")
 		select {
-		case s.bars <- struct{}{}:
-		default: // whoever reads it looks at all
+		case s.newlyQuarantined <- struct{}{}:
+		default: // the reader looks at all quarantined requests
 		}
 	}
-	s.known.Store(int64(s.registry.Len()))
+	s.suspectCount.Store(int64(s.registry.Len()))
 }
 
-// hear takes over what another gateway tells.
-func (s *suspects) hear(now time.Time, ends []peer.End, answered []peer.Answered) {
-	if len(ends)+len(answered) == 0 {
+// applyPeerReports applies what a peer reports.
+func (s *suspectTracker) applyPeerReports(now time.Time, crashes []peer.Crash, cleared []peer.Cleared) {
+	if len(crashes)+len(cleared) == 0 {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, e := range ends {
+	for _, e := range crashes {
 		keys := make([]quarantine.Key, 0, len(e.Suspects))
 		for _, k := range e.Suspects {
-			if s.lately.Lately(now, quarantine.Key(k)) {
-				s.peers.TellAnswered(peer.Answered{Key: k, Servers: []string{e.Server}})
+			if s.recentAnswers.Contains(now, quarantine.Key(k)) {
+				s.peers.PublishCleared(peer.Cleared{Key: k, Servers: []string{e.Server}})
 				continue
 			}
 			keys = append(keys, quarantine.Key(k))
 		}
-		s.note(s.registry.Ended(now, e.Server, keys), e.Server)
+		s.reportChanged(s.registry.AddCrash(now, e.Server, keys), e.Server)
 	}
-	for _, a := range answered {
+	for _, a := range cleared {
 		k := quarantine.Key(a.Key)
 		s.registry.Clear(k, a.Servers)
-		if _, repeated := s.registry.Record(k); !repeated && s.own[k] {
-			s.drop(k) // it may have been written after who answered it has dropped it
+		if _, repeated := s.registry.Record(k); !repeated && s.ownWrites[k] {
+			s.removeStored(k) // it may have been stored after the gateway that answered it deleted it
 		}
 	}
 }
 
-// ends returns how many servers have ended under a request, and whether it is barred.
-func (s *suspects) ends(key quarantine.Key) (n int, barred bool) {
+// crashCount returns how many servers have crashed during a request, and whether it is
+// quarantined.
+func (s *suspectTracker) crashCount(key quarantine.Key) (n int, quarantined bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.registry.Ends(key), s.registry.Barred(key)
+	return s.registry.CrashCount(key), s.registry.IsQuarantined(key)
 }
 
-// answered takes over that a request was answered whole.
-func (s *suspects) answered(now time.Time, key quarantine.Key) {
+// requestAnswered records that a request was answered completely.
+func (s *suspectTracker) requestAnswered(now time.Time, key quarantine.Key) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.lately.Add(now, key)
-	s.clear(key)
+	s.recentAnswers.Add(now, key)
+	s.clearCrashes(key)
 }
 
-// clear lets nothing count any more that a request has seen, here and at the other gateways.
-func (s *suspects) clear(key quarantine.Key) {
+// clearCrashes discards the crashes counted for a request, here and at the peers.
+func (s *suspectTracker) clearCrashes(key quarantine.Key) {
 	_, repeated := s.registry.Record(key)
-	cleared := s.registry.Answered(key)
+	cleared := s.registry.MarkAnswered(key)
 	if len(cleared) == 0 {
 		return
 	}
-	s.peers.TellAnswered(peer.Answered{Key: peer.Key(key), Servers: cleared})
+	s.peers.PublishCleared(peer.Cleared{Key: peer.Key(key), Servers: cleared})
 	if repeated {
-		s.drop(key)
+		s.removeStored(key)
 	}
 }
 
-// drop lets the store keep a request no more.
-func (s *suspects) drop(k quarantine.Key) {
-	s.log.Info().Str("event", "request.cleared").Str("key", k.String()).Msg("it was answered")
-	delete(s.asks, k)
-	s.dirty[k] = true
+// removeStored has a request deleted from the store.
+func (s *suspectTracker) removeStored(k quarantine.Key) {
+	s.log.Info().Str("event", "request.cleared").Str("key", k.String()).Msg("request was answered; no longer a suspect")
+	delete(s.summaries, k)
+	s.pendingWrites[k] = true
 	s.wakeWriter()
 }
 
-// live takes over whether another gateway lives.
-func (s *suspects) live(address string, alive bool) {
+// setPeerLive records whether a peer is alive.
+func (s *suspectTracker) setPeerLive(address string, alive bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if alive {
-		s.others[address] = true
+		s.livePeers[address] = true
 		return
 	}
-	delete(s.others, address)
+	delete(s.livePeers, address)
 }
 
-// mayTry tells whether a request that is barred may be sent once all the same, by this gateway
-// now: all ends came at one moment, so something else may be their cause. Gateways come to it
-// in an order that most find alike (rendezvous hashing), also those that have started since
-// and know of the ends by the store alone.
-func (s *suspects) mayTry(now time.Time, key quarantine.Key) bool {
+// trialDue reports whether this gateway may send a quarantined request once now: all crashes
+// came at one moment, so something else may be their cause. Gateways take turns in an order by
+// rendezvous hashing, which is the same for nearly all of them, including those that have
+// started since and know of the crashes from the store alone.
+func (s *suspectTracker) trialDue(now time.Time, key quarantine.Key) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.due(now, key)
+	return s.trialDueLocked(now, key)
 }
 
-// due is mayTry with the mutex held.
-func (s *suspects) due(now time.Time, key quarantine.Key) bool {
-	quiet, doubtful := s.registry.Doubtful(now, key)
-	known := s.tried[key]
-	if !doubtful || s.store == nil || known.asking || known.counted >= mostTries {
+// trialDueLocked is trialDue with the mutex held.
+func (s *suspectTracker) trialDueLocked(now time.Time, key quarantine.Key) bool {
+	quiet, ambiguous := s.registry.Ambiguous(now, key)
+	known := s.trials[key]
+	if !ambiguous || s.store == nil || known.claiming || known.count >= maxTrials {
 		return false
 	}
-	before := 0
-	own := draw(s.address + "/" + key.String())
-	for address := range s.others {
-		if draw(address+"/"+key.String()) > own {
-			before++
+	rank := 0
+	own := unitHash(s.address + "/" + key.String())
+	for address := range s.livePeers {
+		if unitHash(address+"/"+key.String()) > own {
+			rank++
 		}
 	}
-	return min(quiet, now.Sub(known.at)) >= tryTurn+time.Duration(min(before, mostStagger))*tryStagger
+	return min(quiet, now.Sub(known.lastAt)) >= trialInterval+time.Duration(min(rank, maxTrialRank))*trialStagger
 }
 
-// try uses a try of a request that is barred. The store counts them, so that there are no more
-// over the fleet, whichever gateways have started since.
-func (s *suspects) try(ctx context.Context, key quarantine.Key) bool {
+// claimTrial claims a trial of a quarantined request. The store counts the trials, which bounds
+// them over the fleet, whichever gateways have started since.
+func (s *suspectTracker) claimTrial(ctx context.Context, key quarantine.Key) bool {
 	s.mutex.Lock()
-	known := s.tried[key]
-	if !s.due(time.Now(), key) {
+	known := s.trials[key]
+	if !s.trialDueLocked(time.Now(), key) {
 		s.mutex.Unlock()
 		return false
 	}
-	s.tried[key] = tries{counted: known.counted, at: known.at, asking: true}
+	s.trials[key] = trialState{count: known.count, lastAt: known.lastAt, claiming: true}
 	s.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	counted, err := s.store.Try(ctx, key, known.counted)
+	counted, err := s.store.CountTrial(ctx, key, known.count)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	now := s.tried[key]
-	now.asking, now.at = false, time.Now()
+	state := s.trials[key]
+	state.claiming, state.lastAt = false, time.Now()
 	if counted {
-		now.counted = max(now.counted, known.counted+1)
+		state.count = max(state.count, known.count+1)
 	}
-	s.tried[key] = now
+	s.trials[key] = state
 	if err != nil || !counted {
-		s.log.Info().Str("event", "request.not_tried").Str("key", key.String()).Err(err).Msg("another gateway may have tried it")
+		s.log.Info().Str("event", "request.not_tried").Str("key", key.String()).Err(err).Msg("trial not claimed; another gateway may have sent it")
 		return false
 	}
-	s.log.Warn().Str("event", "request.tried").Str("key", key.String()).Str("asks", s.asks[key]).Int("tries", known.counted+1).Msg("all ends under it came at once, so it may not be their cause")
+	s.log.Warn().Str("event", "request.tried").Str("key", key.String()).Str("asks", s.summaries[key]).Int("tries", known.count+1).Msg("trial of a barred request: all crashes came at once, so it may not be their cause")
 	return true
 }
 
-// isBarred tells whether a request is barred.
-func (s *suspects) isBarred(key quarantine.Key) bool {
-	_, barred := s.ends(key)
-	return barred
+// isQuarantined reports whether a request is quarantined.
+func (s *suspectTracker) isQuarantined(key quarantine.Key) bool {
+	_, quarantined := s.crashCount(key)
+	return quarantined
 }
 
-// barred returns how many requests are barred.
-func (s *suspects) barred() int {
+// quarantinedCount returns the number of quarantined requests.
+func (s *suspectTracker) quarantinedCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.registry.CountBarred()
+	return s.registry.CountQuarantined()
 }
--- a/gateway/suspects_store.go
+++ b/gateway/suspects_store.go
@@ -9,175 +9,175 @@
 	"opalbridge.dev/gateway/quarantine"
 )
 
-// This file brings suspects to the store, and takes over what the store keeps of them.
+// This file writes suspects to the store and applies what the store holds of them.
 
-// kept takes over what the store keeps: old is what it kept before. What this gateway knows
-// to have been answered since is dropped by one gateway of each hall, the one that watches.
-func (s *suspects) kept(now time.Time, old, kept map[quarantine.Key]quarantine.Kept, watches bool) {
+// applyStored applies the stored suspects; old is their former state. Those that this gateway
+// knows to have been answered since are deleted by one gateway of each hall, the one that watches.
+func (s *suspectTracker) applyStored(now time.Time, old, stored map[quarantine.Key]quarantine.StoredRecord, watches bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for k, is := range kept {
-		news := s.registry.Merge(now, k, is)
-		if known := s.tried[k]; is.Tries != known.counted {
-			known.counted, known.at = is.Tries, now // fewer: it was dropped, and is kept again
-			s.tried[k] = known
+	for k, record := range stored {
+		changed := s.registry.Merge(now, k, record)
+		if known := s.trials[k]; record.Trials != known.count {
+			known.count, known.lastAt = record.Trials, now // fewer: it was deleted and stored again
+			s.trials[k] = known
 		}
-		if s.lately.Lately(now, k) {
-			s.clear(k)
+		if s.recentAnswers.Contains(now, k) {
+			s.clearCrashes(k)
 			continue
 		}
-		if news {
-			s.note([]quarantine.Key{k}, "")
+		if changed {
+			s.reportChanged([]quarantine.Key{k}, "")
 		}
-		if watches && s.registry.Cleared(k, is.Servers) && !old[k].Equal(is) {
-			s.drop(k)
+		if watches && s.registry.IsCleared(k, record.Servers) && !old[k].Equal(record) {
+			s.removeStored(k)
 		}
 	}
 	for k := range old {
-		if _, still := kept[k]; !still && !s.dirty[k] && s.rewrites[k].IsZero() {
-			s.registry.Lift(k)
-			delete(s.asks, k)
-			delete(s.own, k)
-			delete(s.tried, k)
-			s.log.Info().Str("event", "request.lifted").Str("key", k.String()).Msg("the store keeps it no more")
+		if _, still := stored[k]; !still && !s.pendingWrites[k] && s.rewriteAt[k].IsZero() {
+			s.registry.Release(k)
+			delete(s.summaries, k)
+			delete(s.ownWrites, k)
+			delete(s.trials, k)
+			s.log.Info().Str("event", "request.lifted").Str("key", k.String()).Msg("suspect was deleted from the store")
 		}
 	}
 }
 
-// rewriteSpread is the time in which gateways write again what the store has lost: each at
-// another moment, so that mostly the first one writes and the others hear of it.
-const rewriteSpread = time.Second
+// rewriteJitter spreads the rewrites of lost suspects over the gateways, so that mostly the first
+// one writes and the others see the result.
+const rewriteJitter = time.Second
 
-// rewrite lets what is known of suspects be written to a store that has come back from a copy
-// and has lost some of it, or keeps again what was dropped. Gateways do so that watch for their
-// hall, or had written it before.
-func (s *suspects) rewrite(now time.Time, keys []quarantine.Key, watches bool) {
+// scheduleRewrites has suspects written again to a restored store that has lost some of them or
+// holds deleted ones again. Only a gateway that watches for its hall, or that has written them
+// before, does so.
+func (s *suspectTracker) scheduleRewrites(now time.Time, keys []quarantine.Key, watches bool) {
 	if s.store == nil {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, k := range keys {
-		if _, already := s.rewrites[k]; already || !watches && !s.own[k] {
+		if _, already := s.rewriteAt[k]; already || !watches && !s.ownWrites[k] {
 			continue
 		}
-		s.rewrites[k] = now.Add(time.Duration(draw(s.address+"/"+k.String()) * float64(rewriteSpread)))
+		s.rewriteAt[k] = now.Add(time.Duration(unitHash(s.address+"/"+k.String()) * float64(rewriteJitter)))
 	}
 }
 
-// writeDue hands to the writer what is to be written again by now.
-func (s *suspects) writeDue(now time.Time) {
+// queueDueRewrites queues the rewrites that are due.
+func (s *suspectTracker) queueDueRewrites(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for k, at := range s.rewrites {
+	for k, at := range s.rewriteAt {
 		if now.Before(at) {
 			continue
 		}
-		delete(s.rewrites, k)
-		s.dirty[k] = true
+		delete(s.rewriteAt, k)
+		s.pendingWrites[k] = true
 		s.wakeWriter()
 	}
 }
 
-// rewritten takes over that the store keeps so much of a suspect: if that is all that is known,
-// it need not be written again.
-func (s *suspects) rewritten(key quarantine.Key, kept quarantine.Kept) {
+// cancelRewriteIfStored cancels the rewrite of a suspect if the store already holds all that is
+// known of it.
+func (s *suspectTracker) cancelRewriteIfStored(key quarantine.Key, stored quarantine.StoredRecord) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if _, due := s.rewrites[key]; !due {
+	if _, due := s.rewriteAt[key]; !due {
 		return
 	}
 	r, _ := s.registry.Record(key)
-	known := quarantine.Kept{Servers: r.Servers, AtOnce: r.AtOnce, Tries: s.tried[key].counted}
-	if len(kept.And(known).Servers) == len(kept.Servers) && known.Tries <= kept.Tries {
-		delete(s.rewrites, key)
+	known := quarantine.StoredRecord{Servers: r.Servers, Simultaneous: r.Simultaneous, Trials: s.trials[key].count}
+	if len(stored.Merge(known).Servers) == len(stored.Servers) && known.Trials <= stored.Trials {
+		delete(s.rewriteAt, key)
 	}
 }
 
-// setSuspect takes over what is kept of a suspect.
-func (f *follower) setSuspect(key quarantine.Key, kept quarantine.Kept) {
-	delete(f.memory.lifted, key)
-	f.gateway.suspects.rewritten(key, kept)
-	f.suspectLog.add(f.mark, key.String())
-	changed := make(map[quarantine.Key]quarantine.Kept, len(f.suspects)+1)
-	maps.Copy(changed, f.suspects)
-	changed[key] = kept
-	f.suspects, f.suspectsChanged = changed, true
+// setSuspect applies a suspect's stored state.
+func (w *storeWatcher) setSuspect(key quarantine.Key, stored quarantine.StoredRecord) {
+	delete(w.tombstones.suspects, key)
+	w.gateway.suspects.cancelRewriteIfStored(key, stored)
+	w.suspectChanges.add(w.changeRevision, key.String())
+	changed := make(map[quarantine.Key]quarantine.StoredRecord, len(w.suspects)+1)
+	maps.Copy(changed, w.suspects)
+	changed[key] = stored
+	w.suspects, w.suspectsChanged = changed, true
 }
 
-// dropSuspect takes over that nothing is kept of a suspect any more.
-func (f *follower) dropSuspect(key quarantine.Key) {
-	f.memory.lift(f.now, key)
-	f.gateway.suspects.rewritten(key, quarantine.Kept{})
-	f.suspectLog.add(f.mark, key.String())
-	changed := maps.Clone(f.suspects)
+// removeSuspect applies the removal of a suspect from the store.
+func (w *storeWatcher) removeSuspect(key quarantine.Key) {
+	w.tombstones.addSuspect(w.applyTime, key)
+	w.gateway.suspects.cancelRewriteIfStored(key, quarantine.StoredRecord{})
+	w.suspectChanges.add(w.changeRevision, key.String())
+	changed := maps.Clone(w.suspects)
 	delete(changed, key)
-	f.suspects, f.suspectsChanged = changed, true
+	w.suspects, w.suspectsChanged = changed, true
 }
 
-func (s *suspects) wakeWriter() {
+func (s *suspectTracker) wakeWriter() {
 	select {
-	case s.wake <- struct{}{}:
-	default: // it looks at all that there is
+	case s.writerWake <- struct{}{}:
+	default: // the writer takes all pending writes
 	}
 }
 
-// write writes to the store what is to be written, until ctx ends.
-func (s *suspects) write(ctx context.Context) {
+// runWriter writes pending suspects to the store until ctx is done.
+func (s *suspectTracker) runWriter(ctx context.Context) {
 	if s.store == nil {
 		return
 	}
 	retry := time.NewTimer(time.Hour)
 	defer retry.Stop()
-	wait := keepRetry
+	wait := minStoreWriteBackoff
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.wake:
+		case <-s.writerWake:
 		case <-retry.C:
 		}
-		if s.writeAll(ctx) {
-			wait = keepRetry
+		if s.flush(ctx) {
+			wait = minStoreWriteBackoff
 			continue
 		}
 		retry.Reset(wait)
-		wait = min(2*wait, longestKeepRetry)
+		wait = min(2*wait, maxStoreWriteBackoff)
 	}
 }
 
-// writeAll writes what is to be written; it returns whether all of that was.
-func (s *suspects) writeAll(ctx context.Context) bool {
+// flush writes all pending suspects and reports whether all writes succeeded.
+func (s *suspectTracker) flush(ctx context.Context) bool {
 	s.mutex.Lock()
-	list := slices.Collect(maps.Keys(s.dirty))
-	clear(s.dirty)
+	list := slices.Collect(maps.Keys(s.pendingWrites))
+	clear(s.pendingWrites)
 	s.mutex.Unlock()
-	whole := true
+	ok := true
 	for _, k := range list {
-		if err := s.writeOne(ctx, k); err != nil {
-			s.log.Warn().Str("event", "suspect.not_kept").Str("key", k.String()).Err(err).Msg("try again")
+		if err := s.writeSuspect(ctx, k); err != nil {
+			s.log.Warn().Str("event", "suspect.not_kept").Str("key", k.String()).Err(err).Msg("cannot write suspect; will retry")
 			s.mutex.Lock()
-			s.dirty[k] = true
+			s.pendingWrites[k] = true
 			s.mutex.Unlock()
-			whole = false
+			ok = false
 		}
 	}
-	return whole
+	return ok
 }
 
-func (s *suspects) writeOne(ctx context.Context, k quarantine.Key) error {
-	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
+func (s *suspectTracker) writeSuspect(ctx context.Context, k quarantine.Key) error {
+	ctx, cancel := context.WithTimeout(ctx, storeWriteTimeout)
 	defer cancel()
 	s.mutex.Lock()
 	r, repeated := s.registry.Record(k)
-	asks, tries := s.asks[k], s.tried[k].counted
-	s.own[k] = repeated
+	summary, trials := s.summaries[k], s.trials[k].count
+	s.ownWrites[k] = repeated
 	if !repeated {
-		delete(s.own, k)
+		delete(s.ownWrites, k)
 	}
 	s.mutex.Unlock()
 	if !repeated {
-		return s.store.Drop(ctx, k)
+		return s.store.Delete(ctx, k)
 	}
-	return s.store.Keep(ctx, k, Suspect{Asks: asks, Servers: r.Servers, AtOnce: r.AtOnce, Tries: tries})
+	return s.store.Save(ctx, k, Suspect{Summary: summary, Servers: r.Servers, Simultaneous: r.Simultaneous, Trials: trials})
 }
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -16,94 +16,94 @@
 	"opalbridge.dev/gateway/quarantine"
 )
 
-// handOver takes over at one gateway what another one tells of its view.
-func handOver(t *testing.T, now time.Time, from, to *Gateway, change func(d *viewDocument)) {
+// transferView hands the view of one gateway over to another one.
+func transferView(t *testing.T, now time.Time, from, to *Gateway, change func(d *viewDocument)) {
 	t.Helper()
-	raw, err := from.packedView(now, to.knownOfView())
+	raw, err := from.encodedView(now, to.viewQuery())
 	require.NoError(t, err)
 	var d viewDocument
 	require.NoError(t, json.Unmarshal(raw, &d))
 	change(&d)
-	h := d.handover(now)
-	h.from = "x"
-	h.snapshot.Configuration = from.view.Load().Configuration
-	to.follower.takeHandover(now, h)
+	p := d.peerView(now)
+	p.from = "x"
+	p.snapshot.Configuration = from.view.Load().Configuration
+	to.storeWatcher.applyPeerView(now, p)
 }
 
-func asItIs(*viewDocument) {}
+func unchanged(*viewDocument) {}
 
-// TestSuspectsAreHandedOver: a gateway learns of barred requests from another one's view,
-// whole or in part, and loses none to a gateway of a version that knows of none.
-func TestSuspectsAreHandedOver(t *testing.T) {
+// TestSuspectsInPeerView: a gateway learns of quarantined requests from a peer's view, full or
+// partial, and keeps them when a peer's version knows of no suspects.
+func TestSuspectsInPeerView(t *testing.T) {
 	now := time.Now()
-	first := answer{listed: true, snapshot: Snapshot{Configuration: version(1), Revision: 3, Suspects: map[quarantine.Key]quarantine.Kept{{1}: {Servers: []string{"a", "b", "c"}}}}}
-	from, to := quiet(t), quiet(t)
-	from.follower.take(now, first)
-	handOver(t, now, from, to, asItIs)
-	require.True(t, to.suspects.isBarred(quarantine.Key{1}), "the whole view")
-	from.follower.take(now, answer{since: 3, revision: 5, changes: []Change{
-		SuspectChanged{Key: quarantine.Key{2}, Kept: quarantine.Kept{Servers: []string{"a", "b", "d"}, AtOnce: true, Tries: 1}}, SuspectGone{Key: quarantine.Key{1}},
+	first := sourceResult{listed: true, snapshot: Snapshot{Configuration: configurationVersion(1), Revision: 3, Suspects: map[quarantine.Key]quarantine.StoredRecord{{1}: {Servers: []string{"a", "b", "c"}}}}}
+	from, to := newIdleGateway(t), newIdleGateway(t)
+	from.storeWatcher.applyResult(now, first)
+	transferView(t, now, from, to, unchanged)
+	require.True(t, to.suspects.isQuarantined(quarantine.Key{1}), "full view")
+	from.storeWatcher.applyResult(now, sourceResult{since: 3, revision: 5, changes: []Change{
+		SuspectChanged{Key: quarantine.Key{2}, Record: quarantine.StoredRecord{Servers: []string{"a", "b", "d"}, Simultaneous: true, Trials: 1}}, SuspectRemoved{Key: quarantine.Key{1}},
 	}})
-	handOver(t, now, from, to, func(d *viewDocument) { require.True(t, d.Partial) })
-	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
-	require.Equal(t, from.view.Load().Suspects, to.view.Load().Suspects, "with what is doubtful")
-	require.False(t, to.suspects.isBarred(quarantine.Key{1}), "it was lifted")
-	from.follower.take(now, answer{since: 5, revision: 7, changes: []Change{ServerChanged{Server: ready("i-1")}}})
-	handOver(t, now, from, to, func(d *viewDocument) {
+	transferView(t, now, from, to, func(d *viewDocument) { require.True(t, d.Partial) })
+	require.True(t, to.suspects.isQuarantined(quarantine.Key{2}))
+	require.Equal(t, from.view.Load().Suspects, to.view.Load().Suspects, "including ambiguous suspects")
+	require.False(t, to.suspects.isQuarantined(quarantine.Key{1}), "the suspect was removed")
+	from.storeWatcher.applyResult(now, sourceResult{since: 5, revision: 7, changes: []Change{ServerChanged{Server: readyServer("i-1")}}})
+	transferView(t, now, from, to, func(d *viewDocument) {
 		*d = viewDocument{Servers: d.Servers, Revision: d.Revision}
 	})
-	require.Equal(t, []string{"i-1"}, to.ids())
-	require.True(t, to.suspects.isBarred(quarantine.Key{2}))
+	require.Equal(t, []string{"i-1"}, to.serverIDs())
+	require.True(t, to.suspects.isQuarantined(quarantine.Key{2}))
 }
 
-// faultyStore keeps suspects, when it is not away.
+// faultyStore stores suspects and can be made unreachable.
 type faultyStore struct {
-	mutex sync.Mutex
-	away  bool
-	tries int
-	kept  map[quarantine.Key]Suspect
-	sent  map[quarantine.Key]int // although they are barred
+	mutex       sync.Mutex
+	unreachable bool
+	calls       int
+	saved       map[quarantine.Key]Suspect
+	trials      map[quarantine.Key]int // by quarantined request
 }
 
 func (f *faultyStore) do(use func()) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.tries++
-	if f.away {
+	f.calls++
+	if f.unreachable {
 		return errors.New("away")
 	}
 	use()
 	return nil
 }
 
-func (f *faultyStore) Keep(_ context.Context, key quarantine.Key, s Suspect) error {
-	return f.do(func() { f.kept[key] = s })
+func (f *faultyStore) Save(_ context.Context, key quarantine.Key, s Suspect) error {
+	return f.do(func() { f.saved[key] = s })
 }
 
-func (f *faultyStore) Try(_ context.Context, key quarantine.Key, tries int) (counted bool, err error) {
+func (f *faultyStore) CountTrial(_ context.Context, key quarantine.Key, trials int) (counted bool, err error) {
 	err = f.do(func() {
-		counted = f.sent[key] == tries
+		counted = f.trials[key] == trials
 		if counted {
-			f.sent[key]++
+			f.trials[key]++
 		}
 	})
 	return counted, err
 }
 
-func (f *faultyStore) Drop(_ context.Context, key quarantine.Key) error {
-	return f.do(func() { delete(f.kept, key) })
+func (f *faultyStore) Delete(_ context.Context, key quarantine.Key) error {
+	return f.do(func() { delete(f.saved, key) })
 }
 
-// TestSuspectsAreKept: what was at two ends is written, also if the store is away at first,
-// and dropped when it was answered.
-func TestSuspectsAreKept(t *testing.T) {
-	s := quiet(t).suspects
-	store := &faultyStore{away: true, kept: map[quarantine.Key]Suspect{}}
+// TestSuspectsAreStored: a request with two crashes is written to the store, also if the store is
+// unreachable at first, and deleted once it is answered.
+func TestSuspectsAreStored(t *testing.T) {
+	s := newIdleGateway(t).suspects
+	store := &faultyStore{unreachable: true, saved: map[quarantine.Key]Suspect{}}
 	s.store = store
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
-		s.write(ctx)
+		s.runWriter(ctx)
 		close(ended)
 	}()
 	defer func() {
@@ -111,90 +111,91 @@
 		<-ended
 	}()
 	now := time.Now()
-	there := []suspect{{key: quarantine.Key{1}, asks: "a POST h/x"}, {key: quarantine.Key{2}}}
-	s.ended(now, "i-1", there)
-	s.ended(now.Add(2*time.Second), "i-2", there[:1])
+	requests := []suspect{{key: quarantine.Key{1}, summary: "a POST h/x"}, {key: quarantine.Key{2}}}
+	s.serverCrashed(now, "i-1", requests)
+	s.serverCrashed(now.Add(2*time.Second), "i-2", requests[:1])
 	require.Eventually(t, func() bool {
 		store.mutex.Lock()
 		defer store.mutex.Unlock()
-		return store.tries > 0
+		return store.calls > 0
 	}, 5*time.Second, time.Millisecond)
-	kept := func() (n int, asks string) {
+	kept := func() (n int, summary string) {
 		store.mutex.Lock()
 		defer store.mutex.Unlock()
-		return len(store.kept), store.kept[quarantine.Key{1}].Asks
+		return len(store.saved), store.saved[quarantine.Key{1}].Summary
 	}
 	n, _ := kept()
 	require.Zero(t, n)
 	store.mutex.Lock()
-	store.away = false
+	store.unreachable = false
 	store.mutex.Unlock()
 	require.Eventually(t, func() bool {
-		n, asks := kept()
-		return n == 1 && asks == "a POST h/x"
+		n, summary := kept()
+		return n == 1 && summary == "a POST h/x"
 	}, 5*time.Second, 5*time.Millisecond)
-	s.answered(now.Add(3*time.Second), quarantine.Key{1})
+	s.requestAnswered(now.Add(3*time.Second), quarantine.Key{1})
 	require.Eventually(t, func() bool {
 		n, _ := kept()
 		return n == 0
 	}, 5*time.Second, 5*time.Millisecond)
-	_, barred := s.ends(quarantine.Key{1})
-	require.False(t, barred)
+	_, quarantined := s.crashCount(quarantine.Key{1})
+	require.False(t, quarantined)
 }
 
-// TestSuspectsOfOthers: what others tell counts, but for what this gateway has answered lately.
-func TestSuspectsOfOthers(t *testing.T) {
-	s := quiet(t).suspects
+// TestSuspectsFromPeers: peers' reports count, except for requests that this gateway has answered
+// recently.
+func TestSuspectsFromPeers(t *testing.T) {
+	s := newIdleGateway(t).suspects
 	s.store = &faultyStore{}
 	now := time.Now()
-	s.answered(now, quarantine.Key{2})
+	s.requestAnswered(now, quarantine.Key{2})
 	for n, server := range []string{"i-1", "i-2", "i-3"} {
 		at := now.Add(time.Duration(n) * time.Second)
-		s.hear(at, []peer.End{{Server: server, Suspects: []peer.Key{{1}, {2}}}}, nil)
+		s.applyPeerReports(at, []peer.Crash{{Server: server, Suspects: []peer.Key{{1}, {2}}}}, nil)
 	}
-	require.True(t, s.isBarred(quarantine.Key{1}))
-	n, _ := s.ends(quarantine.Key{2})
+	require.True(t, s.isQuarantined(quarantine.Key{1}))
+	n, _ := s.crashCount(quarantine.Key{2})
 	require.Zero(t, n)
-	require.False(t, s.mayTry(now.Add(time.Minute), quarantine.Key{1}), "its ends did not come at once")
-	s.hear(now, nil, []peer.Answered{{Key: peer.Key{1}, Servers: []string{"i-2"}}})
-	require.False(t, s.isBarred(quarantine.Key{1}))
+	require.False(t, s.trialDue(now.Add(time.Minute), quarantine.Key{1}), "the crashes did not come at once")
+	s.applyPeerReports(now, nil, []peer.Cleared{{Key: peer.Key{1}, Servers: []string{"i-2"}}})
+	require.False(t, s.isQuarantined(quarantine.Key{1}))
 }
 
-// TestTriesAreCounted: gateways that bar a request by ends at once try it twice in all, one after
-// the other with a pause, whichever of them know the ends by the store alone, and also if each
-// starts again between; none does while the store is away.
-func TestTriesAreCounted(t *testing.T) {
-	node := worldNode(t)
+// TestTrialsAreCounted: gateways that quarantine a request because of simultaneous crashes send
+// it maxTrials times in all, with a pause in between, even if they know the crashes from the
+// store alone or restart in between. None sends it while the store is unreachable.
+func TestTrialsAreCounted(t *testing.T) {
+	node := newPeerNode(t)
 	synctest.Test(t, func(t *testing.T) {
 		key := quarantine.Key{1}
-		store := &faultyStore{sent: map[quarantine.Key]int{}}
+		store := &faultyStore{trials: map[quarantine.Key]int{}}
 		addresses := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
-		kept := func() quarantine.Kept {
-			return quarantine.Kept{Servers: []string{"i-1", "i-2", "i-3"}, AtOnce: true, Tries: store.sent[key]}
+		kept := func() quarantine.StoredRecord {
+			return quarantine.StoredRecord{Servers: []string{"i-1", "i-2", "i-3"}, Simultaneous: true, Trials: store.trials[key]}
 		}
-		start := func(own string) *suspects {
-			s := newSuspects(zerolog.Nop(), own, func() int { return len(addresses) })
+		start := func(own string) *suspectTracker {
+			s := newSuspectTracker(zerolog.Nop(), own, func() int { return len(addresses) })
 			s.store, s.peers = store, node
 			for _, other := range addresses {
-				s.live(other, other != own)
+				s.setPeerLive(other, other != own)
 			}
-			s.kept(time.Now(), nil, map[quarantine.Key]quarantine.Kept{key: kept()}, false)
+			s.applyStored(time.Now(), nil, map[quarantine.Key]quarantine.StoredRecord{key: kept()}, false)
 			return s
 		}
-		var fleet []*suspects
+		var fleet []*suspectTracker
 		for _, a := range addresses {
 			fleet = append(fleet, start(a))
 		}
 		var sent []time.Duration
 		began := time.Now()
-		store.away = true
+		store.unreachable = true
 		for step := range 600 {
 			time.Sleep(100 * time.Millisecond)
 			if step == 100 {
-				store.away = false
+				store.unreachable = false
 			}
 			for i, s := range fleet {
-				if s.mayTry(time.Now(), key) && s.try(t.Context(), key) {
+				if s.trialDue(time.Now(), key) && s.claimTrial(t.Context(), key) {
 					sent = append(sent, time.Since(began))
 				}
 				if step%70 == 69 {
@@ -202,31 +203,31 @@
 				}
 			}
 		}
-		require.Len(t, sent, mostTries)
-		require.Greater(t, sent[0], 10*time.Second, "the store was away")
-		require.GreaterOrEqual(t, sent[1]-sent[0], tryTurn)
+		require.Len(t, sent, maxTrials)
+		require.Greater(t, sent[0], 10*time.Second, "the store was unreachable")
+		require.GreaterOrEqual(t, sent[1]-sent[0], trialInterval)
 	})
 }
 
-// TestTriesStartAnew: what was dropped and is doubtful again may be tried as if it had not been
-// before, also by a gateway that saw both changes in one view.
-func TestTriesStartAnew(t *testing.T) {
-	node := worldNode(t)
+// TestTrialsRestartAfterDeletion: a suspect that was deleted and is ambiguous again may be tried anew,
+// also by a gateway that sees both changes in one view.
+func TestTrialsRestartAfterDeletion(t *testing.T) {
+	node := newPeerNode(t)
 	synctest.Test(t, func(t *testing.T) {
 		key := quarantine.Key{1}
-		store := &faultyStore{sent: map[quarantine.Key]int{key: 2}}
-		s := newSuspects(zerolog.Nop(), "10.0.0.1", func() int { return 1 })
+		store := &faultyStore{trials: map[quarantine.Key]int{key: 2}}
+		s := newSuspectTracker(zerolog.Nop(), "10.0.0.1", func() int { return 1 })
 		s.store, s.peers = store, node
-		kept := func(tries int, servers ...string) map[quarantine.Key]quarantine.Kept {
-			return map[quarantine.Key]quarantine.Kept{key: {Servers: servers, AtOnce: true, Tries: tries}}
+		kept := func(trials int, servers ...string) map[quarantine.Key]quarantine.StoredRecord {
+			return map[quarantine.Key]quarantine.StoredRecord{key: {Servers: servers, Simultaneous: true, Trials: trials}}
 		}
 		before, after := kept(2, "i-1", "i-2", "i-3"), kept(0, "i-4", "i-5", "i-6")
-		s.kept(time.Now(), nil, before, false)
+		s.applyStored(time.Now(), nil, before, false)
 		time.Sleep(time.Minute)
-		require.False(t, s.try(t.Context(), key), "both are used")
-		store.sent[key] = 0
-		s.kept(time.Now(), before, after, false)
+		require.False(t, s.claimTrial(t.Context(), key), "both trials are used")
+		store.trials[key] = 0
+		s.applyStored(time.Now(), before, after, false)
 		time.Sleep(time.Minute)
-		require.True(t, s.try(t.Context(), key))
+		require.True(t, s.claimTrial(t.Context(), key))
 	})
 }
