--- a/gateway/view.go
+++ b/gateway/view.go
@@ -13,103 +13,107 @@
 	"opalbridge.dev/gateway/quarantine"
 )
 
-// Times of following the source.
+// Intervals and timeouts of following the store.
 const (
-	// One watch waits this long. A watch that the store has silently forgotten is
-	// noticed after it, which has to be well within the time in which a configuration
-	// is in force and a leaving server gets no more work (two seconds).
+	// watchWait is how long one watch waits for changes. A watch that the store has
+	// silently dropped is noticed only after this time, which must be well within the
+	// two seconds in which a new configuration takes effect and a leaving server stops
+	// getting work.
 	watchWait = 1500 * time.Millisecond
-	// An answer may come so much later than the wait asked for.
+	// watchSlack is how much later than the requested wait a watch may be answered.
 	watchSlack = 400 * time.Millisecond
-	// A list is given up after this time.
+	// listTimeout bounds a list call.
 	listTimeout = time.Second
-	// Tries after a failure are this far apart.
-	sourceRetry = 200 * time.Millisecond
-	// While others of the hall have lost the store as well, tries are further apart, so that
-	// two of the hall try in that time together: whoever reaches it first tells all. Up to
-	// this time, so that a configuration is in force soon after the store's return.
-	longestRetry = 2 * time.Second
-	// After changes the next watch waits so long, so that changes that come together
-	// cost one call.
-	gatherChanges = 100 * time.Millisecond
-	// A gateway that does not watch for its hall asks the store itself when nobody has
-	// confirmed its view for this long: four beacons were lost, or the store's answers.
-	unconfirmed = watchWait + time.Second
-	// A gateway that starts asks the store only after this time, so that it has heard
-	// whether another one of its hall does.
-	electFirst = 150 * time.Millisecond
-	// If another one does, it asks the store after this time at the latest: by then that
-	// one has handed over its view. A list takes a call for each fifty servers.
-	startPatience = time.Second
-	// A server whose entry has gone while the store was away is kept for this long
-	// after its return: servers that live write their entry again within about two
-	// seconds (source: the users' second letter).
-	returnGrace = 2500 * time.Millisecond
+	// sourceRetryInterval is the time between calls after a failure.
+	sourceRetryInterval = 200 * time.Millisecond
+	// maxSourceRetryInterval bounds the retry interval. It grows with the number of
+	// gateways of the hall that have lost the store too, so that together they make two
+	// calls per sourceRetryInterval: the first one to reach the store tells the others.
+	// The bound lets a configuration take effect soon after the store is back.
+	maxSourceRetryInterval = 2 * time.Second
+	// changeBatchDelay is the pause before the next watch after changes, so that
+	// changes that come together cost one call.
+	changeBatchDelay = 100 * time.Millisecond
+	// confirmationTimeout is how long a gateway that does not watch for its hall goes
+	// without a confirmation of its view before it queries the store itself. By then
+	// four beacons, or the store's answers, have been lost.
+	confirmationTimeout = watchWait + time.Second
+	// electionDelay is how long a starting gateway waits before it queries the store, so
+	// that it has heard whether another gateway of its hall watches.
+	electionDelay = 150 * time.Millisecond
+	// initialViewTimeout is when a starting gateway queries the store although another
+	// gateway of its hall watches: by then that one should have handed over its view. A
+	// list takes one call per fifty servers.
+	initialViewTimeout = time.Second
+	// reregistrationGrace is how long, after the store is back, a server is kept whose
+	// entry expired during the outage. Live servers write their entry again within about
+	// two seconds.
+	reregistrationGrace = 2500 * time.Millisecond
 )
 
-// View is what a gateway believes of the configuration and the servers. It is not
-// changed once it is published.
+// View is a gateway's state of the configuration and the servers. It is immutable once
+// published.
 type View struct {
-	Configuration *catalog.Configuration // nil: none is known
-	Raw           []byte                 // the configuration as it was announced
-	Servers       []catalog.Server
-	Missing       map[string]time.Time  // those of the servers that are kept until then although their entry has gone
-	Revision      catalog.Revision      // of the store; complete up to it
-	Evacuated     map[string]evacuation // by hall
-	Cold          map[string]coldness   // by server; of the others nothing is known
-	Rollouts      map[string]ordered    // by service
-	Suspects      map[quarantine.Key]quarantine.Kept
-	Left          []string         // lifetimes that have said that they leave, whatever their entries say
-	Settled       time.Time        // until then the store may lack what it had; zero: it has all
-	Revived       []catalog.Server // that a copy names and that are kept back
-	log           changeLog        // of servers
-	suspectLog    changeLog        // of suspects, by their keys' text
+	Configuration    *catalog.Configuration // nil if unknown
+	RawConfiguration []byte                 // the configuration as published
+	Servers          []catalog.Server
+	MissingUntil     map[string]time.Time     // servers kept until then although their entry is gone
+	Revision         catalog.Revision         // of the store; all changes up to it are included
+	Evacuated        map[string]evacuation    // by hall
+	Cold             map[string]coldState     // by server; nothing is known of the others
+	Rollouts         map[string]rolloutRecord // by service
+	Suspects         map[quarantine.Key]quarantine.StoredRecord
+	ReportedLeaving  []string         // lifetimes that have reported that they are leaving, whatever their entries say
+	ReconcileUntil   time.Time        // until then the restored store may lack earlier writes; zero: it is complete
+	Unverified       []catalog.Server // withheld servers that the restored store lists
+	serverChanges    changeLog        // of servers, by ID
+	suspectChanges   changeLog        // of suspects, by key
 }
 
-// follower is the duty that keeps the view.
-type follower struct {
-	gateway *Gateway
-	servers map[string]catalog.Server
-	current map[string]string     // the lifetime that is in servers, by the server's name
-	missing map[string]time.Time  // servers kept until then although their entry has gone
-	halls   map[string]evacuation // that are evacuated
-	cold    map[string]coldness   // by server
-	log     changeLog
-	// What is known of roll-outs, by service; replaced, not changed, since views share it.
-	rollouts map[string]ordered
-	// What the store keeps of suspects; replaced, not changed, since views share it.
-	suspects        map[quarantine.Key]quarantine.Kept
-	suspectsChanged bool // since the latest view
-	suspectLog      changeLog
-	memory          memory
-	settled         time.Time                 // until then the store may lack what it had; zero: it has all
-	revived         map[string]catalog.Server // that a copy names and that are kept back, by name
-	now             time.Time                 // of what is being taken over
-	mark            catalog.Revision          // under which changes are logged
-	order           []string                  // ids of the servers, sorted; nil: to be made anew
-	failed          time.Time                 // last failure of the source
-	called          time.Time                 // when the latest call began
-	away            bool
-	handed          chan handover
-	said            chan struct{} // a server has said that it leaves
+// storeWatcher follows the store and publishes the view.
+type storeWatcher struct {
+	gateway       *Gateway
+	servers       map[string]catalog.Server
+	currentIDs    map[string]string     // ID of the server's current lifetime, by server name
+	missingUntil  map[string]time.Time  // servers kept until then although their entry is gone
+	evacuations   map[string]evacuation // by hall
+	cold          map[string]coldState  // by server
+	serverChanges changeLog
+	// Rollouts by service. Copied on write, since views share the map.
+	rollouts map[string]rolloutRecord
+	// Suspects kept in the store. Copied on write, since views share the map.
+	suspects        map[quarantine.Key]quarantine.StoredRecord
+	suspectsChanged bool // since the last view
+	suspectChanges  changeLog
+	tombstones      tombstones
+	reconcileUntil  time.Time                 // until then the restored store may lack earlier writes; zero: it is complete
+	unverified      map[string]catalog.Server // withheld servers that the restored store lists, by name
+	applyTime       time.Time                 // time at which the current update is applied
+	changeRevision  catalog.Revision          // revision under which changes are logged
+	sortedIDs       []string                  // IDs of the servers; nil: to be rebuilt
+	lastFailure     time.Time
+	lastQuery       time.Time // start of the last call
+	unreachable     bool
+	peerViews       chan peerView
+	leavingSignal   chan struct{} // a server has reported that it is leaving
 }
 
-// atRevision writes a revision to the log: its era, and its number as the store calls it.
-type atRevision catalog.Revision
+// revisionFields logs a revision as its era and its number.
+type revisionFields catalog.Revision
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
-func (a atRevision) MarshalZerologObject(e *zerolog.Event) {
+func (a revisionFields) MarshalZerologObject(e *zerolog.Event) {
 	r := catalog.Revision(a)
 	e.Uint64("era", r.Era()).Uint64("revision", r.Number())
 }
 
-func newFollower(g *Gateway) *follower {
-	return &follower{gateway: g, servers: map[string]catalog.Server{}, current: map[string]string{}, missing: map[string]time.Time{}, halls: map[string]evacuation{}, cold: map[string]coldness{}, memory: newMemory(), revived: map[string]catalog.Server{}, handed: make(chan handover, 1), said: make(chan struct{}, 1)}
+func newStoreWatcher(g *Gateway) *storeWatcher {
+	return &storeWatcher{gateway: g, servers: map[string]catalog.Server{}, currentIDs: map[string]string{}, missingUntil: map[string]time.Time{}, evacuations: map[string]evacuation{}, cold: map[string]coldState{}, tombstones: newTombstones(), unverified: map[string]catalog.Server{}, peerViews: make(chan peerView, 1), leavingSignal: make(chan struct{}, 1)}
 }
 
-// answer is the end of one call to the source.
-type answer struct {
-	since    catalog.Revision // that a watch went on from
+// sourceResult is the result of one call to the source.
+type sourceResult struct {
+	since    catalog.Revision // revision at which the watch started
 	listed   bool
 	snapshot Snapshot
 	changes  []Change
@@ -117,291 +121,294 @@
 	err      error
 }
 
-// run follows the source until ctx ends. Calls run beside it, so that handed-over
-// views and ends of grace are taken up while a call waits.
-func (f *follower) run(ctx context.Context) {
-	answers := make(chan answer, 1)
+// run follows the source until ctx is done. Calls run in their own goroutines, so that
+// peer views are applied and grace periods end while a call waits.
+func (w *storeWatcher) run(ctx context.Context) {
+	results := make(chan sourceResult, 1)
 	call := func(listed bool) {
-		revision := f.gateway.view.Load().Revision
-		go func() { answers <- f.call(ctx, listed, revision) }()
+		revision := w.gateway.view.Load().Revision
+		go func() { results <- w.query(ctx, listed, revision) }()
 	}
-	sweep := time.NewTicker(sourceRetry)
-	defer sweep.Stop()
-	soon := time.NewTimer(time.Hour)
-	defer soon.Stop()
+	ticker := time.NewTicker(sourceRetryInterval)
+	defer ticker.Stop()
+	callTimer := time.NewTimer(time.Hour)
+	defer callTimer.Stop()
 	list := true
-	next := &list // the call to make, whether to list; nil: one is under way
-	soon.Reset(electFirst)
+	next := &list // whether the next call is a list; nil: a call is in flight
+	callTimer.Reset(electionDelay)
 	called := false
-	proceed := func(now time.Time) {
-		if next == nil || !f.mustCall(now) {
+	startCall := func(now time.Time) {
+		if next == nil || !w.shouldQuery(now) {
 			return
 		}
 		list := *next
 		next, called = nil, true
-		f.called = now
+		w.lastQuery = now
 		call(list)
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			if next == nil {
-				<-answers
+				<-results
 			}
 			return
-		case a := <-answers:
-			list, wait := f.take(time.Now(), a)
+		case r := <-results:
+			list, wait := w.applyResult(time.Now(), r)
 			next = &list
 			if !wait {
-				soon.Reset(gatherChanges)
+				callTimer.Reset(changeBatchDelay)
 			}
-		case h := <-f.handed:
-			f.takeHandover(time.Now(), h)
+		case p := <-w.peerViews:
+			w.applyPeerView(time.Now(), p)
 			if !called {
-				list = false // what was handed over can be watched on from
+				list = false // a watch can continue from the peer's view
 			}
-		case <-f.said:
-			f.publishAgain()
-		case now := <-soon.C:
-			proceed(now)
-		case now := <-sweep.C:
-			f.dropMissing(now)
-			f.gateway.suspects.writeDue(now)
-			proceed(now)
+		case <-w.leavingSignal:
+			w.republish()
+		case now := <-callTimer.C:
+			startCall(now)
+		case now := <-ticker.C:
+			w.expireMissing(now)
+			w.gateway.suspects.queueDueRewrites(now)
+			startCall(now)
 		}
 	}
 }
 
-// mustCall tells whether this gateway has to ask the store: it watches for its hall, or
-// nobody who does has been heard.
-func (f *follower) mustCall(now time.Time) bool {
-	g := f.gateway
+// shouldQuery reports whether this gateway has to query the store: it watches for its
+// hall, or no gateway that does has been heard.
+func (w *storeWatcher) shouldQuery(now time.Time) bool {
+	g := w.gateway
 	age := now.Sub(g.started)
 	switch {
-	case age < electFirst, f.away && now.Sub(f.called) < f.retryAfter():
+	case age < electionDelay, w.unreachable && now.Sub(w.lastQuery) < w.retryInterval():
 		return false
-	case g.watches.Load() || now.Sub(g.confirmedAt()) > unconfirmed:
+	case g.watchesStore.Load() || now.Sub(g.confirmedAt()) > confirmationTimeout:
 		return true
 	case g.options.Source.Era() > g.view.Load().Revision.Era():
-		return true // an answer to another call has told that the store has come back from a copy
+		return true // the answer to another call has shown that the store was restored
 	default:
-		return g.view.Load().Configuration == nil && age > startPatience
+		return g.view.Load().Configuration == nil && age > initialViewTimeout
 	}
 }
 
-// retryAfter is the time between tries while the store is out of reach.
-func (f *follower) retryAfter() time.Duration {
-	away := time.Duration(f.gateway.awayBeside.Load()) + 1
-	return min(max(away/2, 1)*sourceRetry, longestRetry)
+// retryInterval returns the time between calls while the store is unreachable.
+func (w *storeWatcher) retryInterval() time.Duration {
+	unreachable := time.Duration(w.gateway.hallPeersWithoutStore.Load()) + 1
+	return min(max(unreachable/2, 1)*sourceRetryInterval, maxSourceRetryInterval)
 }
 
-func (f *follower) call(ctx context.Context, listed bool, revision catalog.Revision) answer {
+func (w *storeWatcher) query(ctx context.Context, listed bool, revision catalog.Revision) sourceResult {
 	if listed {
 		ctx, cancel := context.WithTimeout(ctx, listTimeout)
 		defer cancel()
-		s, err := f.gateway.options.Source.List(ctx)
-		return answer{listed: true, snapshot: s, err: err}
+		s, err := w.gateway.options.Source.List(ctx)
+		return sourceResult{listed: true, snapshot: s, err: err}
 	}
 	ctx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
 	defer cancel()
-	changes, now, err := f.gateway.options.Source.Watch(ctx, revision, watchWait)
-	return answer{since: revision, changes: changes, revision: now, err: err}
+	changes, now, err := w.gateway.options.Source.Watch(ctx, revision, watchWait)
+	return sourceResult{since: revision, changes: changes, revision: now, err: err}
 }
 
-// take takes an answer over. It returns whether to list next, and whether to wait
-// before.
-func (f *follower) take(now time.Time, a answer) (list, wait bool) {
-	f.now = now
-	known := f.gateway.view.Load().Revision
+// applyResult applies the result of a call. It returns whether to list next, and whether
+// to wait before that.
+func (w *storeWatcher) applyResult(now time.Time, r sourceResult) (list, wait bool) {
+	w.applyTime = now
+	known := w.gateway.view.Load().Revision
 	switch {
-	case errors.Is(a.err, ErrHistoryGone):
-		f.gateway.log.Warn().Str("event", "store.history_gone").EmbedObject(atRevision(known)).Err(a.err).Msg("list again")
-		return true, a.listed // a list that is late, or was made while the store came back
-	case a.err != nil:
-		f.fail(now, a.err)
-		return true, true // a watch may have been forgotten; a list tells what there is
+	case errors.Is(r.err, ErrHistoryGone):
+		w.gateway.log.Warn().Str("event", "store.history_gone").EmbedObject(revisionFields(known)).Err(r.err).Msg("change history is gone; listing again")
+		return true, r.listed // the list was late, or ran while the store was being restored
+	case r.err != nil:
+		w.recordFailure(now, r.err)
+		return true, true // the store may have dropped the watch; a list returns the current state
 	}
-	f.recover(now)
-	if a.listed {
-		return f.takeList(now, known, a.snapshot)
+	w.recordSuccess(now)
+	if r.listed {
+		return w.applyList(now, known, r.snapshot)
 	}
-	if a.since.Era() == known.Era() {
-		f.gateway.confirm(now)
+	if r.since.Era() == known.Era() {
+		w.gateway.confirm(now)
 	}
-	// Another gateway may have handed over a newer view while the call was under way.
-	if a.since != known {
-		return false, false // its changes are older than what is known: watch on from there
+	// A peer may have handed over a newer view while the call was in flight.
+	if r.since != known {
+		return false, false // its changes are already known: continue the watch from the newer revision
 	}
-	f.takeChanges(now, a.changes, a.revision)
+	w.applyChanges(now, r.changes, r.revision)
 	return false, false
 }
 
-// takeList takes over a list, unless more is known.
-func (f *follower) takeList(now time.Time, known catalog.Revision, s Snapshot) (list, wait bool) {
+// applyList applies a list, unless the view is newer.
+func (w *storeWatcher) applyList(now time.Time, known catalog.Revision, s Snapshot) (list, wait bool) {
 	if s.Revision.Era() == known.Era() {
-		f.gateway.confirm(now)
+		w.gateway.confirm(now)
 	}
 	if s.Revision < known {
-		f.gateway.log.Warn().Str("event", "store.list_set_aside").EmbedObject(atRevision(s.Revision)).Stringer("known", known).Msg("older than what is known: list again")
+		w.gateway.log.Warn().Str("event", "store.list_set_aside").EmbedObject(revisionFields(s.Revision)).Stringer("known", known).Msg("list is older than the current view; listing again")
 		return true, true
 	}
 	if s.Revision.Era() > known.Era() {
-		f.enter(s.Revision, now.Add(settleTime))
-		f.gateway.confirm(now)
+		w.enterEra(s.Revision, now.Add(reconcilePeriod))
+		w.gateway.confirm(now)
 	}
-	f.mark = s.Revision
-	f.listed(now, s)
-	f.listedRollouts(now, s)
-	f.log.restart(s.Revision) // what was between is not known
-	f.suspectLog.restart(s.Revision)
-	f.takeSnapshot(s, func(id string) { f.remove(now, id) })
+	w.changeRevision = s.Revision
+	w.applyListedCold(now, s)
+	w.applyListedRollouts(now, s)
+	w.serverChanges.reset(s.Revision) // changes in between are unknown
+	w.suspectChanges.reset(s.Revision)
+	w.applySnapshot(s, func(id string) { w.removeServer(now, id) })
 	return s.Configuration == nil, s.Configuration == nil
 }
 
-func (f *follower) fail(now time.Time, err error) {
-	f.failed = now
-	if f.settling(now) {
-		f.settled = now.Add(settleTime) // nobody can write again meanwhile
+func (w *storeWatcher) recordFailure(now time.Time, err error) {
+	w.lastFailure = now
+	if w.reconciling(now) {
+		w.reconcileUntil = now.Add(reconcilePeriod) // servers and operators cannot write meanwhile
 	}
-	for id := range f.missing {
-		f.missing[id] = now.Add(returnGrace)
+	for id := range w.missingUntil {
+		w.missingUntil[id] = now.Add(reregistrationGrace)
 	}
-	if !f.away {
-		f.away = true
-		f.gateway.storeAway.Store(true)
-		f.gateway.peers.TellNow()
-		f.gateway.log.Warn().Str("event", "store.lost").Err(err).EmbedObject(atRevision(f.gateway.view.Load().Revision)).Msg("go on with what is known")
+	if !w.unreachable {
+		w.unreachable = true
+		w.gateway.storeUnreachable.Store(true)
+		w.gateway.peers.SendSoon()
+		w.gateway.log.Warn().Str("event", "store.lost").Err(err).EmbedObject(revisionFields(w.gateway.view.Load().Revision)).Msg("store is unreachable; continuing with the last view")
 	}
 }
 
-func (f *follower) recover(now time.Time) {
-	if f.away {
-		f.away = false
-		f.gateway.storeAway.Store(false)
-		f.gateway.log.Info().Str("event", "store.regained").Dur("away", now.Sub(f.failed)).Msg("follow the store again")
+func (w *storeWatcher) recordSuccess(now time.Time) {
+	if w.unreachable {
+		w.unreachable = false
+		w.gateway.storeUnreachable.Store(false)
+		w.gateway.log.Info().Str("event", "store.regained").Dur("away", now.Sub(w.lastFailure)).Msg("store is reachable again")
 	}
 }
 
-// grace tells whether entries that are missing may come back: the store was away a
-// moment ago.
-func (f *follower) grace(now time.Time) bool { return now.Sub(f.failed) < returnGrace }
+// withinGrace reports whether missing entries may still be written again, since the store
+// was unreachable a moment ago.
+func (w *storeWatcher) withinGrace(now time.Time) bool {
+	return now.Sub(w.lastFailure) < reregistrationGrace
+}
 
-// takeSnapshot takes over all there is; lacking hears of the servers that are no more.
-func (f *follower) takeSnapshot(s Snapshot, lacking func(id string)) {
+// applySnapshot replaces the state by a snapshot and calls remove for each server that the
+// snapshot lacks.
+func (w *storeWatcher) applySnapshot(s Snapshot, remove func(id string)) {
 	for _, name := range s.Unreadable {
-		f.dropNamed(name)
+		w.dropServerByName(name)
 	}
 	present := map[string]bool{}
 	for _, server := range s.Servers {
 		present[server.ID] = true
-		if f.revives(server) {
+		if w.withholdUnverified(server) {
 			continue
 		}
-		server.Leaving = f.leaves(server)
-		if _, missing := s.Missing[server.ID]; missing {
+		server.Leaving = w.isLeaving(server)
+		if _, missing := s.MissingUntil[server.ID]; missing {
 			server.Evacuated = false
-			f.put(server)
+			w.putServer(server)
 			continue
 		}
-		f.set(server)
+		w.upsertServer(server)
 	}
-	for id := range f.servers {
+	for id := range w.servers {
 		if !present[id] {
-			f.lack(id, lacking)
+			w.handleAbsent(id, remove)
 		}
 	}
-	if f.settling(f.now) {
-		s.Suspects = f.mergeSuspects(s.Suspects)
+	if w.reconciling(w.applyTime) {
+		s.Suspects = w.mergeSuspects(s.Suspects)
 	}
-	for k := range f.suspects {
+	for k := range w.suspects {
 		if _, still := s.Suspects[k]; !still {
-			f.memory.lift(f.now, k)
+			w.tombstones.addSuspect(w.applyTime, k)
 		}
 	}
-	f.suspects, f.suspectsChanged = s.Suspects, true
-	f.publish(s.Configuration, s.Raw, s.Revision)
+	w.suspects, w.suspectsChanged = s.Suspects, true
+	w.publish(s.Configuration, s.RawConfiguration, s.Revision)
 }
 
-func (f *follower) takeChanges(now time.Time, changes []Change, revision catalog.Revision) {
-	v := f.gateway.view.Load()
-	configuration, raw := v.Configuration, v.Raw
-	f.mark = revision
+func (w *storeWatcher) applyChanges(now time.Time, changes []Change, revision catalog.Revision) {
+	v := w.gateway.view.Load()
+	configuration, raw := v.Configuration, v.RawConfiguration
+	w.changeRevision = revision
 	for _, c := range changes {
 		switch c := c.(type) {
 		case ConfigurationChanged:
 			configuration, raw = c.Configuration, c.Raw
 		case ServerChanged:
-			delete(f.revived, c.Server.Name())
-			f.warm(now, c)
-			f.set(c.Server)
-		case ServerGone:
-			delete(f.revived, c.Name)
-			f.remove(now, f.current[c.Name])
+			delete(w.unverified, c.Server.Name())
+			w.updateColdState(now, c)
+			w.upsertServer(c.Server)
+		case ServerRemoved:
+			delete(w.unverified, c.Name)
+			w.removeServer(now, w.currentIDs[c.Name])
 		case ServerUnreadable:
-			delete(f.revived, c.Name)
-			f.dropNamed(c.Name)
+			delete(w.unverified, c.Name)
+			w.dropServerByName(c.Name)
 		case HallEvacuated:
-			f.evacuate(now, c)
-		case HallReturned:
-			f.takeBack(now, c.Hall)
+			w.evacuate(now, c)
+		case HallEvacuationEnded:
+			w.endEvacuation(now, c.Hall)
 		case RolloutOrdered:
-			f.takeOrder(now, c.Order)
+			w.applyOrder(now, c.Order)
 		case RolloutWithdrawn:
-			f.withdraw(c.Service)
-		case RolloutStated:
-			f.stated(c.Service, c.Status)
+			w.withdrawOrder(c.Service)
+		case RolloutStatusChanged:
+			w.applyRolloutStatus(c.Service, c.Status)
 		case ServerClaimed:
-			f.claimed(c.Claim)
+			w.markClaimed(c.Claim)
 		case SuspectChanged:
-			f.setSuspect(c.Key, c.Kept)
-		case SuspectGone:
-			f.dropSuspect(c.Key)
+			w.setSuspect(c.Key, c.Record)
+		case SuspectRemoved:
+			w.removeSuspect(c.Key)
 		}
 	}
-	f.publish(configuration, raw, revision)
+	w.publish(configuration, raw, revision)
 }
 
-// publishAgain makes a new view of what is known besides the store.
-func (f *follower) publishAgain() {
-	v := f.gateway.view.Load()
-	f.publish(v.Configuration, v.Raw, v.Revision)
+// republish publishes a new view after a change that did not come from the store.
+func (w *storeWatcher) republish() {
+	v := w.gateway.view.Load()
+	w.publish(v.Configuration, v.RawConfiguration, v.Revision)
 }
 
-// publish makes a new view known. A configuration never steps back.
-func (f *follower) publish(c *catalog.Configuration, raw []byte, revision catalog.Revision) {
-	old := f.gateway.view.Load()
+// publish publishes a new view. The version of the configuration never decreases.
+func (w *storeWatcher) publish(c *catalog.Configuration, raw []byte, revision catalog.Revision) {
+	old := w.gateway.view.Load()
 	if old.Configuration != nil && (c == nil || c.Version < old.Configuration.Version) {
-		c, raw = old.Configuration, old.Raw
+		c, raw = old.Configuration, old.RawConfiguration
 	}
 	if c != nil && (old.Configuration == nil || c.Version != old.Configuration.Version) {
-		f.gateway.log.Info().Str("event", "configuration.in_force").Uint64("version", c.Version).
-			EmbedObject(atRevision(revision)).Int("routes", len(c.Routes)).Int("accounts", len(c.Accounts)).Msg("apply")
+		w.gateway.log.Info().Str("event", "configuration.in_force").Uint64("version", c.Version).
+			EmbedObject(revisionFields(revision)).Int("routes", len(c.Routes)).Int("accounts", len(c.Accounts)).Msg("apply")
 	}
 	v := &View{
-		Configuration: c, Raw: raw, Revision: max(revision, old.Revision), Missing: maps.Clone(f.missing),
-		Evacuated: maps.Clone(f.halls), Cold: maps.Clone(f.cold), log: f.log,
-		Rollouts: f.rollouts, Suspects: f.suspects, suspectLog: f.suspectLog,
-		Settled: f.settled, Revived: slices.Collect(maps.Values(f.revived)),
+		Configuration: c, RawConfiguration: raw, Revision: max(revision, old.Revision), MissingUntil: maps.Clone(w.missingUntil),
+		Evacuated: maps.Clone(w.evacuations), Cold: maps.Clone(w.cold), serverChanges: w.serverChanges,
+		Rollouts: w.rollouts, Suspects: w.suspects, suspectChanges: w.suspectChanges,
+		ReconcileUntil: w.reconcileUntil, Unverified: slices.Collect(maps.Values(w.unverified)),
 	}
-	if f.order == nil {
-		f.order = slices.Sorted(maps.Keys(f.servers))
+	if w.sortedIDs == nil {
+		w.sortedIDs = slices.Sorted(maps.Keys(w.servers))
 	}
-	v.Servers = make([]catalog.Server, len(f.order))
-	for i, id := range f.order {
-		v.Servers[i] = f.servers[id]
-		_, v.Servers[i].Evacuated = f.halls[v.Servers[i].Hall]
+	v.Servers = make([]catalog.Server, len(w.sortedIDs))
+	for i, id := range w.sortedIDs {
+		v.Servers[i] = w.servers[id]
+		_, v.Servers[i].Evacuated = w.evacuations[v.Servers[i].Hall]
 	}
 	now := time.Now()
-	v.Left = f.gateway.signals.mark(now, v.Servers)
+	v.ReportedLeaving = w.gateway.signals.applyTo(now, v.Servers)
 	changed := c != old.Configuration || !slices.Equal(v.Servers, old.Servers) || !maps.Equal(v.Cold, old.Cold) || !maps.Equal(v.Rollouts, old.Rollouts)
-	f.gateway.view.Store(v)
-	f.gateway.crashes.viewChanged(now, old.Servers, v.Servers)
-	if f.suspectsChanged {
-		f.suspectsChanged = false
-		f.gateway.suspects.kept(now, old.Suspects, v.Suspects, f.gateway.watches.Load())
+	w.gateway.view.Store(v)
+	w.gateway.crashes.viewChanged(now, old.Servers, v.Servers)
+	if w.suspectsChanged {
+		w.suspectsChanged = false
+		w.gateway.suspects.applyStored(now, old.Suspects, v.Suspects, w.gateway.watchesStore.Load())
 	}
 	if changed {
-		f.gateway.desk.viewChanged(v)
-		f.gateway.peers.TellNow()
+		w.gateway.dispatcher.viewChanged(v)
+		w.gateway.peers.SendSoon()
 	}
 }
--- a/router/agents.go
+++ b/router/agents.go
@@ -14,7 +14,7 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// agents is the duty that keeps connections to the router's agents.
+// agents maintains the connections to the agents that this router uses.
 type agents struct {
 	router *Router
 	mutex  sync.Mutex
@@ -28,9 +28,9 @@
 		defer t.Stop()
 		for {
 			changed := s.router.members.changed()
-			s.choose(ctx, connections)
+			s.updateLinks(ctx, connections)
 			select {
-			case <-t.C: // summing may have begun or ended
+			case <-t.C: // the set of desired agents also depends on whether this router aggregates
 			case <-changed:
 			case <-s.router.holder.Changed():
 			case <-ctx.Done():
@@ -38,27 +38,28 @@
 			}
 		}
 	})
-	connections.Collect(ctx)
+	connections.Wait(ctx)
 }
 
-// choose keeps the links that are wanted, ends the others and starts new ones.
-func (s *agents) choose(ctx context.Context, connections *duty.Group) {
-	wanted := map[string]kv.Host{}
-	for _, h := range s.router.members.wantedAgents() {
-		wanted[h.Name] = h
+// updateLinks starts links to newly desired agents, and closes links whose address
+// changed or whose host is gone; see link.shouldDrop.
+func (s *agents) updateLinks(ctx context.Context, connections *duty.Group) {
+	desired := map[string]kv.Host{}
+	for _, h := range s.router.members.desiredAgents() {
+		desired[h.Name] = h
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for name, l := range s.links {
-		h, keep := wanted[name]
+		h, keep := desired[name]
 		l.setListed(keep)
-		s.tellLeaving(l, h.Leaving)
-		if l.given() || (keep && h.Address != l.host.Address) {
+		s.sendLeaving(l, h.Leaving)
+		if l.shouldDrop() || (keep && h.Address != l.host.Address) {
 			l.cancel()
 			delete(s.links, name)
 		}
 	}
-	for name, h := range wanted {
+	for name, h := range desired {
 		if s.links[name] != nil {
 			continue
 		}
@@ -66,57 +67,57 @@
 		l := newLink(h, cancel)
 		s.links[name] = l
 		connections.Go(alive, "agent "+name, func(ctx context.Context) {
-			s.router.keep(ctx, l, s.use)
+			s.router.maintain(ctx, l, s.serve)
 		})
 	}
 }
 
-// tellLeaving passes on to an agent what the live list says of its host.
-func (s *agents) tellLeaving(l *link, leaving bool) {
-	if p := l.news(leaving); p != nil {
-		p.Send(s.router.message(&wirepb.Control_Leaving{Leaving: &wirepb.Leaving{On: leaving}}))
+// sendLeaving tells an agent whether the live list marks its host as leaving.
+func (s *agents) sendLeaving(l *link, leaving bool) {
+	if p := l.markLeavingSent(leaving); p != nil {
+		p.Send(s.router.controlMessage(&wirepb.Control_Leaving{Leaving: &wirepb.Leaving{On: leaving}}))
 	}
 }
 
-func (s *agents) use(_ context.Context, p *wire.Peer) {
+func (s *agents) serve(_ context.Context, p *wire.Peer) {
 	r := s.router
-	r.dispatcher.tell(upEvent{peer: p})
+	r.dispatcher.send(agentConnectedEvent{peer: p})
 	r.sendDocumentIfNewer(p, p.Hello.Revision)
 	for m := range p.Control() {
-		s.take(p, m)
+		s.handle(p, m)
 	}
-	r.dispatcher.tell(downEvent{peer: p})
-	r.summing.lost(p)
+	r.dispatcher.send(agentDisconnectedEvent{peer: p})
+	r.aggregator.agentLost(p)
 }
 
-var errUnexpected = errors.New("router: message that an agent does not send")
+var errUnexpected = errors.New("router: unexpected message")
 
-func (s *agents) take(p *wire.Peer, m *wirepb.Control) {
+func (s *agents) handle(p *wire.Peer, m *wirepb.Control) {
 	r := s.router
-	r.noteRevision(p, m)
+	r.requestNewerDocument(p, m)
 	switch b := m.Body.(type) {
 	case *wirepb.Control_Grant:
-		r.dispatcher.tell(grantEvent{peer: p, grant: b.Grant})
+		r.dispatcher.send(grantEvent{peer: p, grant: b.Grant})
 	case *wirepb.Control_Load:
-		r.dispatcher.tell(loadEvent{peer: p, load: b.Load})
+		r.dispatcher.send(loadEvent{peer: p, load: b.Load})
 	case *wirepb.Control_Report:
-		r.summing.tell(reportEvent{peer: p, report: b.Report})
+		r.aggregator.send(reportEvent{peer: p, report: b.Report})
 	case *wirepb.Control_Document:
-		r.offerContent(p, b.Document.Content)
+		r.applyEncodedDocument(p, b.Document.Content)
 	case *wirepb.Control_DocumentRequest:
 		r.sendDocument(p)
 	case *wirepb.Control_Ping:
-		p.Send(r.message(&wirepb.Control_Pong{Pong: &wirepb.Pong{Sent: b.Ping.Sent}}))
+		p.Send(r.controlMessage(&wirepb.Control_Pong{Pong: &wirepb.Pong{Sent: b.Ping.Sent}}))
 	case *wirepb.Control_Pong:
 	default:
 		p.Close(errUnexpected)
 	}
 }
 
-// connected returns how many agents are connected.
+// connected returns the number of connected agents.
 func (s *agents) connected() int { return len(s.peers()) }
 
-// peers returns the present connections.
+// peers returns the open connections.
 func (s *agents) peers() []*wire.Peer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -129,9 +130,9 @@
 	return list
 }
 
-// find returns the connection to an agent, waiting for it until ctx ends. It
-// returns nil when there is none.
-func (s *agents) find(ctx context.Context, name string, not *wire.Peer) *wire.Peer {
+// waitForPeer returns a connection to an agent other than except, and waits for
+// one until ctx ends. It returns nil if there is none or the agent is not desired.
+func (s *agents) waitForPeer(ctx context.Context, name string, except *wire.Peer) *wire.Peer {
 	for {
 		s.mutex.Lock()
 		l := s.links[name]
@@ -139,14 +140,14 @@
 		if l == nil {
 			return nil
 		}
-		p, up := l.current()
-		if p != nil && p != not {
+		p, connected := l.current()
+		if p != nil && p != except {
 			return p
 		}
 		if p != nil {
-			select { // the broken connection is about to be taken off
+			select { // the link is about to drop the broken connection
 			case <-p.Closed():
-				if !sleep(ctx, firstRedial) {
+				if !sleep(ctx, minRedialInterval) {
 					return nil
 				}
 				continue
@@ -155,7 +156,7 @@
 			}
 		}
 		select {
-		case <-up:
+		case <-connected:
 		case <-ctx.Done():
 			return nil
 		}
@@ -169,12 +170,12 @@
 	}
 }
 
-// offerContent offers a document that a peer has sent.
-func (r *Router) offerContent(p *wire.Peer, content []byte) {
+// applyEncodedDocument decodes a document sent by a peer and applies it.
+func (r *Router) applyEncodedDocument(p *wire.Peer, content []byte) {
 	d, err := config.Decode(content)
 	if err != nil {
 		p.Close(err)
 		return
 	}
-	r.offer(d, "peer "+p.Hello.Node)
+	r.applyDocument(d, "peer "+p.Hello.Node)
 }
--- a/router/event.go
+++ b/router/event.go
@@ -9,41 +9,40 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// event is what the dispatcher is told: one of the types below.
+// event is an event handled by the dispatcher: one of the types below.
 type event interface{ event() }
 
-// offerEvent asks for a place for a request; the reply comes at once or when the
-// request is bound.
-type offerEvent struct{ ticket *ticket }
+// submitEvent submits a request; the result arrives at once or when the request is
+// bound.
+type submitEvent struct{ ticket *ticket }
 
-// againEvent puts a request that was not run back at the head of its line. Full
-// says that the agent had no room.
-type againEvent struct {
+// requeueEvent returns a request that did not run to the head of its queue.
+type requeueEvent struct {
 	ticket *ticket
 	agent  string
-	full   bool
+	full   bool // the agent had no free slot
 }
 
-// leaveEvent takes a request out of the queue; the reply tells whether it was
-// still there.
-type leaveEvent struct {
+// cancelEvent removes a request from the queue; the reply tells whether it was
+// still queued.
+type cancelEvent struct {
 	ticket *ticket
 	reply  chan bool // capacity one
 }
 
-// endEvent tells that an attempt at an agent has ended.
+// endEvent reports that an attempt at an agent has ended.
 type endEvent struct {
 	ticket *ticket
 	agent  string
-	cost   float64 // weighted tokens; zero: not known
+	cost   float64 // weighted tokens; zero: unknown
 }
 
-// declineEvent gives a granted place back unused.
+// declineEvent returns an unused placement and its grant, if any.
 type declineEvent struct{ placement placement }
 
-type upEvent struct{ peer *wire.Peer }
+type agentConnectedEvent struct{ peer *wire.Peer }
 
-type downEvent struct{ peer *wire.Peer }
+type agentDisconnectedEvent struct{ peer *wire.Peer }
 
 type grantEvent struct {
 	peer  *wire.Peer
@@ -57,47 +56,47 @@
 
 type configEvent struct{}
 
-type viewEvent struct{ reply chan view } // capacity one
-
-func (offerEvent) event()   {}
-func (againEvent) event()   {}
-func (leaveEvent) event()   {}
-func (endEvent) event()     {}
-func (declineEvent) event() {}
-func (upEvent) event()      {}
-func (downEvent) event()    {}
-func (grantEvent) event()   {}
-func (loadEvent) event()    {}
-func (configEvent) event()  {}
-func (viewEvent) event()    {}
-
-// ticket is one request on its way through the dispatcher.
+type snapshotEvent struct{ reply chan snapshot } // capacity one
+
+func (submitEvent) event()            {}
+func (requeueEvent) event()           {}
+func (cancelEvent) event()            {}
+func (endEvent) event()               {}
+func (declineEvent) event()           {}
+func (agentConnectedEvent) event()    {}
+func (agentDisconnectedEvent) event() {}
+func (grantEvent) event()             {}
+func (loadEvent) event()              {}
+func (configEvent) event()            {}
+func (snapshotEvent) event()          {}
+
+// ticket is a request in the dispatcher, with the channel for its result.
 type ticket struct {
-	request  *dispatch.Request
-	account  string      // name
-	most     int         // requests of the account that may wait here
-	answer   chan placed // capacity one: the dispatcher never waits
-	estimate float64     // expected cost, settled when it is bound
-	waited   time.Duration
-	failed   []string // agents where an attempt failed
+	request      *dispatch.Request
+	account      string               // account name
+	maxWaiting   int                  // limit of the account's requests in this queue
+	result       chan placementResult // capacity one: the dispatcher never blocks
+	expectedCost float64              // in weighted tokens, set when the request is bound
+	waitTime     time.Duration
+	failedAgents []string // agents where an attempt failed
 }
 
-// placed is the dispatcher's word on a request: placement or refusal.
-type placed interface{ placed() }
+// placementResult is the dispatcher's decision on a request: placement or rejection.
+type placementResult interface{ placementResult() }
 
 // placement binds a request to an agent.
 type placement struct {
-	peer  *wire.Peer
-	grant uint64 // zero: sent without one
-	why   string
+	peer   *wire.Peer
+	grant  uint64 // ID of the agent's grant; zero: sent without one
+	reason string
 }
 
-// refusal says that the request will not wait here.
-type refusal struct {
+// rejection rejects a request, with the cause for the caller.
+type rejection struct {
 	cause      attempt.Cause
 	reason     string
 	retryAfter time.Duration
 }
 
-func (placement) placed() {}
-func (refusal) placed()   {}
+func (placement) placementResult() {}
+func (rejection) placementResult() {}
--- a/router/http.go
+++ b/router/http.go
@@ -15,28 +15,28 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// Headers that callers set and get.
+// Request and response headers.
 const (
-	UrgentHeader        = "Opalbridge-Urgent"         // true: before the account's other requests
-	NotRepeatableHeader = "Opalbridge-Not-Repeatable" // true: at most once; false: may be tried again
-	DeadlineHeader      = "Opalbridge-Deadline-Ms"    // milliseconds the caller waits for the whole answer
+	UrgentHeader        = "Opalbridge-Urgent"         // true: ahead of the account's other requests
+	NotRepeatableHeader = "Opalbridge-Not-Repeatable" // true: runs at most once; false: may be retried
+	DeadlineHeader      = "Opalbridge-Deadline-Ms"    // milliseconds until the whole response must have arrived
 	KeyHeader           = "Idempotency-Key"
 	RequestHeader       = "Opalbridge-Request-Id"
 	OutcomeHeader       = "Opalbridge-Outcome" // not-run, ran or unknown
-	shouldRetryHeader   = "X-Should-Retry"     // understood by published clients
+	shouldRetryHeader   = "X-Should-Retry"     // honoured by published client libraries
 )
 
 const (
 	defaultDeadline = 10 * time.Minute
-	longestDeadline = time.Hour
-	longestKey      = 255
-	longestHeaders  = 32 << 10 // bytes of all headers that are passed on
-	prefixBytes     = 512
-	// hintTokens is the expected answer length when the caller sets no limit.
-	hintTokens = 256
+	maxDeadline     = time.Hour
+	maxKeyBytes     = 255
+	maxHeaderBytes  = 32 << 10 // total of the forwarded headers
+	prefixBytes     = 512      // of a prompt, hashed to find agents that have served it
+	// defaultOutputTokens is the expected output when the caller sets no limit.
+	defaultOutputTokens = 256
 )
 
-// Handler returns the callers' API.
+// Handler returns the HTTP API for callers.
 func (r *Router) Handler() http.Handler {
 	m := chi.NewRouter()
 	m.Post("/v1/chat/completions", r.serveModel)
@@ -47,26 +47,26 @@
 	m.Get("/ready", r.serveReady)
 	m.Get("/live", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "live\n") })
 	m.NotFound(func(w http.ResponseWriter, _ *http.Request) {
-		writeFault(w, "", &fault{status: http.StatusNotFound, code: "no_such_path", message: "there is nothing at this path"})
+		writeRequestError(w, "", &requestError{status: http.StatusNotFound, code: "no_such_path", message: "there is nothing at this path"})
 	})
 	m.MethodNotAllowed(func(w http.ResponseWriter, _ *http.Request) {
-		writeFault(w, "", &fault{status: http.StatusMethodNotAllowed, code: "method_not_allowed", message: "this path does not take this method"})
+		writeRequestError(w, "", &requestError{status: http.StatusMethodNotAllowed, code: "method_not_allowed", message: "this path does not take this method"})
 	})
 	return m
 }
 
 func (r *Router) serveReady(w http.ResponseWriter, _ *http.Request) {
-	ready, why := r.Ready()
+	ready, reason := r.Ready()
 	if !ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	_, _ = io.WriteString(w, why+"\n")
+	_, _ = io.WriteString(w, reason+"\n")
 }
 
 func (r *Router) serveModels(w http.ResponseWriter, q *http.Request) {
 	c := r.holder.Current()
-	if _, f := authenticate(c, q); f != nil {
-		writeFault(w, "", f)
+	if _, e := authenticate(c, q); e != nil {
+		writeRequestError(w, "", e)
 		return
 	}
 	type model struct {
@@ -85,61 +85,62 @@
 }
 
 func (r *Router) serveModel(w http.ResponseWriter, h *http.Request) {
-	q, f := r.parse(h)
-	if f == nil {
-		f = parseModel(q, r.holder.Current())
+	q, e := r.parse(h)
+	if e == nil {
+		e = parseModel(q, r.holder.Current())
 	}
-	if f != nil {
-		writeFault(w, q.ID, f)
+	if e != nil {
+		writeRequestError(w, q.ID, e)
 		return
 	}
-	r.answer(w, h, q)
+	r.respond(w, h, q)
 }
 
 func (r *Router) serveService(w http.ResponseWriter, h *http.Request) {
-	q, f := r.parse(h)
-	if f == nil {
-		f = parseService(q, h, r.holder.Current())
+	q, e := r.parse(h)
+	if e == nil {
+		e = parseService(q, h, r.holder.Current())
 	}
-	if f != nil {
-		writeFault(w, q.ID, f)
+	if e != nil {
+		writeRequestError(w, q.ID, e)
 		return
 	}
-	r.answer(w, h, q)
+	r.respond(w, h, q)
 }
 
-// answer runs a request and writes its answer or refusal.
-func (r *Router) answer(w http.ResponseWriter, h *http.Request, q *Request) {
+// respond serves a request and writes its answer or error.
+func (r *Router) respond(w http.ResponseWriter, h *http.Request, q *Request) {
 	ctx := propagation.TraceContext{}.Extract(h.Context(), propagation.HeaderCarrier(h.Header))
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stop := context.AfterFunc(h.Context(), func() { cancel(errCallerLeft) })
 	defer stop()
-	s := &httpSink{writer: w, control: http.NewResponseController(w), request: q.ID}
+	s := &httpSink{writer: w, controller: http.NewResponseController(w), request: q.ID}
 	o := r.Serve(ctx, q, s)
-	if ran, ok := o.(attempt.Ran); ok && ran.Complete {
+	if ran, ok := o.(attempt.Executed); ok && ran.Complete {
 		return
 	}
-	if s.begun {
-		// The caller has part of the answer: the connection must look broken.
+	if s.headWritten {
+		// The caller has received part of the answer: abort the connection so that
+		// the answer does not look complete.
 		panic(http.ErrAbortHandler)
 	}
 	writeOutcome(w, q, o)
 }
 
-// httpSink passes an answer on over HTTP, each piece as it comes.
+// httpSink writes an answer to an HTTP response and flushes every chunk.
 type httpSink struct {
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	request string
-	begun   bool
+	writer      http.ResponseWriter
+	controller  *http.ResponseController
+	request     string
+	headWritten bool
 }
 
 // Head implements Sink.
 func (s *httpSink) Head(status int, headers []*wirepb.Header) {
-	s.begun = true
+	s.headWritten = true
 	for _, h := range headers {
-		if !notPassedOn[h.Name] || h.Name == "Content-Length" {
+		if !droppedHeaders[h.Name] || h.Name == "Content-Length" {
 			s.writer.Header().Add(h.Name, h.Value)
 		}
 	}
@@ -153,5 +154,5 @@
 	if _, err := s.writer.Write(chunk); err != nil {
 		return errors.Wrap(err, "router: write answer")
 	}
-	return s.control.Flush()
+	return s.controller.Flush()
 }
--- a/router/recover.go
+++ b/router/recover.go
@@ -10,55 +10,57 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// revoke asks the same incarnation of the agent that the attempt never runs.
-func (f *flight) revoke(ctx context.Context, p placement) attempt.Next {
-	answer, reason := f.ask(ctx, p, &wirepb.Call{Body: &wirepb.Call_Revoke{Revoke: &wirepb.Revoke{
+// revoke asks the same incarnation of the agent to ensure that the attempt never
+// runs.
+func (f *flight) revoke(ctx context.Context, p placement) attempt.Action {
+	reply, reason := f.callAgent(ctx, p, &wirepb.Call{Body: &wirepb.Call_Revoke{Revoke: &wirepb.Revoke{
 		Request: f.request.ID, Attempt: f.life.Attempts(), Incarnation: p.peer.Hello.Incarnation,
 	}}})
 	text := reason
-	var next attempt.Next
-	switch answer.GetBody().(type) {
+	var next attempt.Action
+	switch reply.GetBody().(type) {
 	case *wirepb.Piece_Revoked:
-		next, text = f.life.Fire(attempt.Revoke), "it was revoked and never ran"
+		next, text = f.life.Fire(attempt.ConfirmRevoked), "it was revoked and never ran"
 	case *wirepb.Piece_Started:
-		next, text = f.life.Fire(attempt.Found), "it has begun there"
+		next, text = f.life.Fire(attempt.ConfirmStarted), "it has begun there"
 	default:
 		if ctx.Err() != nil {
-			return f.abandoned(ctx)
+			return f.abandon(ctx)
 		}
-		next = f.life.Fire(attempt.Vanish)
+		next = f.life.Fire(attempt.AgentGone)
 	}
 	f.router.record(explain.Event{Kind: explain.Revoke, Request: f.request.ID, Account: f.request.Account, Attempt: f.life.Attempts(),
 		Text: fmt.Sprintf("asked %s to revoke the attempt: %s", p.peer.Hello.Node, text)})
 	return next
 }
 
-// ask makes a short call to the incarnation that had the attempt, over another
-// connection if need be. Without an answer it tells why.
-func (f *flight) ask(ctx context.Context, p placement, c *wirepb.Call) (*wirepb.Piece, string) {
-	ctx, cancel := context.WithTimeout(ctx, recoverTime)
+// callAgent makes a short call to the incarnation that had the attempt, over a new
+// connection if the old one is closed. If there is no answer it returns the reason.
+func (f *flight) callAgent(ctx context.Context, p placement, c *wirepb.Call) (*wirepb.Piece, string) {
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	s, reason := f.reopen(ctx, p, c)
+	s, reason := f.sendToAgent(ctx, p, c)
 	if s == nil {
 		return nil, reason
 	}
 	defer s.Close()
-	release := s.Shut(ctx)
+	release := s.CloseWhenDone(ctx)
 	defer release()
-	var answer wirepb.Piece
-	if err := s.Read(&answer); err != nil {
+	var reply wirepb.Piece
+	if err := s.Read(&reply); err != nil {
 		return nil, err.Error()
 	}
-	return &answer, ""
+	return &reply, ""
 }
 
-// reopen finds the agent again and sends it a call.
-func (f *flight) reopen(ctx context.Context, p placement, c *wirepb.Call) (*wire.Stream, string) {
+// sendToAgent opens a stream to the incarnation that had the attempt and sends it a
+// call. It returns the reason if the agent cannot be reached or was restarted.
+func (f *flight) sendToAgent(ctx context.Context, p placement, c *wirepb.Call) (*wire.Stream, string) {
 	broken := p.peer
 	for {
 		peer := p.peer
 		if peer.Reason() != nil || isClosed(peer) {
-			peer = f.router.agents.find(ctx, p.peer.Hello.Node, broken)
+			peer = f.router.agents.waitForPeer(ctx, p.peer.Hello.Node, broken)
 		}
 		switch {
 		case peer == nil:
@@ -90,22 +92,22 @@
 	}
 }
 
-// resume goes on with the answer from the next chunk.
-func (f *flight) resume(ctx context.Context, p placement) attempt.Next {
-	find, cancel := context.WithTimeout(ctx, recoverTime)
+// resume continues reading the answer from the next chunk, over a new stream.
+func (f *flight) resume(ctx context.Context, p placement) attempt.Action {
+	findCtx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	s, reason := f.reopen(find, p, &wirepb.Call{Body: &wirepb.Call_Resume{Resume: &wirepb.Resume{
-		Request: f.request.ID, Attempt: f.life.Attempts(), Next: f.next,
+	s, reason := f.sendToAgent(findCtx, p, &wirepb.Call{Body: &wirepb.Call_Resume{Resume: &wirepb.Resume{
+		Request: f.request.ID, Attempt: f.life.Attempts(), Next: f.nextChunk,
 	}}})
 	f.router.record(explain.Event{Kind: explain.Resume, Request: f.request.ID, Account: f.request.Account, Attempt: f.life.Attempts(),
-		Text: fmt.Sprintf("asked %s for the answer from chunk %d on %s", p.peer.Hello.Node, f.next, reason)})
+		Text: fmt.Sprintf("asked %s for the answer from chunk %d on %s", p.peer.Hello.Node, f.nextChunk, reason)})
 	if s == nil {
 		if ctx.Err() != nil {
-			return f.abandoned(ctx)
+			return f.abandon(ctx)
 		}
-		return f.life.Fire(attempt.Vanish)
+		return f.life.Fire(attempt.AgentGone)
 	}
 	defer s.Close()
 	f.life.Fire(attempt.Resume)
-	return f.read(ctx, p, s)
+	return f.readAnswer(ctx, p, s)
 }
--- a/router/refuse.go
+++ b/router/refuse.go
@@ -10,67 +10,69 @@
 	"opalbridge.dev/attempt"
 )
 
-// fault is a request that was refused before anything was decided about it.
-type fault struct {
-	status  int
-	code    string
-	field   string
-	message string
-	retry   time.Duration
+// requestError is an error response.
+type requestError struct {
+	status     int
+	code       string
+	field      string
+	message    string
+	retryAfter time.Duration
 }
 
 func writeOutcome(w http.ResponseWriter, q *Request, o attempt.Outcome) {
-	f := &fault{}
+	e := &requestError{}
 	name, reason := describe(o)
-	f.message = reason
+	e.message = reason
 	switch o := o.(type) {
-	case attempt.NotRun:
-		f.status, f.code = statusOf(o.Cause)
-		f.retry = max(o.RetryAfter, time.Second)
-	case attempt.Ran:
-		f.status, f.code = http.StatusBadGateway, "answer_cut"
+	case attempt.NotExecuted:
+		e.status, e.code = statusForCause(o.Cause)
+		e.retryAfter = max(o.RetryAfter, time.Second)
+	case attempt.Executed:
+		e.status, e.code = http.StatusBadGateway, "answer_cut"
 	case attempt.Unknown:
-		f.status, f.code = http.StatusBadGateway, "outcome_unknown"
+		e.status, e.code = http.StatusBadGateway, "outcome_unknown"
 	}
-	write(w, q.ID, name, f)
+	writeError(w, q.ID, name, e)
 }
 
-// statusOf gives a cause its status and code.
-func statusOf(c attempt.Cause) (status int, code string) {
+// statusForCause returns the HTTP status and error code of a cause.
+func statusForCause(c attempt.Cause) (status int, code string) {
 	switch c {
-	case attempt.TooMany:
+	case attempt.QueueFull:
 		return http.StatusTooManyRequests, "too_many_waiting"
 	case attempt.Deadline:
 		return http.StatusGatewayTimeout, "deadline"
-	case attempt.Untold:
+	case attempt.KeyIndeterminate:
 		return http.StatusServiceUnavailable, "key_untold"
 	default:
 		return http.StatusServiceUnavailable, "not_run"
 	}
 }
 
-// writeFault answers a request that was refused before it was dispatched.
-func writeFault(w http.ResponseWriter, request string, f *fault) { write(w, request, "not-run", f) }
+// writeRequestError answers a request that was rejected before it was dispatched.
+func writeRequestError(w http.ResponseWriter, request string, e *requestError) {
+	writeError(w, request, "not-run", e)
+}
 
-func write(w http.ResponseWriter, request, outcome string, f *fault) {
+func writeError(w http.ResponseWriter, request, outcome string, e *requestError) {
 	h := w.Header()
 	if request != "" {
 		h.Set(RequestHeader, request)
 	}
 	h.Set(OutcomeHeader, outcome)
-	h.Set(shouldRetryHeader, strconv.FormatBool(f.retry > 0 && outcome == "not-run"))
+	h.Set(shouldRetryHeader, strconv.FormatBool(e.retryAfter > 0 && outcome == "not-run"))
 	body := map[string]any{
-		"message": f.message, "type": typeOf(f.status), "code": f.code, "param": f.field,
+		"message": e.message, "type": errorType(e.status), "code": e.code, "param": e.field,
 		"outcome": outcome, "request_id": request,
 	}
-	if f.retry > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.retry.Seconds()))))
-		body["retry_after_ms"] = f.retry.Milliseconds()
+	if e.retryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(e.retryAfter.Seconds()))))
+		body["retry_after_ms"] = e.retryAfter.Milliseconds()
 	}
-	writeJSON(w, f.status, map[string]any{"error": body})
+	writeJSON(w, e.status, map[string]any{"error": body})
 }
 
-func typeOf(status int) string {
+func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized || status == http.StatusForbidden:
 		return "authentication_error"
--- a/router/summing.go
+++ b/router/summing.go
@@ -13,253 +13,254 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// summing is the duty that adds up the counters of its hall's agents, exchanges
-// the halls' sums with other summing routers, and tells the agents the fleet's
-// totals. Two routers of a hall hold it at once.
-type summing struct {
-	router   *Router
-	events   chan summingEvent // full: the sender drops it; reports are repeated
-	on       atomic.Bool
-	hall     *ledger.Hall
-	fleet    *ledger.Fleet
-	sequence uint64
-	ticks    int
-	adopted  bool
-	told     map[string]map[fair.Account]fair.Total // by agent: what it was told last
-	peers    map[string]*wire.Peer
-	asked    map[*wire.Peer]bool // agents that were asked for reports
+// aggregator aggregates the counters of its hall's agents, exchanges totals with
+// the other aggregators, and sends the fleet's totals to the agents. Two
+// routers of a hall are active at once.
+type aggregator struct {
+	router           *Router
+	events           chan aggregatorEvent // senders drop events when it is full; reports are repeated
+	active           atomic.Bool
+	hall             *ledger.Hall
+	fleet            *ledger.Fleet
+	sequence         uint64
+	ticks            int
+	adopted          bool
+	sentTotals       map[string]map[fair.Account]fair.Total // by agent, the totals it was sent last
+	peers            map[string]*wire.Peer
+	reportsRequested map[*wire.Peer]bool // agents that were requested to report
 }
 
-// summingEvent is what the summing duty is told: one of the types below.
-type summingEvent interface{ summingEvent() }
+// aggregatorEvent is an event handled by the aggregator: one of the types below.
+type aggregatorEvent interface{ aggregatorEvent() }
 
 type reportEvent struct {
 	peer   *wire.Peer
 	report *wirepb.Report
 }
 
-type lostEvent struct{ peer *wire.Peer }
+type agentLostEvent struct{ peer *wire.Peer }
 
-type sumsEvent struct{ halls []*wirepb.HallTotals }
+type hallTotalsEvent struct{ halls []*wirepb.HallTotals }
 
-// sumsQuery asks for what is to be told to a router of some hall.
-type sumsQuery struct {
+// hallTotalsQuery asks for the totals to send to another router.
+type hallTotalsQuery struct {
 	reply chan []*wirepb.HallTotals // capacity one
 }
 
 type totalsQuery struct{ reply chan []fair.Total } // capacity one
 
-func (reportEvent) summingEvent() {}
-func (lostEvent) summingEvent()   {}
-func (sumsEvent) summingEvent()   {}
-func (sumsQuery) summingEvent()   {}
-func (totalsQuery) summingEvent() {}
+func (reportEvent) aggregatorEvent()     {}
+func (agentLostEvent) aggregatorEvent()  {}
+func (hallTotalsEvent) aggregatorEvent() {}
+func (hallTotalsQuery) aggregatorEvent() {}
+func (totalsQuery) aggregatorEvent()     {}
 
 const (
-	summingQueue = 1024
-	// adoptTicks is after how many ticks a router that began to sum takes over
-	// what others know of its hall.
-	adoptTicks = 3
+	aggregatorQueueSize = 1024
+	// adoptDelayTicks is the number of ticks after which a router that became active
+	// adopts the totals that other routers hold for its hall.
+	adoptDelayTicks = 3
 )
 
-func newSumming(r *Router) *summing {
-	return &summing{
-		router: r,
-		events: make(chan summingEvent, summingQueue),
-		hall:   ledger.NewHall(),
-		fleet:  ledger.NewFleet(),
-		told:   map[string]map[fair.Account]fair.Total{},
-		peers:  map[string]*wire.Peer{},
-		asked:  map[*wire.Peer]bool{},
+func newAggregator(r *Router) *aggregator {
+	return &aggregator{
+		router:           r,
+		events:           make(chan aggregatorEvent, aggregatorQueueSize),
+		hall:             ledger.NewHall(),
+		fleet:            ledger.NewFleet(),
+		sentTotals:       map[string]map[fair.Account]fair.Total{},
+		peers:            map[string]*wire.Peer{},
+		reportsRequested: map[*wire.Peer]bool{},
 	}
 }
 
-func (s *summing) isSumming() bool { return s.on.Load() }
+func (a *aggregator) isActive() bool { return a.active.Load() }
 
-func (s *summing) tell(e summingEvent) {
+func (a *aggregator) send(e aggregatorEvent) {
 	select {
-	case s.events <- e:
+	case a.events <- e:
 	default:
 	}
 }
 
-func (s *summing) lost(p *wire.Peer) { s.tell(lostEvent{peer: p}) }
+func (a *aggregator) agentLost(p *wire.Peer) { a.send(agentLostEvent{peer: p}) }
 
-func (s *summing) run(ctx context.Context) {
-	t := time.NewTicker(s.router.options.Interval)
+func (a *aggregator) run(ctx context.Context) {
+	t := time.NewTicker(a.router.options.Interval)
 	defer t.Stop()
 	for {
 		select {
-		case e := <-s.events:
-			s.handle(e)
+		case e := <-a.events:
+			a.handle(e)
 		case <-t.C:
-			s.tick()
+			a.tick()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (s *summing) handle(e summingEvent) {
+func (a *aggregator) handle(e aggregatorEvent) {
 	switch e := e.(type) {
 	case reportEvent:
-		s.report(e)
-	case lostEvent:
-		if s.peers[e.peer.Hello.Node] == e.peer {
-			delete(s.peers, e.peer.Hello.Node)
-			delete(s.told, e.peer.Hello.Node)
+		a.report(e)
+	case agentLostEvent:
+		if a.peers[e.peer.Hello.Node] == e.peer {
+			delete(a.peers, e.peer.Hello.Node)
+			delete(a.sentTotals, e.peer.Hello.Node)
 		}
-	case sumsEvent:
+	case hallTotalsEvent:
 		for _, h := range e.halls {
-			s.fleet.Merge(ledger.HallSum{Hall: h.Hall, Source: h.Source, Sequence: h.Sequence, Totals: wire.Totals(h.Counters)})
+			a.fleet.Merge(ledger.HallSum{Hall: h.Hall, Source: h.Source, Sequence: h.Sequence, Totals: wire.DecodeTotals(h.Counters)})
 		}
-	case sumsQuery:
-		e.reply <- s.sums()
+	case hallTotalsQuery:
+		e.reply <- a.hallTotals()
 	case totalsQuery:
-		e.reply <- s.fleet.Sum()
+		e.reply <- a.fleet.Sum()
 	}
 }
 
-func (s *summing) report(e reportEvent) {
+func (a *aggregator) report(e reportEvent) {
 	agent := e.peer.Hello.Node
-	if s.peers[agent] != e.peer {
-		s.peers[agent] = e.peer
-		s.told[agent] = map[fair.Account]fair.Total{}
+	if a.peers[agent] != e.peer {
+		a.peers[agent] = e.peer
+		a.sentTotals[agent] = map[fair.Account]fair.Total{}
 	}
-	if !s.hall.Report(agent, e.peer.Hello.Incarnation, e.report.Sequence, wire.Totals(e.report.Counters)) {
+	if !a.hall.Report(agent, e.peer.Hello.Incarnation, e.report.Sequence, wire.DecodeTotals(e.report.Counters)) {
 		return
 	}
-	s.sequence++
-	s.fleet.Update(ledger.HallSum{Hall: s.router.options.Hall, Source: s.source(), Sequence: s.sequence, Totals: s.hall.Touched()})
-	if !s.answers(agent, e.report.Sequence) {
+	a.sequence++
+	a.fleet.Update(ledger.HallSum{Hall: a.router.options.Hall, Source: a.source(), Sequence: a.sequence, Totals: a.hall.Changed()})
+	if !a.shouldReply(agent, e.report.Sequence) {
 		return
 	}
-	e.peer.Send(s.router.message(&wirepb.Control_Totals{Totals: &wirepb.Totals{
+	e.peer.Send(a.router.controlMessage(&wirepb.Control_Totals{Totals: &wirepb.Totals{
 		Sequence: e.report.Sequence,
-		Counters: wire.Counters(s.news(agent)),
+		Counters: wire.EncodeTotals(a.changedTotals(agent)),
 	}}))
 }
 
-// answerTurn is how many reports one router answers before the next one does: the
-// holders' totals are of different age, and changing between them with every report
-// would look like service that comes and goes.
-const answerTurn = 16
+// reportsPerTurn is how many consecutive reports of an agent one router answers
+// before the next one does. The routers' totals differ in age; alternating with every
+// report would make the totals appear to go up and down.
+const reportsPerTurn = 16
 
-// answers reports whether it is this router's turn to answer an agent: of the
-// holders one does, and another after a while, lest the first be gone.
-func (s *summing) answers(agent string, sequence uint64) bool {
-	summers := s.router.members.summers(s.router.options.Hall)
-	at := slices.IndexFunc(summers, func(h kv.Host) bool { return h.Name == s.router.options.Name })
-	turn := sequence/answerTurn + rendezvous(agent, "answers")
-	return at < 0 || turn%uint64(len(summers)) == uint64(at)
+// shouldReply reports whether it is this router's turn to answer an agent. One of
+// the hall's aggregators replies at a time; they take turns because one may be down.
+func (a *aggregator) shouldReply(agent string, sequence uint64) bool {
+	replicas := a.router.members.aggregators(a.router.options.Hall)
+	index := slices.IndexFunc(replicas, func(h kv.Host) bool { return h.Name == a.router.options.Name })
+	turn := sequence/reportsPerTurn + rendezvous(agent, "answers")
+	return index < 0 || turn%uint64(len(replicas)) == uint64(index)
 }
 
-// news returns the totals the agent has not been told, and all that it needs to
-// know are backlogged.
-func (s *summing) news(agent string) []fair.Total {
-	told := s.told[agent]
-	var news []fair.Total
-	for _, t := range s.fleet.Without(s.hall.Own(agent)) {
-		last, known := told[t.Account]
-		moved := t.Lift.After(last.Lift)
-		if known && last.Service == t.Service && t.Reach == 0 && t.Pending == 0 && !moved {
+// changedTotals returns the totals that changed since they were sent to the agent,
+// and those of all accounts with a backlog.
+func (a *aggregator) changedTotals(agent string) []fair.Total {
+	sent := a.sentTotals[agent]
+	var changed []fair.Total
+	for _, t := range a.fleet.Excluding(a.hall.LastReport(agent)) {
+		last, known := sent[t.Account]
+		lifted := t.Adjustment.Supersedes(last.Adjustment)
+		if known && last.Service == t.Service && t.Slots == 0 && t.Pending == 0 && !lifted {
 			continue
 		}
-		told[t.Account] = t
-		if !moved {
-			t.Lift = fair.Lift{}
+		sent[t.Account] = t
+		if !lifted {
+			t.Adjustment = fair.Adjustment{}
 		}
-		news = append(news, t)
+		changed = append(changed, t)
 	}
-	return news
+	return changed
 }
 
-func (s *summing) mergeOwn() {
-	s.sequence++
-	s.fleet.Merge(ledger.HallSum{
-		Hall:     s.router.options.Hall,
-		Source:   s.source(),
-		Sequence: s.sequence,
-		Totals:   s.hall.Sum(),
+func (a *aggregator) mergeLocal() {
+	a.sequence++
+	a.fleet.Merge(ledger.HallSum{
+		Hall:     a.router.options.Hall,
+		Source:   a.source(),
+		Sequence: a.sequence,
+		Totals:   a.hall.Sum(),
 	})
 }
 
-func (s *summing) source() string { return s.router.options.Name + "/" + s.router.incarnation[:8] }
+func (a *aggregator) source() string { return a.router.options.Name + "/" + a.router.incarnation[:8] }
 
-// sums returns the halls' totals for another router: of the own hall in full, of
-// the others what is known here.
-func (s *summing) sums() []*wirepb.HallTotals {
-	if !s.on.Load() {
+// hallTotals returns the full totals of this router's hall, for another router. It
+// returns nil if this router is not active.
+func (a *aggregator) hallTotals() []*wirepb.HallTotals {
+	if !a.active.Load() {
 		return nil
 	}
-	own := &wirepb.HallTotals{Hall: s.router.options.Hall, Source: s.source(), Sequence: s.sequence}
-	own.Counters = wire.Counters(s.fleet.Hall(s.router.options.Hall))
-	return []*wirepb.HallTotals{own}
+	totals := &wirepb.HallTotals{Hall: a.router.options.Hall, Source: a.source(), Sequence: a.sequence}
+	totals.Counters = wire.EncodeTotals(a.fleet.HallTotals(a.router.options.Hall))
+	return []*wirepb.HallTotals{totals}
 }
 
-// tick settles who sums, and lets old reach go.
-func (s *summing) tick() {
-	s.hall.Tick()
-	s.fleet.Tick()
-	if s.on.Load() {
-		s.mergeOwn()
+// tick expires old state, updates the role of this router, and adopts known totals
+// once it has been active for adoptDelayTicks.
+func (a *aggregator) tick() {
+	a.hall.Tick()
+	a.fleet.Tick()
+	if a.active.Load() {
+		a.mergeLocal()
 	}
-	s.decide()
-	s.ask()
-	if !s.on.Load() || s.adopted {
+	a.updateRole()
+	a.requestReports()
+	if !a.active.Load() || a.adopted {
 		return
 	}
-	s.ticks++
-	if s.ticks >= adoptTicks {
-		s.hall.Adopt(s.fleet.Hall(s.router.options.Hall))
-		s.adopted = true
+	a.ticks++
+	if a.ticks >= adoptDelayTicks {
+		a.hall.RaiseTo(a.fleet.HallTotals(a.router.options.Hall))
+		a.adopted = true
 	}
 }
 
-func (s *summing) decide() {
-	on := s.router.members.holds("summing")
-	if on == s.on.Load() {
+func (a *aggregator) updateRole() {
+	active := a.router.members.holdsDuty("summing")
+	if active == a.active.Load() {
 		return
 	}
-	s.on.Store(on)
-	if on {
-		s.hall = ledger.NewHall()
-		s.ticks, s.adopted = 0, false
+	a.active.Store(active)
+	if active {
+		a.hall = ledger.NewHall()
+		a.ticks, a.adopted = 0, false
 	}
 }
 
-// ask asks the agents whose counters are summed here for reports, and the others
-// for none.
-func (s *summing) ask() {
+// requestReports tells the agents whose counters are aggregated here to report, and
+// the others to stop.
+func (a *aggregator) requestReports() {
 	present := map[*wire.Peer]bool{}
-	for _, p := range s.router.agents.peers() {
+	for _, p := range a.router.agents.peers() {
 		present[p] = true
-		on := s.on.Load() && s.router.members.summingHall(p.Hello.Hall) == s.router.options.Hall
-		if on == s.asked[p] {
+		wanted := a.active.Load() && a.router.members.aggregationHall(p.Hello.Hall) == a.router.options.Hall
+		if wanted == a.reportsRequested[p] {
 			continue
 		}
-		s.asked[p] = on
-		p.Send(s.router.message(&wirepb.Control_Summing{Summing: &wirepb.Summing{On: on}}))
+		a.reportsRequested[p] = wanted
+		p.Send(a.router.controlMessage(&wirepb.Control_Summing{Summing: &wirepb.Summing{On: wanted}}))
 	}
-	for p := range s.asked {
+	for p := range a.reportsRequested {
 		if !present[p] {
-			delete(s.asked, p)
+			delete(a.reportsRequested, p)
 		}
 	}
 }
 
-// query sends a query and waits for its answer.
-func query[T any](ctx context.Context, s *summing, e summingEvent, reply <-chan T) (T, bool) {
-	var none T
+// query sends a query to the aggregator and waits for the reply.
+func query[T any](ctx context.Context, s *aggregator, e aggregatorEvent, reply <-chan T) (T, bool) {
+	var zero T
 	select {
 	case s.events <- e:
 	case <-ctx.Done():
-		return none, false
+		return zero, false
 	}
 	select {
 	case v := <-reply:
 		return v, true
 	case <-ctx.Done():
-		return none, false
+		return zero, false
 	}
 }
--- a/soak/words.go
+++ b/soak/words.go
@@ -10,122 +10,125 @@
 	"opalbridge.dev/platform/platformtest"
 )
 
-// This file plays servers that say in their answers that they leave, and servers that turn
-// requests away and ask for rest, beside all other troubles. What reaches them afterwards is
-// taken down by the gateway that sent it: its process, and how often that was paused.
+// This file generates servers that announce in their answers that they are leaving, and servers
+// that refuse requests and ask for backoff, in addition to all other faults. The requests that
+// reach them afterwards are recorded by the epoch of the gateway that sent them.
 
 const (
-	// Once a gateway has passed on that a server leaves, requests that callers send it later
-	// than this reach that server no more.
-	leavingBound = 2 * time.Second
-	// Of a rest that a server has asked a gateway for, the first part is for requests on their
-	// way; so many may reach it in the rest of the time.
-	restBound  = 500 * time.Millisecond
-	mostInRest = 2
+	// Requests that callers send to a gateway more than leavingGrace after it has forwarded a
+	// server's leaving announcement must not reach that server.
+	leavingGrace = 2 * time.Second
+	// The first backoffGrace of a backoff that a server has asked a gateway for is for requests in
+	// flight. At most maxDuringBackoff requests may reach the server in the remaining time.
+	backoffGrace     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
-// The headers by which requests and answers are told apart.
+// Headers that identify the sender and the receiver of a request.
 const (
 	gatewayMark  = "Gateway-Mark"
 	sentMark     = "Sent-Mark"
 	lifetimeMark = "Lifetime-Mark"
 )
 
-// words is what servers have said, and what has reached them.
-type words struct {
+// serverSignals records what servers have announced, and the requests that reached them.
+type serverSignals struct {
 	arrivals []arrival
-	leaving  map[sender]time.Time // when a gateway first passed on that a server leaves
-	rests    []askedRest
-	links    []linkTrouble
+	leaving  map[sender]time.Time // when a gateway first forwarded that a server is leaving
+	backoffs []backoffRequest
+	links    []linkFaultPeriod
 }
 
-// sender is a gateway's process, without a pause since, and a server's lifetime.
+// sender is the epoch of a gateway and the lifetime of a server that it sends to.
 type sender struct{ gateway, lifetime string }
 
+// arrival is a request that has reached a server.
 type arrival struct {
 	sender
 	at   time.Time
-	sent time.Time // by its caller
+	sent time.Time // by the caller
 }
 
-type askedRest struct {
+// backoffRequest is a backoff that a server has asked a gateway for.
+type backoffRequest struct {
 	sender
 	at    time.Time
 	until time.Time
 }
 
-// linkTrouble is a time in which answers of a server may have been held back or lost.
-type linkTrouble struct {
+// linkFaultPeriod is a period in which answers of a server may have been delayed or lost.
+type linkFaultPeriod struct {
 	server   string
 	from, to time.Time
 }
 
-// arrived takes down that a request has reached a server.
-func (w *words) arrived(s sender, r *http.Request) {
-	// A time that can't be read is that of no caller of these tests.
+// recordArrival records that a request has reached a server.
+func (w *serverSignals) recordArrival(s sender, r *http.Request) {
+	// A request without a valid time was not sent by a caller of these tests.
 	sent, _ := time.Parse(time.RFC3339Nano, r.Header.Get(sentMark))
 	w.arrivals = append(w.arrivals, arrival{s, time.Now(), sent})
 }
 
-// turnedAway takes down that a server has asked for rest.
-func (w *words) turnedAway(s sender, status int, after string) {
+// recordBackoff records that a server has asked for backoff.
+func (w *serverSignals) recordBackoff(s sender, status int, after string) {
 	seconds, err := strconv.ParseFloat(after, 64)
 	if status != http.StatusServiceUnavailable || err != nil {
 		return
 	}
 	now := time.Now()
-	w.rests = append(w.rests, askedRest{s, now, now.Add(time.Duration(seconds * float64(time.Second)))})
+	w.backoffs = append(w.backoffs, backoffRequest{s, now, now.Add(time.Duration(seconds * float64(time.Second)))})
 }
 
-// passedOn takes down that a gateway has passed on that a server leaves.
-func (w *words) passedOn(s sender) {
+// recordLeaving records that a gateway has forwarded a server's leaving announcement.
+func (w *serverSignals) recordLeaving(s sender) {
 	if w.leaving[s].IsZero() {
 		w.leaving[s] = time.Now()
 	}
 }
 
-// check returns what was broken.
-func (w *words) check() []string {
-	var faults []string
+// check returns the violations.
+func (w *serverSignals) check() []string {
+	var violations []string
 	late := map[sender]int{}
 	for _, a := range w.arrivals {
-		if said, known := w.leaving[a.sender]; known && a.sent.Sub(said) > leavingBound {
+		if announced, known := w.leaving[a.sender]; known && a.sent.Sub(announced) > leavingGrace {
 			late[a.sender]++
 		}
 	}
 	for s, n := range late {
-		faults = append(faults, fmt.Sprintf("%s sent %d requests to %s, %s after it had passed on that it leaves", s.gateway, n, s.lifetime, leavingBound))
+		violations = append(violations, fmt.Sprintf("%s sent %d requests to %s more than %s after forwarding that it is leaving", s.gateway, n, s.lifetime, leavingGrace))
 	}
-	for _, r := range w.rests {
-		if w.troubled(r) {
+	for _, r := range w.backoffs {
+		if w.maybeLost(r) {
 			continue
 		}
 		n := 0
 		for _, a := range w.arrivals {
-			if a.sender == r.sender && a.at.After(r.at.Add(restBound)) && a.at.Before(r.until) {
+			if a.sender == r.sender && a.at.After(r.at.Add(backoffGrace)) && a.at.Before(r.until) {
 				n++
 			}
 		}
-		if n > mostInRest {
-			faults = append(faults, fmt.Sprintf("%s sent %d requests to %s, which had asked it for %s of rest", r.gateway, n, r.lifetime, r.until.Sub(r.at)))
+		if n > maxDuringBackoff {
+			violations = append(violations, fmt.Sprintf("%s sent %d requests to %s, which had asked it for a backoff of %s", r.gateway, n, r.lifetime, r.until.Sub(r.at)))
 		}
 	}
-	return faults
+	return violations
 }
 
-// troubled tells whether the answer that asked for a rest may not have arrived.
-func (w *words) troubled(r askedRest) bool {
+// maybeLost reports whether the answer that asked for a backoff may not have arrived.
+func (w *serverSignals) maybeLost(r backoffRequest) bool {
 	for _, l := range w.links {
-		if l.server == serverOf(r.lifetime) && r.at.Before(l.to.Add(restBound)) && r.until.After(l.from) {
+		if l.server == serverOf(r.lifetime) && r.at.Before(l.to.Add(backoffGrace)) && r.until.After(l.from) {
 			return true
 		}
 	}
 	return false
 }
 
-// lifetimeOf names a server's lifetime.
+// lifetimeOf returns the identifier of a server's lifetime: its ID and start time.
 func lifetimeOf(server string, born int64) string { return fmt.Sprintf("%s@%d", server, born) }
 
+// serverOf returns the server ID of a lifetime.
 func serverOf(lifetime string) string {
 	for i := range lifetime {
 		if lifetime[i] == '@' {
@@ -135,46 +138,46 @@
 	return lifetime
 }
 
-// linkTroubled takes down that a server's link is in trouble from now on; the returned function
-// ends that.
-func (b *book) linkTroubled(server string) (ends func()) {
+// recordLinkFault records that the link of a server is faulty from now on, until the returned
+// function is called.
+func (b *recorder) recordLinkFault(server string) (end func()) {
 	from := time.Now()
-	note := func(to time.Time) {
+	record := func(to time.Time) {
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
-		b.words.links = append(b.words.links, linkTrouble{server, from, to})
+		b.signals.links = append(b.signals.links, linkFaultPeriod{server, from, to})
 	}
-	note(from)
-	return func() { note(time.Now()) }
+	record(from)
+	return func() { record(time.Now()) }
 }
 
-// speaking are the troubles of what servers say. They stand apart, so that a seed without them
-// plays what it always did.
-var speaking = []trouble{
+// signalFaults are the faults of what servers announce. They are kept apart from baseFaults so
+// that a seed without them draws the same faults as before.
+var signalFaults = []fault{
 	{"server says that it leaves", func(r *Run, random *rand.Rand) func() {
-		return r.sayLeaving(r.aServer(random), drawBorn(random))
+		return r.announceLeaving(r.randomServer(random), randomStartTime(random))
 	}},
 	{"server says that it leaves while the store is down", func(r *Run, random *rand.Rand) func() {
-		r.store.SetFaults(platformtest.Faults{Down: true})
-		undo := r.sayLeaving(r.aServer(random), drawBorn(random))
+		r.store.SetFaults(platformtest.Faults{Unavailable: true})
+		undo := r.announceLeaving(r.randomServer(random), randomStartTime(random))
 		return func() {
 			r.store.SetFaults(platformtest.Faults{})
 			undo()
 		}
 	}},
 	{"server asks for rest", func(r *Run, random *rand.Rand) func() {
-		return askRest(r.aServer(random), random)
+		return requestBackoff(r.randomServer(random), random)
 	}},
 	{"server asks for rest as busy", func(r *Run, random *rand.Rand) func() {
-		s, b := r.aServer(random), calm
-		b.Full, b.Refusal, b.Rest = true, http.StatusTooManyRequests, "1"
+		s, b := r.randomServer(random), healthy
+		b.Reject, b.RejectStatus, b.RetryAfter = true, http.StatusTooManyRequests, "1"
 		s.Set(b)
-		return func() { s.Set(calm) }
+		return func() { s.Set(healthy) }
 	}},
 	{"all servers ask for rest", func(r *Run, random *rand.Rand) func() {
 		var undo []func()
 		for _, s := range r.servers {
-			undo = append(undo, askRest(s, random))
+			undo = append(undo, requestBackoff(s, random))
 		}
 		return func() {
 			for _, u := range undo {
@@ -184,23 +187,23 @@
 	}},
 }
 
-// sayLeaving lets a server say in its answers that it leaves, and then start again; before that
-// it serves on for longer than the bound, so that what comes too late is seen.
-func (r *Run) sayLeaving(s *backend, born int64) (undo func()) {
-	b := calm
+// announceLeaving has a server announce in its answers that it is leaving, and later restart.
+// Before the restart it serves for longer than leavingGrace, so that late requests are recorded.
+func (r *Run) announceLeaving(s *backend, born int64) (undo func()) {
+	b := healthy
 	b.Leaving = true
 	s.Set(b)
 	return func() {
-		time.Sleep(leavingBound)
-		s.Set(calm)
-		r.startAgain(s, born)
+		time.Sleep(leavingGrace)
+		s.Set(healthy)
+		r.crashAndRestart(s, born)
 	}
 }
 
-// askRest lets a server turn requests away and ask for rest.
-func askRest(s *backend, random *rand.Rand) (undo func()) {
-	b := calm
-	b.Full, b.Rest = true, []string{"0.7", "1", "2"}[random.IntN(3)]
+// requestBackoff has a server refuse requests and ask for backoff.
+func requestBackoff(s *backend, random *rand.Rand) (undo func()) {
+	b := healthy
+	b.Reject, b.RetryAfter = true, []string{"0.7", "1", "2"}[random.IntN(3)]
 	s.Set(b)
-	return func() { s.Set(calm) }
+	return func() { s.Set(healthy) }
 }
--- a/wire/control.go
+++ b/wire/control.go
@@ -7,15 +7,15 @@
 	"opalbridge.dev/wire/wirepb"
 )
 
-// Reasons of an End that is not complete, where the server is not at fault.
+// Reasons of an incomplete wirepb.End that are not errors of the server.
 const (
-	ReasonDeadline   = "the caller's deadline passed"
-	ReasonCallerLeft = "the caller left"
+	ReasonDeadline           = "the caller's deadline passed"
+	ReasonCallerDisconnected = "the caller left"
 )
 
-// Control returns a control message with this body, which must be one of the
-// wirepb.Control_… types.
-func Control(revision uint64, body any) *wirepb.Control {
+// NewControl returns a control message with the given body, which must be one of
+// the wirepb.Control_… types.
+func NewControl(revision uint64, body any) *wirepb.Control {
 	m := &wirepb.Control{Revision: revision}
 	switch b := body.(type) {
 	case *wirepb.Control_Want:
@@ -48,32 +48,32 @@
 	return m
 }
 
-// Counters turns totals into their message form.
-func Counters(totals []fair.Total) []*wirepb.Counter {
+// EncodeTotals converts totals to protobuf messages.
+func EncodeTotals(totals []fair.Total) []*wirepb.Counter {
 	counters := make([]*wirepb.Counter, len(totals))
 	for i, t := range totals {
 		counters[i] = &wirepb.Counter{
 			Account:     uint32(t.Account),
 			Service:     uint64(t.Service),
 			Pending:     uint32(t.Pending),
-			Reach:       uint32(t.Reach),
-			LiftVersion: t.Lift.Version,
-			Lift:        t.Lift.Value,
+			Reach:       uint32(t.Slots),
+			LiftVersion: t.Adjustment.Version,
+			Lift:        t.Adjustment.Value,
 		}
 	}
 	return counters
 }
 
-// Totals turns the message form back into totals.
-func Totals(counters []*wirepb.Counter) []fair.Total {
+// DecodeTotals converts protobuf messages to totals.
+func DecodeTotals(counters []*wirepb.Counter) []fair.Total {
 	totals := make([]fair.Total, len(counters))
 	for i, c := range counters {
 		totals[i] = fair.Total{
-			Account: fair.Account(c.Account),
-			Service: float64(c.Service),
-			Pending: float64(c.Pending),
-			Reach:   float64(c.Reach),
-			Lift:    fair.Lift{Version: c.LiftVersion, Value: c.Lift},
+			Account:    fair.Account(c.Account),
+			Service:    float64(c.Service),
+			Pending:    float64(c.Pending),
+			Slots:      float64(c.Reach),
+			Adjustment: fair.Adjustment{Version: c.LiftVersion, Value: c.Lift},
 		}
 	}
 	return totals
--- a/wire/count.go
+++ b/wire/count.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// ControlCount adds up the control bytes of connections, ended ones included. Its
-// zero value is ready; it is safe for use by several goroutines.
-type ControlCount struct {
-	mutex sync.Mutex
-	past  uint64
-	peers map[*Peer]bool
+// ControlByteCounter sums the bytes of control messages over all connections, closed
+// ones included. The zero value is ready to use. It is safe for concurrent use.
+type ControlByteCounter struct {
+	mutex       sync.Mutex
+	closedBytes uint64
+	peers       map[*Peer]bool
 }
 
-// Add counts a connection from now on.
-func (c *ControlCount) Add(p *Peer) {
+// Add starts counting the bytes of a connection.
+func (c *ControlByteCounter) Add(p *Peer) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.peers == nil {
@@ -20,20 +20,20 @@
 	c.peers[p] = true
 }
 
-// Remove keeps what a connection that has ended has counted.
-func (c *ControlCount) Remove(p *Peer) {
+// Remove drops a closed connection and keeps its bytes in the total.
+func (c *ControlByteCounter) Remove(p *Peer) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	sent, received := p.ControlBytes()
-	c.past += sent + received
+	c.closedBytes += sent + received
 	delete(c.peers, p)
 }
 
-// Total returns the bytes of control traffic sent and received so far.
-func (c *ControlCount) Total() uint64 {
+// Total returns the number of bytes of control messages sent and received so far.
+func (c *ControlByteCounter) Total() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	n := c.past
+	n := c.closedBytes
 	for p := range c.peers {
 		sent, received := p.ControlBytes()
 		n += sent + received
